--- a/src/operation/ask.cpp
+++ b/src/admin/admin_client.cpp
@@ -1,4 +1,4 @@
-#include "operation/ask.h"
+#include "admin/admin_client.h"
 
 #include <fmt/format.h>
 
--- a/src/operation/ask.h
+++ b/src/admin/admin_client.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "config/config.h"
-#include "operation/call.h"
+#include "admin/admin_request.h"
 
 namespace wingproxy::operation {
 
--- a/src/operation/call.cpp
+++ b/src/admin/admin_request.cpp
@@ -1,4 +1,4 @@
-#include "operation/call.h"
+#include "admin/admin_request.h"
 
 #include <fmt/format.h>
 
--- a/src/operation/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "operation/admin_server.h"
+#include "admin/admin_server.h"
 
 #include <fmt/format.h>
 
--- a/src/operation/admin_server.h
+++ b/src/admin/admin_server.h
@@ -5,7 +5,7 @@
 #include <memory>
 
 #include "net/session.h"
-#include "operation/call.h"
+#include "admin/admin_request.h"
 
 namespace wingproxy::operation {
 
--- a/src/cli/command.h
+++ b/src/cli/command.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <variant>
 
-#include "operation/call.h"
+#include "admin/admin_request.h"
 
 namespace wingproxy::cli {
 
--- a/src/fleet/arrival.cpp
+++ b/src/fleet/restart_recovery.cpp
@@ -1,4 +1,4 @@
-#include "fleet/arrival.h"
+#include "fleet/restart_recovery.h"
 
 #include <algorithm>
 #include <optional>
--- a/src/handover/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -1,4 +1,4 @@
-#include "handover/hot_restart.h"
+#include "hot_restart/hot_restart.h"
 
 namespace wingproxy::handover {
 namespace {
--- a/src/handover/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -4,8 +4,8 @@
 #include <boost/asio/steady_timer.hpp>
 #include <functional>
 
-#include "handover/place.h"
-#include "handover/snapshot.h"
+#include "hot_restart/shared_files.h"
+#include "hot_restart/snapshot.h"
 #include "log/log.h"
 
 namespace wingproxy::handover {
--- a/src/handover/place.cpp
+++ b/src/hot_restart/shared_files.cpp
@@ -1,4 +1,4 @@
-#include "handover/place.h"
+#include "hot_restart/shared_files.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
--- a/src/handover/snapshot.cpp
+++ b/src/hot_restart/snapshot.cpp
@@ -1,4 +1,4 @@
-#include "handover/snapshot.h"
+#include "hot_restart/snapshot.h"
 
 #include <fmt/format.h>
 
@@ -11,7 +11,7 @@
 #include <cstring>
 #include <sstream>
 
-#include "node_info_archive.h"
+#include "policy/node_info_archive.h"
 
 namespace wingproxy {
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -11,14 +11,14 @@
 #include "cli/command.h"
 #include "config/config.h"
 #include "config/operator.h"
-#include "fleet/arrival.h"
-#include "handover/hot_restart.h"
+#include "fleet/restart_recovery.h"
+#include "hot_restart/hot_restart.h"
 #include "health/health.h"
 #include "http/front.h"
 #include "net/discovery.h"
 #include "net/peers.h"
-#include "operation/admin_server.h"
-#include "operation/ask.h"
+#include "admin/admin_server.h"
+#include "admin/admin_client.h"
 #include "rsync/front.h"
 
 namespace {
--- a/src/memory_archive.cpp
+++ b/src/policy/memory_archive.cpp
@@ -1,4 +1,4 @@
-#include "memory_archive.h"
+#include "policy/memory_archive.h"
 
 #include <cereal/archives/portable_binary.hpp>
 #include <cereal/types/deque.hpp>
@@ -9,7 +9,7 @@
 #include <cereal/types/vector.hpp>
 #include <sstream>
 
-#include "node_info_archive.h"
+#include "policy/node_info_archive.h"
 
 namespace wingproxy {
 
--- a/src/memory_archive.h
+++ b/src/policy/memory_archive.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "state.h"
+#include "policy/state.h"
 
 namespace wingproxy {
 
--- a/src/policy.cpp
+++ b/src/policy/policy.cpp
@@ -2,9 +2,9 @@
 // docs/design.md says what of the design was kept, what was changed and why.
 #include "wingproxy/policy.h"
 
-#include "memory_archive.h"
-#include "peer_message.h"
-#include "state.h"
+#include "policy/memory_archive.h"
+#include "policy/peer_message.h"
+#include "policy/state.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/state.h
+++ b/src/policy/state.h
@@ -8,8 +8,8 @@
 #include <set>
 #include <unordered_map>
 
-#include "fleet/arrival.h"
-#include "peer_message.h"
+#include "fleet/restart_recovery.h"
+#include "policy/peer_message.h"
 #include "wingproxy/policy.h"
 
 namespace wingproxy {
--- a/tests/operation_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -4,8 +4,8 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "operation/admin_server.h"
-#include "process_support.h"
+#include "admin/admin_server.h"
+#include "support/process_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
--- a/tests/cli_test.cpp
+++ b/tests/cli/cli_test.cpp
@@ -5,8 +5,8 @@
 #include <thread>
 
 #include "cli/command.h"
-#include "operation/ask.h"
-#include "process_support.h"
+#include "admin/admin_client.h"
+#include "support/process_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
@@ -34,7 +34,7 @@
 }  // namespace
 
 TEST_CASE("command line: each has its exit code, and what is wrong is named in one line") {
-    const std::string config = std::string(WINGPROXY_SOURCE) + "/tests/config.json";
+    const std::string config = std::string(WINGPROXY_SOURCE) + "/tests/support/config.json";
     std::string pattern = (std::filesystem::temp_directory_path() / "wingproxy-cli-XXXXXX").string();
     const std::filesystem::path folder = mkdtemp(pattern.data());
     auto bad = config::readFile(config);
--- a/tests/reducer_test.cpp
+++ b/tests/core/reducer_test.cpp
@@ -3,7 +3,7 @@
 
 #include <doctest/doctest.h>
 
-#include "support.h"
+#include "support/policy_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::core;
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet/fleet_process_test.cpp
@@ -1,6 +1,6 @@
 // Whole processes with faults between them: what a fleet keeps to while datagrams are lost, late and doubled,
 // and how a front that is started again learns what it may spend.
-#include "fleet_support.h"
+#include "support/fleet_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
--- a/tests/arrival_test.cpp
+++ b/tests/fleet/restart_recovery_test.cpp
@@ -1,6 +1,6 @@
 // fleet::Arrival: what a restarted host may spend and lend. Cases by hand, then every interleaving of a small
 // fleet: one home that crashes, leaves and starts again, two borrowers, messages lost, late and doubled.
-#include "fleet/arrival.h"
+#include "fleet/restart_recovery.h"
 
 #include <doctest/doctest.h>
 #include <fmt/format.h>
--- a/tests/handover_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -2,9 +2,9 @@
 // processes.
 #include <cstring>
 
-#include "handover/hot_restart.h"
-#include "process_support.h"
-#include "support.h"
+#include "hot_restart/hot_restart.h"
+#include "support/process_support.h"
+#include "support/policy_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
--- a/tests/bodies_test.cpp
+++ b/tests/http/bodies_test.cpp
@@ -1,8 +1,8 @@
 // Long bodies and answers, slow peers and crowds on real sockets.
 #include <fstream>
 
-#include "net_support.h"
-#include "support.h"
+#include "support/net_support.h"
+#include "support/policy_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
--- a/tests/endings_test.cpp
+++ b/tests/http/endings_test.cpp
@@ -1,7 +1,7 @@
 // What is owed when something ends: clients that leave, connections that are closed, answers without a
 // length, repeats at the end of their window. Each test brings about the bad order itself.
-#include "process_support.h"
-#include "support.h"
+#include "support/process_support.h"
+#include "support/policy_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
--- a/tests/front_test.cpp
+++ b/tests/http/front_test.cpp
@@ -1,7 +1,7 @@
 // The platform's front on real sockets: one test a rule.
-#include "fleet/arrival.h"
+#include "fleet/restart_recovery.h"
 #include "health/health.h"
-#include "net_support.h"
+#include "support/net_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
--- a/tests/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -4,7 +4,7 @@
 #include <memory>
 #include <random>
 
-#include "support.h"
+#include "support/policy_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
--- a/tests/lease_test.cpp
+++ b/tests/policy/lease_test.cpp
@@ -6,8 +6,8 @@
 #include <memory>
 #include <random>
 
-#include "fleet/arrival.h"
-#include "support.h"
+#include "fleet/restart_recovery.h"
+#include "support/policy_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
--- a/tests/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -1,8 +1,8 @@
 // Module tests: the seven rules, order and shedding, with hand-made events.
 #include <gtest/gtest.h>
 
-#include "../src/peer_message.h"
-#include "support.h"
+#include "policy/peer_message.h"
+#include "support/policy_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
--- a/tests/rsync_test.cpp
+++ b/tests/rsync/rsync_test.cpp
@@ -1,5 +1,5 @@
 // The rsync front on real sockets, between a client and nodes that the tests drive word by word.
-#include "net_support.h"
+#include "support/net_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
--- a/tests/fleet_support.h
+++ b/tests/support/fleet_support.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <random>
 
-#include "process_support.h"
+#include "support/process_support.h"
 
 namespace wingproxy::test {
 
@@ -121,7 +121,7 @@
         std::filesystem::remove_all(folder);
     }
     std::string config(std::size_t i, std::size_t n) {
-        auto json = config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/config.json");
+        auto json = config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json");
         const auto put = [&](const std::string& from, const std::string& to) {
             const auto at = json.find(from);
             REQUIRE(at != std::string::npos);
--- a/tests/net_support.h
+++ b/tests/support/net_support.h
@@ -97,7 +97,7 @@
 }
 
 inline config::Config baseConfig() {
-    return config::parseConfig(config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/config.json"));
+    return config::parseConfig(config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json"));
 }
 
 // The stand-in for discovery answers no watch by itself: none is missed while a test runs.
--- a/tests/process_support.h
+++ b/tests/support/process_support.h
@@ -12,7 +12,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "net_support.h"
+#include "support/net_support.h"
 
 namespace wingproxy::test {
 
@@ -81,7 +81,7 @@
         : listening(rig.io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)) {
         std::string pattern = (std::filesystem::temp_directory_path() / "wingproxy-XXXXXX").string();
         folder = mkdtemp(pattern.data());
-        auto json = config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/config.json");
+        auto json = config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json");
         const auto put = [&](const std::string& from, const std::string& to) {
             const auto at = json.find(from);
             REQUIRE(at != std::string::npos);
