--- a/adapter/instances.cpp
+++ b/adapter/instances.cpp
@@ -54,30 +54,30 @@
     }
     if (!instance.settings) line.bad("who", "instance has not started");
     std::optional<Event> event;
-    if (name == "INCOMING") event = parseRequest(line, *instance.settings);
+    if (name == "INCOMING") event = RequestReceived{parseRequest(line, *instance.settings)};
     else if (name == "ENDED") event = parseEnded(line);
     else if (name == "HEARD") event = parseMessage(line);
     else if (name == "STATUS_BACK") event = parseProbe(line);
-    else if (name == "ABORTED") event = RequestGone{line.natural("corr")};
+    else if (name == "ABORTED") event = RequestCancelled{line.natural("corr")};
     else if (name == "ELAPSED") event = TimerFired{line.natural("label")};
     else if (name == "HEADERS")
-        event = StreamStarted{line.natural("corr"), static_cast<int>(line.integer("shot", 0)),
+        event = ResponseStarted{line.natural("corr"), static_cast<int>(line.integer("shot", 0)),
                               std::string(line.text("shelf", "")), line.integer("waitTimeUs", 0)};
     else {
-        NodeList list;
+        EndpointList list;
         const auto how = line.text("how");
-        if (how == "incr") list.kind = ListKind::Delta;
-        else if (how == "total") list.kind = ListKind::Full;
-        else if (how == "warm_copy") list.kind = ListKind::Saved;
-        else if (how == "lost") list.kind = ListKind::Lost;
+        if (how == "incr") list.kind = EndpointListKind::Delta;
+        else if (how == "total") list.kind = EndpointListKind::Full;
+        else if (how == "warm_copy") list.kind = EndpointListKind::Cached;
+        else if (how == "lost") list.kind = EndpointListKind::Unavailable;
         else line.bad("how", "unknown kind of news");
         list.version = line.integer("serial", 0);
-        if (list.kind != ListKind::Lost) {
+        if (list.kind != EndpointListKind::Unavailable) {
             const auto id = line.integer("setId");
             if (id < 0 || id >= static_cast<std::int64_t>(lists_.size())) line.bad("setId", "not 0 to 15");
             list.nodes = lists_[static_cast<std::size_t>(id)];
         }
-        event = std::move(list);
+        event = EndpointListReceived{std::move(list)};
     }
     guarded(instance, [&] { instance.policy->on(now, *event); });
 }
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -15,9 +15,9 @@
 
 Outcome parseOutcome(const Line& line) {
     static constexpr std::array<std::pair<std::string_view, Outcome>, 8> kNames{{
-        {"pass", Outcome::Ok}, {"fault", Outcome::Error}, {"no_room", Outcome::Full},
+        {"pass", Outcome::Ok}, {"fault", Outcome::Error}, {"no_room", Outcome::Rejected},
         {"too_slow", Outcome::Timeout}, {"no_route", Outcome::ConnectFailed}, {"cut", Outcome::Reset},
-        {"undone", Outcome::Cancelled}, {"stale_send", Outcome::Moot}}};
+        {"undone", Outcome::Cancelled}, {"stale_send", Outcome::NotStarted}}};
     const auto code = line.text("code");
     for (const auto& [name, outcome] : kNames)
         if (name == code) return outcome;
@@ -88,22 +88,22 @@
     ClassInfo c;
     std::string effect = "idempotent", scope = "all";
     paths.text(at + "name", c.name);
-    paths.number(at + "aimUs", c.aimUs);
+    paths.number(at + "aimUs", c.latencyObjectiveUs);
     paths.number(at + "deadlineUs", c.deadlineUs);
-    paths.number(at + "windowUs", c.windowUs);
-    paths.number(at + "value", c.value);
-    paths.number(at + "lateWorth", c.lateWorth);
+    paths.number(at + "windowUs", c.keyWindowUs);
+    paths.number(at + "value", c.priorityWeight);
+    paths.number(at + "lateWorth", c.lateWeight);
     paths.text(at + "effect", effect);
     paths.text(at + "keyScope", scope);
     paths.flag(at + "stream", c.stream);
     paths.flag(at + "fifoByKey", c.fifoByKey);
-    if (effect == "idempotent") c.effect = Effect::Idempotent;
-    else if (effect == "deduplicated") c.effect = Effect::Deduplicated;
-    else if (effect == "at_most_once") c.effect = Effect::AtMostOnce;
+    if (effect == "idempotent") c.retrySafety = RetrySafety::Idempotent;
+    else if (effect == "deduplicated") c.retrySafety = RetrySafety::IdempotentWithKey;
+    else if (effect == "at_most_once") c.retrySafety = RetrySafety::NotIdempotent;
     else line.bad(at + "effect", "unknown effect");
-    if (scope == "all") c.scope = Scope::All;
-    else if (scope == "zone") c.scope = Scope::Zone;
-    else if (scope == "cell") c.scope = Scope::Cell;
+    if (scope == "all") c.keyScope = KeyScope::Global;
+    else if (scope == "zone") c.keyScope = KeyScope::Zone;
+    else if (scope == "cell") c.keyScope = KeyScope::Cell;
     else line.bad(at + "keyScope", "unknown scope");
     return c;
 }
@@ -111,10 +111,10 @@
 PlanInfo parsePlan(const Paths& paths, const std::string& at) {
     PlanInfo p;
     paths.text(at + "name", p.name);
-    paths.number(at + "baseRate", p.rate);
-    paths.number(at + "guaranteed", p.reserve);
-    paths.number(at + "shares", p.weight);
-    paths.number(at + "valueFactor", p.factor);
+    paths.number(at + "baseRate", p.baseRate);
+    paths.number(at + "guaranteed", p.guaranteedRate);
+    paths.number(at + "shares", p.shares);
+    paths.number(at + "valueFactor", p.priorityFactor);
     paths.number(at + "limit", p.limit);
     paths.number(at + "limitBurst", p.limitBurst);
     paths.number(at + "limitSlack", p.limitSlack);
@@ -230,8 +230,8 @@
     const Paths paths(up);
     Settings s;
     s.seed = up.has("rngSeed") ? up.natural("rngSeed") : 0;
-    paths.number("me", s.host);
-    paths.number("replicasOfMe", s.hosts);
+    paths.number("me", s.hostIndex);
+    paths.number("replicasOfMe", s.hostCount);
     paths.text("zone", s.zone);
     const auto writes = paths.list("extra.changesData");
     for (std::size_t i = 0, n = paths.count("classes"); i < n; ++i) {
@@ -244,33 +244,33 @@
     std::string how, mode;
     paths.text("report.how", how);
     paths.text("registryMode", mode);
-    s.reportsOnlyByProbe = how == "probe";
-    s.listOnRequest = mode == "on_request";
+    s.loadReportsOnlyByHealthCheck = how == "probe";
+    s.pollsEndpointList = mode == "on_request";
     paths.number("allowed.tryLimit", s.maxAttempts);
-    paths.flag("allowed.mayProbe", s.mayProbe);
-    paths.flag("allowed.peers", s.mayTellPeers);
+    paths.flag("allowed.mayProbe", s.mayCheckHealth);
+    paths.flag("allowed.peers", s.mayGossip);
     paths.flag("allowed.cancel", s.mayCancel);
-    paths.flag("allowed.secondCopies", s.secondCopies);
-    paths.flag("allowed.retryAfter", s.retryAdvice);
+    paths.flag("allowed.secondCopies", s.hedging);
+    paths.flag("allowed.retryAfter", s.sendsRetryAfter);
     paths.number("allowed.maxRetryAfterUs", s.maxRetryAfterUs);
-    paths.number("obligations.answerSlackUs", s.answerSlackUs);
+    paths.number("obligations.answerSlackUs", s.responseSlackUs);
     paths.number("obligations.drainGraceUs", s.drainGraceUs);
-    paths.number("obligations.askEveryUs", s.askEveryUs);
-    paths.number("obligations.keyRestUs", s.keyRestUs);
-    paths.number("obligations.resendRatio", s.retryShare);
-    paths.number("obligations.extraFree", s.retryFree);
-    paths.number("obligations.resendSpanUs", s.retrySpanUs);
-    paths.number("obligations.startCapacity", s.coldStart);
-    paths.number("obligations.fallMultiple", s.coldMultiple);
-    paths.number("obligations.fallUs", s.coldSpanUs);
-    paths.number("obligations.warmAfterUs", s.warmAfterUs);
-    paths.number("extra.coldBears", s.coldUnits);
+    paths.number("obligations.askEveryUs", s.pollIntervalUs);
+    paths.number("obligations.keyRestUs", s.keyCooldownUs);
+    paths.number("obligations.resendRatio", s.retryRatio);
+    paths.number("obligations.extraFree", s.retryAllowance);
+    paths.number("obligations.resendSpanUs", s.retryWindowUs);
+    paths.number("obligations.startCapacity", s.slowStartCapacity);
+    paths.number("obligations.fallMultiple", s.slowStartOverloadFactor);
+    paths.number("obligations.fallUs", s.slowStartWindowUs);
+    paths.number("obligations.warmAfterUs", s.slowStartDurationUs);
+    paths.number("extra.coldBears", s.slowStartUnits);
     paths.number("extra.meanUnits", s.meanUnits);
     paths.number("extra.maxUnits", s.maxUnits);
-    paths.number("extra.withinShare", s.shareWorth);
-    paths.number("extra.spareWorth", s.spareWorth);
-    paths.number("extra.meterUs", s.meterUs);
-    paths.number("extra.shards", s.cells);
+    paths.number("extra.withinShare", s.shareWeight);
+    paths.number("extra.spareWorth", s.spareWeight);
+    paths.number("extra.meterUs", s.meteringWindowUs);
+    paths.number("extra.shards", s.cellCount);
     paths.number("roundUs", s.roundUs);
     return s;
 }
@@ -286,7 +286,7 @@
     const auto state = line.text("readiness");
     if (state == "Ready") node.state = NodeState::Ready;
     else if (state == "Terminating") node.state = NodeState::Draining;
-    else if (state == "Gone") node.state = NodeState::Gone;
+    else if (state == "Gone") node.state = NodeState::Removed;
     else line.bad("readiness", "unknown state");
     return node;
 }
@@ -309,27 +309,27 @@
     return r;
 }
 
-AttemptEnded parseEnded(const Line& line) {
-    AttemptEnded e;
+AttemptOutcome parseEnded(const Line& line) {
+    AttemptOutcome e;
     e.id = line.natural("corr");
     e.attempt = static_cast<int>(line.integer("shot", 0));
     e.node = line.text("shelf", "");
     e.outcome = parseOutcome(line);
-    e.tookUs = line.integer("waitTimeUs", 0);
-    e.closed = line.flag("closed");
-    e.usePercent = line.number("usePct", 0);
-    e.elsewhere = line.number("elsewhere", 0);
-    e.report = parseReport(line);
+    e.elapsedUs = line.integer("waitTimeUs", 0);
+    e.requestClosed = line.flag("closed");
+    e.loadPercent = line.number("usePct", 0);
+    e.loadElsewhere = line.number("elsewhere", 0);
+    e.loadReport = parseReport(line);
     return e;
 }
 
-ProbeAnswered parseProbe(const Line& line) {
+HealthCheckCompleted parseProbe(const Line& line) {
     return {std::string(line.text("shelf")), parseOutcome(line), line.integer("waitTimeUs", 0),
             parseReport(line)};
 }
 
-PeerMessage parseMessage(const Line& line) {
-    PeerMessage m;
+PeerMessageReceived parseMessage(const Line& line) {
+    PeerMessageReceived m;
     m.from = static_cast<int>(line.integer("from"));
     if (!decodeBase64(line.text("raw"), m.bytes)) line.bad("raw", "not base64");
     return m;
@@ -343,28 +343,28 @@
     const auto addText = [&](std::string_view key, std::string_view value) {
         out.append(" ").append(key).append("=").append(value);
     };
-    if (const auto* send = std::get_if<Send>(&action)) {
+    if (const auto* send = std::get_if<ForwardRequest>(&action)) {
         begin("DISPATCH"); add("corr", send->id); addText("shelf", send->node);
         if (send->timeoutUs != 0) add("tryForUs", send->timeoutUs);
-    } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+    } else if (const auto* refuse = std::get_if<RejectRequest>(&action)) {
         begin("TURN_AWAY"); add("corr", refuse->id);
         if (refuse->retryAfterUs > 0) add("coolDownUs", refuse->retryAfterUs);
-    } else if (const auto* fail = std::get_if<Fail>(&action)) {
+    } else if (const auto* fail = std::get_if<FailRequest>(&action)) {
         begin("ERROR"); add("corr", fail->id);
-    } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
+    } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
         begin("ABORT_ATTEMPT"); add("corr", cancel->id); add("shot", cancel->attempt);
-    } else if (const auto* probe = std::get_if<ProbeNode>(&action)) {
+    } else if (const auto* probe = std::get_if<StartHealthCheck>(&action)) {
         begin("PROBE"); addText("shelf", probe->node);
-    } else if (const auto* tell = std::get_if<TellPeer>(&action)) {
+    } else if (const auto* tell = std::get_if<SendPeerMessage>(&action)) {
         begin("NOTIFY");
         if (tell->to < 0) addText("to", "*");
         else add("to", tell->to);
         addText("raw", encodeBase64(tell->bytes));
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-        begin("TIMER"); add("offsetUs", timer->inUs); add("label", timer->token);
-    } else if (const auto* watch = std::get_if<WatchList>(&action)) {
-        begin("TAIL"); add("on", watch->on ? 1 : 0);
-    } else if (const auto* note = std::get_if<Note>(&action)) {
+        begin("TIMER"); add("offsetUs", timer->delayUs); add("label", timer->token);
+    } else if (const auto* watch = std::get_if<WatchEndpointList>(&action)) {
+        begin("TAIL"); add("on", watch->enabled ? 1 : 0);
+    } else if (const auto* note = std::get_if<LogLine>(&action)) {
         begin("PRINT"); addText("text", note->text);
     }
     out += '\n';
--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -46,9 +46,9 @@
 Settings parseSettings(const Line& up);
 NodeInfo parseNode(const Line& entry);
 Request parseRequest(const Line& line, const Settings& settings);
-AttemptEnded parseEnded(const Line& line);
-ProbeAnswered parseProbe(const Line& line);
-PeerMessage parseMessage(const Line& line);
+AttemptOutcome parseEnded(const Line& line);
+HealthCheckCompleted parseProbe(const Line& line);
+PeerMessageReceived parseMessage(const Line& line);
 
 void format(const Action& action, std::string_view who, std::string& out);      // appends one line
 
--- a/include/wingproxy/policy.h
+++ b/include/wingproxy/policy.h
@@ -1,8 +1,12 @@
-// wingproxy: the whole interface of the decision module (see src/policy.cpp).
-//
-// A Policy is one host's scheduler. Feed it the events of a batch with on(), then take the
-// actions of that batch with finish(). Time is whatever the caller says it is (microseconds,
-// never falling); the module has no clock, no threads and no randomness beyond Settings::seed.
+/// \file
+/// The interface of the decision module (src/policy): typed events in, typed actions out.
+///
+/// A `Policy` is the scheduler of one host, that is of one front of the tier. Its caller feeds it the events of a
+/// batch with `on()` and then takes the actions of that batch with `finish()`. Time is whatever the caller says it
+/// is: microseconds since the Unix epoch that never fall. The module has no clock, no threads and no randomness
+/// beyond `Settings::seed`, so that the same events always give the same actions.
+///
+/// Not thread-safe: one thread, or one event loop, owns a `Policy`.
 #pragma once
 
 #include <cstdint>
@@ -11,145 +15,305 @@
 #include <variant>
 #include <vector>
 
-namespace wingproxy::fleet { class Arrival; }
+namespace wingproxy::fleet {
+class RestartRecovery;
+}
 
 namespace wingproxy {
 
+/// A point in time or a duration, in microseconds.
 using Micros = std::int64_t;
+/// Names a request within one host; never reused.
 using RequestId = std::uint64_t;
 
-enum class Effect { Idempotent, Deduplicated, AtMostOnce };
-enum class Scope { All, Zone, Cell };                       // where repeats of a keyed request are dropped
-enum class NodeState { Ready, Draining, Gone };
-enum class Outcome { Ok, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot };
-enum class ListKind { Delta, Full, Saved, Lost };           // what a NodeList event brings
+// ------------------------------------------------------------------------------------------------ settings
 
+/// Whether a request that may have run at a node may be sent again.
+enum class RetrySafety {
+    Idempotent,         ///< at any time
+    IdempotentWithKey,  ///< within `ClassInfo::keyWindowUs`, as nodes drop repeats with the same key
+    NotIdempotent,      ///< never
+};
+
+/// Where nodes recognise a repeated idempotency key.
+enum class KeyScope { Global, Zone, Cell };
+
+/// A request class, as the settings define it.
 struct ClassInfo {
     std::string name;
-    Micros aimUs = 0, deadlineUs = 0, windowUs = 0;
-    double value = 1, lateWorth = 0;
-    Effect effect = Effect::Idempotent;
-    Scope scope = Scope::All;
-    bool stream = false, fifoByKey = false, writes = false;
+    Micros latencyObjectiveUs = 0;  ///< answers within it have full value; 0: no objective
+    Micros deadlineUs = 0;          ///< what clients of this class wait at the most
+    Micros keyWindowUs = 0;         ///< how long nodes remember an idempotency key
+    double priorityWeight = 1;      ///< value of one unit of work that is answered in time
+    double lateWeight = 0;          ///< part of that value after the objective
+    RetrySafety retrySafety = RetrySafety::Idempotent;
+    KeyScope keyScope = KeyScope::Global;
+    bool stream = false;     ///< answers are long and forwarded as they come
+    bool fifoByKey = false;  ///< requests with the same key are sent one after the other
+    bool writes = false;     ///< changes data
     bool operator==(const ClassInfo&) const = default;
 };
 
+/// A service plan: what one volume may ask for. Rates are in units of work a second.
 struct PlanInfo {
     std::string name;
-    double rate = 0, reserve = 0, weight = 1, factor = 1;   // units a second, for one volume
-    double limit = 0, limitBurst = 0, limitSlack = 0;       // limit 0: none
+    double baseRate = 0;        ///< what volumes of this plan usually ask for
+    double guaranteedRate = 0;  ///< always admitted
+    double shares = 1;          ///< weight in what is left beyond the guaranteed rates
+    double priorityFactor = 1;  ///< multiplies the priority weight of the class
+    double limit = 0;           ///< upper bound of the rate over all hosts; 0: none
+    double limitBurst = 0;      ///< units that may be used at once, at the most
+    double limitSlack = 0;      ///< units by which the limit may be passed
     bool operator==(const PlanInfo&) const = default;
 };
 
+/// Everything that differs from one deployment to another.
 struct Settings {
     std::uint64_t seed = 0;
-    int host = 0, hosts = 1;
+    int hostIndex = 0;  ///< this host's number, from 0 to hostCount - 1
+    int hostCount = 1;
     std::string zone;
     std::vector<ClassInfo> classes;
     std::vector<PlanInfo> plans;
-    std::vector<std::string> reportColumns;
-    bool reportsOnlyByProbe = false;
-    // what the deployment allows
+    std::vector<std::string> reportColumns;  ///< names of the fields of a node's load report
+    bool loadReportsOnlyByHealthCheck = false;
+
+    // What the deployment allows.
     int maxAttempts = 1;
-    bool mayProbe = false, mayTellPeers = false, mayCancel = false, secondCopies = false, retryAdvice = false;
+    bool mayCheckHealth = false;
+    bool mayGossip = false;  ///< hosts may send each other messages
+    bool mayCancel = false;  ///< attempts may be cancelled
+    bool hedging = false;    ///< a second attempt may start while the first one runs
+    bool sendsRetryAfter = false;
     Micros maxRetryAfterUs = 0;
-    bool listOnRequest = false;                             // the node list must be asked for
-    // rule figures; 0 where the rule does not hold
-    Micros answerSlackUs = 0, drainGraceUs = 0, askEveryUs = 0, keyRestUs = 0;
-    double retryShare = 0, retryFree = 0;
-    Micros retrySpanUs = 0;                                 // 0: further attempts are not rationed
-    double coldStart = 1, coldMultiple = 0, coldUnits = 0;
-    Micros warmAfterUs = 0, coldSpanUs = 0;
-    // about units of size
-    double meanUnits = 1, maxUnits = 1, shareWorth = 1, spareWorth = 1;
-    Micros meterUs = 0;
-    int cells = 0;
+    bool pollsEndpointList = false;  ///< the endpoint list must be asked for; false: it is pushed
+
+    // Obligations; 0 where one does not hold.
+    Micros responseSlackUs = 0;  ///< a final answer may be this much late
+    Micros drainGraceUs = 0;     ///< how long after its drain was announced a node may get new requests
+    Micros pollIntervalUs = 0;   ///< the endpoint list is asked for at least this often
+    Micros keyCooldownUs = 0;    ///< pause before the next request of a key whose last one may still run
+    double retryRatio = 0;       ///< retries allowed, as a part of the requests of the window
+    double retryAllowance = 0;   ///< retries allowed in each window besides
+    Micros retryWindowUs = 0;    ///< 0: retries are not rationed
+
+    // Slow start of nodes that have just started.
+    double slowStartCapacity = 1;        ///< capacity at the start, as a part of the full one
+    double slowStartOverloadFactor = 0;  ///< a node fails under this multiple of its capacity
+    double slowStartUnits = 0;           ///< units that any starting node completes in one window
+    Micros slowStartDurationUs = 0;      ///< until capacity is full
+    Micros slowStartWindowUs = 0;        ///< over which load is counted; 0: no such rule
+
+    // The size of requests, in units of work.
+    double meanUnits = 1;
+    double maxUnits = 1;
+    double shareWeight = 1;  ///< value of a unit inside the volume's weighted share
+    double spareWeight = 1;  ///< value of a unit beyond it
+    Micros meteringWindowUs = 0;
+    int cellCount = 0;  ///< cells are groups of nodes that hold the same objects
     Micros roundUs = 0;
-    Micros shortestAim() const {                            // 0 where no class states one
-        Micros least = 0;
-        for (const auto& c : classes)
-            if (c.aimUs > 0 && (least == 0 || c.aimUs < least)) least = c.aimUs;
-        return least;
+
+    /// The shortest latency objective of all classes; 0 where none has one.
+    Micros shortestLatencyObjective() const {
+        Micros shortest = 0;
+        for (const auto& info : classes) {
+            const Micros objective = info.latencyObjectiveUs;
+            if (objective > 0 && (shortest == 0 || objective < shortest)) shortest = objective;
+        }
+        return shortest;
     }
     bool operator==(const Settings&) const = default;
 };
 
+// ------------------------------------------------------------------------------------------------ events
+
+enum class NodeState { Ready, Draining, Removed };
+
+/// One storage node, as discovery lists it.
 struct NodeInfo {
-    std::string id, zone;
+    std::string id;
+    std::string zone;
     int cell = 0;
     double rating = 1;
     NodeState state = NodeState::Ready;
-    Micros startedUs = 0;                                   // 0: long ago
+    Micros startedUs = 0;  ///< 0: long ago
 };
 
-// Events
-struct NodeList { ListKind kind = ListKind::Full; std::int64_t version = 0; std::vector<NodeInfo> nodes; };
+/// How a list of nodes relates to what is known already.
+enum class EndpointListKind {
+    Delta,        ///< only the nodes that changed
+    Full,         ///< all nodes
+    Cached,       ///< all nodes as known before the start; may be old
+    Unavailable,  ///< no list: the call to discovery failed
+};
+struct EndpointList {
+    EndpointListKind kind = EndpointListKind::Full;
+    std::int64_t version = 0;
+    std::vector<NodeInfo> nodes;
+};
+
+/// A client's request, in terms that no protocol has a part in.
 struct Request {
     RequestId id = 0;
-    int classIndex = -1, planIndex = -1;                    // into Settings; -1: unknown name
-    std::string key, volume;
-    Micros deadlineUs = 0;
+    int classIndex = -1;  ///< into Settings::classes; -1: unknown name
+    int planIndex = -1;   ///< into Settings::plans; -1: unknown name
+    std::string key;      ///< idempotency key, and the key of ordered classes
+    std::string volume;
+    Micros deadlineUs = 0;  ///< the client must have its final answer by then
     double units = 1;
-    int cell = -1;                                          // -1: a new object, any node
+    int cell = -1;  ///< the cell that holds the object; -1: a new object, any cell
     int volumeHosts = 1;
-    bool retry = false;
-    bool filling = false;                                   // its body is still coming
+    bool retry = false;           ///< the client tries again
+    bool bodyIncomplete = false;  ///< its body is still coming
 };
-// The body's last byte is here: the node may start, and the client's time runs.
-struct Filled { RequestId id = 0; Micros deadlineUs = 0; };
-struct AttemptEnded {
+
+/// How an attempt at a node ended.
+enum class Outcome {
+    Ok,
+    Error,          ///< an error status; it may have run
+    Rejected,       ///< the node had no capacity and did nothing
+    Timeout,        ///< nothing in time; it may run yet
+    ConnectFailed,  ///< no connection, or broken before the request was whole: it never ran
+    Reset,          ///< broken after the request was whole; it may have run
+    Cancelled,      ///< ended from this side
+    NotStarted,     ///< ordered for a request or node that was gone by then
+};
+inline constexpr std::size_t kOutcomeCount = 8;
+
+struct EndpointListReceived {
+    EndpointList list;
+};
+struct RequestReceived {
+    Request request;
+};
+/// The last byte of the body arrived: a node may start, and the client's time runs from now on.
+struct RequestBodyCompleted {
+    RequestId id = 0;
+    Micros deadlineUs = 0;
+};
+struct AttemptOutcome {
+    RequestId id = 0;
+    int attempt = 0;  ///< counts the attempts of its request, from 0
+    std::string node;
+    Outcome outcome = Outcome::Ok;
+    Micros elapsedUs = 0;  ///< since the attempt started
+    bool requestClosed = false;  ///< the request has its final answer
+    double loadPercent = 0;    ///< how busy the node says it is
+    double loadElsewhere = 0;  ///< units a second that other hosts send it, by its own word
+    std::vector<double> loadReport;
+    bool requestSpent = false;  ///< no further attempt is possible: the body is gone, or the request is over
+};
+/// The node's response began.
+struct ResponseStarted {
     RequestId id = 0;
     int attempt = 0;
+    std::string node;
+    Micros elapsedUs = 0;
+    bool nodeDone = false;   ///< the node has done its work, only bytes follow
+    bool forwarding = true;  ///< the bytes reach the client already: no other attempt is possible
+};
+/// The client is gone; it is owed nothing.
+struct RequestCancelled {
+    RequestId id = 0;
+};
+/// This process shuts down gracefully, without a successor, and serves until then.
+struct ShutdownStarted {
+    Micros servesUntilUs = 0;
+};
+/// The front needs so many of the connections that waiting requests hold.
+struct CapacityNeeded {
+    int connections = 0;
+};
+struct TimerFired {
+    std::uint64_t token = 0;
+};
+struct PeerMessageReceived {
+    int from = 0;  ///< a host index
+    std::string bytes;
+};
+struct HealthCheckCompleted {
     std::string node;
     Outcome outcome = Outcome::Ok;
-    Micros tookUs = 0;
-    bool closed = false;
-    double usePercent = 0, elsewhere = 0;
-    std::vector<double> report;
-    bool spent = false;                                     // no further attempt: its bytes are gone, or it is over
-};
-// Its answer began. worked: the node's time for it is over, only bytes follow; passing: they go to the client.
-struct StreamStarted { RequestId id = 0; int attempt = 0; std::string node; Micros tookUs = 0; bool worked = false,
-                       passing = true; };
-struct RequestGone { RequestId id = 0; };
-struct Leaving { Micros untilUs = 0; };                     // this process ends in order, and serves until then
-struct Crowded { int places = 0; };                         // so many of what waits here must leave its place
-struct TimerFired { std::uint64_t token = 0; };
-struct PeerMessage { int from = 0; std::string bytes; };
-struct ProbeAnswered { std::string node; Outcome outcome = Outcome::Ok; Micros tookUs = 0;
-                       std::vector<double> report; };
-using Event = std::variant<NodeList, Request, Filled, AttemptEnded, StreamStarted, RequestGone, Leaving, Crowded,
-                           TimerFired,
-                           PeerMessage, ProbeAnswered>;
-
-// Actions
-// timeout 0: the request's own. Past writtenByUs (a time; 0: none) its last byte may not be written any more.
-struct Send { RequestId id; std::string node; Micros timeoutUs; Micros writtenByUs = 0; };
-struct Refuse { RequestId id; Micros retryAfterUs; };
-struct Fail { RequestId id; };
-struct Cancel { RequestId id; int attempt; };
-struct ProbeNode { std::string node; };
-struct TellPeer { int to; std::string bytes; };                         // to -1: every peer
-struct SetTimer { Micros inUs; std::uint64_t token; };
-struct WatchList { bool on; };
-struct Note { std::string text; };
-using Action = std::variant<Send, Refuse, Fail, Cancel, ProbeNode, TellPeer, SetTimer, WatchList, Note>;
+    Micros elapsedUs = 0;
+    std::vector<double> loadReport;
+};
+using Event = std::variant<EndpointListReceived, RequestReceived, RequestBodyCompleted, AttemptOutcome, ResponseStarted,
+                           RequestCancelled, ShutdownStarted, CapacityNeeded, TimerFired, PeerMessageReceived,
+                           HealthCheckCompleted>;
 
+// ------------------------------------------------------------------------------------------------ actions
+
+/// Sends a request to a node.
+struct ForwardRequest {
+    RequestId id = 0;
+    std::string node;
+    Micros timeoutUs = 0;     ///< 0: the request's own deadline
+    Micros lastByteByUs = 0;  ///< a time after which its last byte must not be written; 0: none
+};
+/// The final answer: nothing ran, the client may try again.
+struct RejectRequest {
+    RequestId id = 0;
+    Micros retryAfterUs = 0;  ///< 0: no advice
+};
+/// The final answer: failed, and it may have run.
+struct FailRequest {
+    RequestId id = 0;
+};
+struct CancelAttempt {
+    RequestId id = 0;
+    int attempt = 0;
+};
+struct StartHealthCheck {
+    std::string node;
+};
+struct SendPeerMessage {
+    int to = 0;  ///< a host index; -1: every peer
+    std::string bytes;
+};
+struct SetTimer {
+    Micros delayUs = 0;
+    std::uint64_t token = 0;
+};
+/// Starts or ends asking discovery for the endpoint list.
+struct WatchEndpointList {
+    bool enabled = true;
+};
+struct LogLine {
+    std::string text;
+};
+using Action = std::variant<ForwardRequest, RejectRequest, FailRequest, CancelAttempt, StartHealthCheck, SendPeerMessage,
+                            SetTimer, WatchEndpointList, LogLine>;
+
+// ------------------------------------------------------------------------------------------------ policy
+
+/// The decisions of one host: which request goes to which node and when, what is retried, what is rejected.
 class Policy {
 public:
+    /// \param now the start of this process, which names its incarnation to the peers
     Policy(const Settings& settings, Micros now);
     ~Policy();
     Policy(Policy&&) noexcept;
     Policy& operator=(Policy&&) noexcept;
-    void on(Micros now, const Event& event);                // events in the order they came
-    std::vector<Action> finish(Micros now);                 // once, after the batch's last event
-    std::size_t kept() const;                               // entries in all its tables
-    std::size_t avoided() const;                            // listed nodes that it sends nothing or only trials
-    const fleet::Arrival& arrival() const;                  // what it may lend, and what made it clear
-    // What it knows, for a successor process of this host, which has all rights from then on. Here what is open
-    // is finished with what was kept for it.
-    std::string handOver(Micros now);
-    bool restore(const std::string& handedOver);            // before the first event; false: refused, nothing changed
+
+    /// Takes one event; events come in the order in which they happened.
+    void on(Micros now, const Event& event);
+    /// Ends the batch and returns its actions, in order.
+    std::vector<Action> finish(Micros now);
+
+    /// Number of entries in all tables.
+    std::size_t tableEntries() const;
+    /// Number of listed nodes that get no requests, or only occasional ones to see whether they recovered.
+    std::size_t avoidedNodes() const;
+    /// What this host may spend and lend of its limits after its start.
+    const fleet::RestartRecovery& recovery() const;
+
+    /// Serializes what this host knows for a successor process, which has all rights from then on. Requests that are
+    /// open here are finished with the tokens that were kept for them.
+    std::string takeSnapshot(Micros now);
+    /// Takes over a snapshot; to be called before the first event.
+    /// \return false: the snapshot belongs to other settings or is damaged; nothing has changed
+    bool restore(const std::string& snapshot);
+
 private:
     struct Impl;
     std::unique_ptr<Impl> impl_;
--- a/src/admin/admin_client.cpp
+++ b/src/admin/admin_client.cpp
@@ -11,7 +11,7 @@
 #include <boost/beast/http/string_body.hpp>
 #include <boost/beast/http/write.hpp>
 
-namespace wingproxy::operation {
+namespace wingproxy::admin {
 namespace {
 
 namespace asio = boost::asio;
@@ -22,8 +22,8 @@
 
 // One after the other, each started by the end of the one before.
 struct Caller {
-    Caller(asio::io_context& io, const Call& call, const config::Endpoint& front) : stream(io) {
-        const auto said = say(call);
+    Caller(asio::io_context& io, const AdminRequest& call, const config::Endpoint& front) : stream(io) {
+        const auto said = encodeAdminRequest(call);
         request = {http::string_to_verb(said.method), said.target, 11};
         request.set(http::field::host, fmt::format("{}:{}", front.host, front.port));
         request.body() = said.body;
@@ -56,21 +56,21 @@
 
 }  // namespace
 
-Overridden say(const Call& call) {
+HttpRequestParts encodeAdminRequest(const AdminRequest& call) {
     switch (call.kind) {
-        case Call::Kind::Ready:
+        case AdminRequest::Kind::Ready:
             return {"GET", "/_ready", ""};
-        case Call::Kind::Vars:
+        case AdminRequest::Kind::Vars:
             return {"GET", "/_vars", ""};
-        case Call::Kind::Detach:
+        case AdminRequest::Kind::Detach:
             return {"POST", "/_chunk-servers/detach", call.node};
-        case Call::Kind::Attach:
+        case AdminRequest::Kind::Attach:
             return {"POST", "/_chunk-servers/attach", call.node};
     }
     return {};
 }
 
-Asked ask(const config::Endpoint& front, const Call& call, std::chrono::milliseconds wait) {
+AdminResult sendAdminRequest(const config::Endpoint& front, const AdminRequest& call, std::chrono::milliseconds wait) {
     asio::io_context io;
     Caller caller(io, call, front);
     caller.start({asio::ip::make_address_v4(front.host), front.port});
@@ -84,7 +84,7 @@
         return {std::nullopt, why};
     }
     auto& answer = caller.parser.get();
-    return {Reply{int(answer.result_int()), std::move(answer.body()), ""}, ""};
+    return {AdminResponse{int(answer.result_int()), std::move(answer.body()), ""}, ""};
 }
 
 }  // namespace wingproxy::operation
--- a/src/admin/admin_client.h
+++ b/src/admin/admin_client.h
@@ -8,21 +8,21 @@
 #include "config/config.h"
 #include "admin/admin_request.h"
 
-namespace wingproxy::operation {
+namespace wingproxy::admin {
 
 // Every call is answered within a second, however busy the front; this is a little more.
 constexpr std::chrono::milliseconds kAskFor{1'500};
 
-struct Asked {
-    std::optional<Reply> reply;  // none: the front could not be reached, or did not answer in time
+struct AdminResult {
+    std::optional<AdminResponse> reply;  // none: the front could not be reached, or did not answer in time
     std::string why;             // in that case
 };
-Asked ask(const config::Endpoint& front, const Call& call, std::chrono::milliseconds wait = kAskFor);
+AdminResult sendAdminRequest(const config::Endpoint& front, const AdminRequest& call, std::chrono::milliseconds wait = kAskFor);
 
 // The request line and body of a call: the other direction of readCall.
-struct Overridden {
+struct HttpRequestParts {
     std::string method, target, body;
 };
-Overridden say(const Call& call);
+HttpRequestParts encodeAdminRequest(const AdminRequest& call);
 
 }  // namespace wingproxy::operation
--- a/src/admin/admin_request.cpp
+++ b/src/admin/admin_request.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-namespace wingproxy::operation {
+namespace wingproxy::admin {
 namespace {
 
 std::string_view trim(std::string_view text) {
@@ -17,31 +17,31 @@
 
 struct Path {
     std::string_view path, method;
-    Call::Kind kind;
+    AdminRequest::Kind kind;
 };
-constexpr Path kPaths[] = {{"/_ready", "GET", Call::Kind::Ready},
-                           {"/_vars", "GET", Call::Kind::Vars},
-                           {"/_chunk-servers/detach", "POST", Call::Kind::Detach},
-                           {"/_chunk-servers/attach", "POST", Call::Kind::Attach}};
+constexpr Path kPaths[] = {{"/_ready", "GET", AdminRequest::Kind::Ready},
+                           {"/_vars", "GET", AdminRequest::Kind::Vars},
+                           {"/_chunk-servers/detach", "POST", AdminRequest::Kind::Detach},
+                           {"/_chunk-servers/attach", "POST", AdminRequest::Kind::Attach}};
 
 }  // namespace
 
-std::variant<Call, Reply> readCall(std::string_view method, std::string_view target, std::string_view body) {
+std::variant<AdminRequest, AdminResponse> parseAdminRequest(std::string_view method, std::string_view target, std::string_view body) {
     const auto path = target.substr(0, target.find('?'));
     const auto known =
         std::find_if(std::begin(kPaths), std::end(kPaths), [&](const Path& p) { return p.path == path; });
-    if (known == std::end(kPaths)) return Reply{404, fmt::format("{}: no such call\n", path), ""};
+    if (known == std::end(kPaths)) return AdminResponse{404, fmt::format("{}: no such call\n", path), ""};
     if (known->method != method)
-        return Reply{405, fmt::format("{}: {} only\n", path, known->method),
+        return AdminResponse{405, fmt::format("{}: {} only\n", path, known->method),
                      fmt::format("Allow: {}\r\n", known->method)};
-    const bool ofNode = known->kind == Call::Kind::Detach || known->kind == Call::Kind::Attach;
+    const bool ofNode = known->kind == AdminRequest::Kind::Detach || known->kind == AdminRequest::Kind::Attach;
     const auto node = trim(body);
-    if (ofNode && node.empty()) return Reply{400, "the body names no chunk server\n", ""};
-    if (body.size() > kMostBody) return Reply{413, "the body is too long\n", ""};
-    return Call{known->kind, ofNode ? std::string(node) : std::string()};
+    if (ofNode && node.empty()) return AdminResponse{400, "the body names no chunk server\n", ""};
+    if (body.size() > kMostBody) return AdminResponse{413, "the body is too long\n", ""};
+    return AdminRequest{known->kind, ofNode ? std::string(node) : std::string()};
 }
 
-std::string vars(const Metrics& metrics) {
+std::string renderVars(const AdminMetrics& metrics) {
     nlohmann::json all;
     const std::pair<const char*, std::uint64_t core::Answers::*> kinds[] = {
         {"fulfilled", &core::Answers::delivered},
@@ -59,18 +59,18 @@
     return all.dump() + "\n";
 }
 
-Reply answer(const Call& call, const AdminHandler& handler) {
+AdminResponse handleAdminRequest(const AdminRequest& call, const AdminHandler& handler) {
     switch (call.kind) {
-        case Call::Kind::Ready:
-            return handler.ready() ? Reply{200, "ready\n", ""} : Reply{503, "not ready\n", ""};
-        case Call::Kind::Vars:
-            return {200, vars(handler.metrics()), "Content-Type: application/json\r\n"};
-        case Call::Kind::Detach:
-        case Call::Kind::Attach:
+        case AdminRequest::Kind::Ready:
+            return handler.ready() ? AdminResponse{200, "ready\n", ""} : AdminResponse{503, "not ready\n", ""};
+        case AdminRequest::Kind::Vars:
+            return {200, renderVars(handler.metrics()), "Content-Type: application/json\r\n"};
+        case AdminRequest::Kind::Detach:
+        case AdminRequest::Kind::Attach:
             break;
     }
-    const bool out = call.kind == Call::Kind::Detach;
-    if (!handler.outByHand(call.node, out))
+    const bool out = call.kind == AdminRequest::Kind::Detach;
+    if (!handler.setDrained(call.node, out))
         return {404, fmt::format("{}: no chunk server of this id was ever listed\n", call.node), ""};
     return {200, fmt::format("{}: {}\n", call.node, out ? "out until it is attached" : "back"), ""};
 }
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -7,14 +7,14 @@
 
 #include "net/http_step.h"
 
-namespace wingproxy::operation {
+namespace wingproxy::admin {
 namespace {
 
 namespace http = boost::beast::http;
 // A caller waits 1 s; one that has not said its call by then and much longer says none.
 constexpr std::chrono::seconds kWholeBy{8}, kTaken{2};
 
-std::string text(const Reply& reply) {
+std::string text(const AdminResponse& reply) {
     const auto reason = http::obsolete_reason(http::int_to_status(unsigned(reply.status)));
     return fmt::format("HTTP/1.1 {} {}\r\n{}Content-Length: {}\r\nConnection: close\r\n\r\n{}", reply.status,
                        std::string_view(reason.data(), reason.size()), reply.fields, reply.body.size(),
@@ -33,7 +33,7 @@
         parser_.body_limit(kMostBody);
     }
     bool idle() const override { return !answered_; }
-    void tend() override {
+    void sweep() override {
         const auto age = std::chrono::steady_clock::now() - since_;
         if (!open() || age < (answered_ ? kTaken : kWholeBy)) return;
         if (!answered_) ++server_.counters_.hung;
@@ -48,24 +48,24 @@
         if (error) {
             const bool head = error == http::error::header_limit, body = error == http::error::body_limit;
             ++server_.counters_.malformed;
-            return say({head ? 431 : body ? 413 : 400, fmt::format("{}\n", error.message()), ""});
+            return encodeAdminRequest({head ? 431 : body ? 413 : 400, fmt::format("{}\n", error.message()), ""});
         }
         if (!parser_.is_done()) return;
         const auto& m = parser_.get();
         const auto view = [](auto part) { return std::string_view(part.data(), part.size()); };
-        auto read = readCall(view(m.method_string()), view(m.target()), m.body());
-        if (const auto* wrong = std::get_if<Reply>(&read)) {
+        auto read = parseAdminRequest(view(m.method_string()), view(m.target()), m.body());
+        if (const auto* wrong = std::get_if<AdminResponse>(&read)) {
             ++server_.counters_.malformed;
-            return say(*wrong);
+            return encodeAdminRequest(*wrong);
         }
-        const auto reply = answer(std::get<Call>(read), server_.handler_);
+        const auto reply = handleAdminRequest(std::get<AdminRequest>(read), server_.handler_);
         ++(reply.status == 200 ? server_.counters_.yes : server_.counters_.no);
-        say(reply);
+        encodeAdminRequest(reply);
     }
     void sent() override { linger(); }
 
 private:
-    void say(const Reply& reply) {
+    void encodeAdminRequest(const AdminResponse& reply) {
         answered_ = true;
         since_ = std::chrono::steady_clock::now();
         send(text(reply));
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -7,7 +7,7 @@
 #include "net/session.h"
 #include "admin/admin_request.h"
 
-namespace wingproxy::operation {
+namespace wingproxy::admin {
 
 // So many connections at once, in descriptors of their own. Where more come, the oldest that asked nothing
 // yet makes room, so that callers that hang keep no other from being heard.
--- a/src/cli/command.h
+++ b/src/cli/command.h
@@ -10,26 +10,26 @@
 namespace wingproxy::cli {
 
 // Exit codes. A front that runs ends with kDone after SIGTERM.
-constexpr int kDone = 0, kNo = 1, kWrong = 2, kUnreachable = 3;
+constexpr int kExitOk = 0, kExitDenied = 1, kExitUsage = 2, kExitUnreachable = 3;
 
 // Where the files are. Empty: not told, neither by an option nor by the environment.
 struct Files {
-    std::string config, operators, mgmt, descriptor, logLevel;
+    std::string config, operators, adminListen, descriptor, logLevel;
 };
-struct Serve {  // no command: the front itself, as the platform starts it
+struct RunCommand {  // no command: the front itself, as the platform starts it
     Files files;
 };
-struct Check {  // both files, nothing is started
+struct CheckCommand {  // both files, nothing is started
     Files files;
 };
-struct Ask {  // a call to a running front
+struct AdminCommand {  // a call to a running front
     Files files;
-    operation::Call call;
+    admin::AdminRequest call;
 };
-struct End {  // --help, --version or a wrong line: it has been said
-    int code = kDone;
+struct ExitCommand {  // --help, --version or a wrong line: it has been said
+    int code = kExitOk;
 };
-using Command = std::variant<Serve, Check, Ask, End>;
+using Command = std::variant<RunCommand, CheckCommand, AdminCommand, ExitCommand>;
 
 Command parse(int argc, const char* const* argv);
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -12,29 +12,29 @@
 ClassInfo classFrom(const Node& at) {
     ClassInfo c;
     c.name = at.text("name");
-    at.number("aimUs", c.aimUs);
+    at.number("aimUs", c.latencyObjectiveUs);
     at.number("deadlineUs", c.deadlineUs);
-    at.number("windowUs", c.windowUs);
-    at.number("value", c.value);
-    at.number("lateWorth", c.lateWorth);
+    at.number("windowUs", c.keyWindowUs);
+    at.number("value", c.priorityWeight);
+    at.number("lateWorth", c.lateWeight);
     at.flag("stream", c.stream);
     at.flag("fifoByKey", c.fifoByKey);
-    c.effect = choice(at, "effect", Effect::Idempotent,
-                      {{"idempotent", Effect::Idempotent},
-                       {"deduplicated", Effect::Deduplicated},
-                       {"at_most_once", Effect::AtMostOnce}});
-    c.scope = choice(at, "keyScope", Scope::All,
-                     {{"all", Scope::All}, {"zone", Scope::Zone}, {"cell", Scope::Cell}});
+    c.retrySafety = choice(at, "effect", RetrySafety::Idempotent,
+                      {{"idempotent", RetrySafety::Idempotent},
+                       {"deduplicated", RetrySafety::IdempotentWithKey},
+                       {"at_most_once", RetrySafety::NotIdempotent}});
+    c.keyScope = choice(at, "keyScope", KeyScope::Global,
+                     {{"all", KeyScope::Global}, {"zone", KeyScope::Zone}, {"cell", KeyScope::Cell}});
     return c;
 }
 
 PlanInfo planFrom(const Node& at) {
     PlanInfo p;
     p.name = at.text("name");
-    at.number("baseRate", p.rate);
-    at.number("guaranteed", p.reserve);
-    at.number("shares", p.weight);
-    at.number("valueFactor", p.factor);
+    at.number("baseRate", p.baseRate);
+    at.number("guaranteed", p.guaranteedRate);
+    at.number("shares", p.shares);
+    at.number("valueFactor", p.priorityFactor);
     at.number("limit", p.limit);
     at.number("limitBurst", p.limitBurst);
     at.number("limitSlack", p.limitSlack);
@@ -43,8 +43,8 @@
 
 Settings settingsFrom(const Node& at) {
     Settings s;
-    at.number("me", s.host);
-    at.number("replicasOfMe", s.hosts);
+    at.number("me", s.hostIndex);
+    at.number("replicasOfMe", s.hostCount);
     at.text("zone", s.zone);
     for (const auto& c : at.objects("classes")) s.classes.push_back(classFrom(c));
     for (const auto& p : at.objects("serviceLevels")) s.plans.push_back(planFrom(p));
@@ -55,58 +55,58 @@
         if (report.has("columns")) s.reportColumns = report.texts("columns");
         std::string how;
         report.text("how", how);
-        s.reportsOnlyByProbe = how == "probe";
+        s.loadReportsOnlyByHealthCheck = how == "probe";
     }
     std::string mode;
     at.text("registryMode", mode);
-    s.listOnRequest = mode == "on_request";
+    s.pollsEndpointList = mode == "on_request";
     at.number("roundUs", s.roundUs);
 
     const auto allowed = at.child("allowed");
     allowed.number("tryLimit", s.maxAttempts);
-    allowed.flag("mayProbe", s.mayProbe);
-    allowed.flag("peers", s.mayTellPeers);
+    allowed.flag("mayProbe", s.mayCheckHealth);
+    allowed.flag("peers", s.mayGossip);
     allowed.flag("cancel", s.mayCancel);
-    allowed.flag("secondCopies", s.secondCopies);
-    allowed.flag("retryAfter", s.retryAdvice);
+    allowed.flag("secondCopies", s.hedging);
+    allowed.flag("retryAfter", s.sendsRetryAfter);
     allowed.number("maxRetryAfterUs", s.maxRetryAfterUs);
 
     const auto rules = at.child("obligations");
-    rules.number("answerSlackUs", s.answerSlackUs);
+    rules.number("answerSlackUs", s.responseSlackUs);
     rules.number("drainGraceUs", s.drainGraceUs);
-    rules.number("askEveryUs", s.askEveryUs);
-    rules.number("keyRestUs", s.keyRestUs);
-    rules.number("resendRatio", s.retryShare);
-    rules.number("extraFree", s.retryFree);
-    rules.number("resendSpanUs", s.retrySpanUs);
-    rules.number("startCapacity", s.coldStart);
-    rules.number("fallMultiple", s.coldMultiple);
-    rules.number("fallUs", s.coldSpanUs);
-    rules.number("warmAfterUs", s.warmAfterUs);
+    rules.number("askEveryUs", s.pollIntervalUs);
+    rules.number("keyRestUs", s.keyCooldownUs);
+    rules.number("resendRatio", s.retryRatio);
+    rules.number("extraFree", s.retryAllowance);
+    rules.number("resendSpanUs", s.retryWindowUs);
+    rules.number("startCapacity", s.slowStartCapacity);
+    rules.number("fallMultiple", s.slowStartOverloadFactor);
+    rules.number("fallUs", s.slowStartWindowUs);
+    rules.number("warmAfterUs", s.slowStartDurationUs);
 
     const auto extra = at.child("extra");
-    extra.number("coldBears", s.coldUnits);
+    extra.number("coldBears", s.slowStartUnits);
     extra.number("meanUnits", s.meanUnits);
     extra.number("maxUnits", s.maxUnits);
-    extra.number("withinShare", s.shareWorth);
-    extra.number("spareWorth", s.spareWorth);
-    extra.number("meterUs", s.meterUs);
-    extra.number("shards", s.cells);
+    extra.number("withinShare", s.shareWeight);
+    extra.number("spareWorth", s.spareWeight);
+    extra.number("meterUs", s.meteringWindowUs);
+    extra.number("shards", s.cellCount);
     if (extra.has("changesData")) {
         const auto writes = extra.list("changesData");
         for (std::size_t i = 0; i < writes.size() && i < s.classes.size(); ++i)
             if (writes[i].get(s.classes[i].writes)) extra.bad("changesData", "not a list of true or false");
     }
-    if (s.host < 0 || s.host >= s.hosts) at.bad("me", "not below replicasOfMe");
-    if (s.cells < 0 || s.cells > 100'000) extra.bad("shards", "out of range");
+    if (s.hostIndex < 0 || s.hostIndex >= s.hostCount) at.bad("me", "not below replicasOfMe");
+    if (s.cellCount < 0 || s.cellCount > 100'000) extra.bad("shards", "out of range");
     return s;
 }
 
-HostList hostsFrom(const Node& at) {
-    HostList hosts;
+EndpointListing hostsFrom(const Node& at) {
+    EndpointListing hosts;
     bool full = false;
     at.flag("reset", full);
-    hosts.list.kind = full ? ListKind::Full : ListKind::Delta;
+    hosts.list.kind = full ? EndpointListKind::Full : EndpointListKind::Delta;
     hosts.list.version = static_cast<std::int64_t>(at.real("generation"));
     for (const auto& n : at.objects("instances")) {
         NodeInfo node;
@@ -118,11 +118,11 @@
         n.number("weight", node.rating);
         node.state = choice(
             n, "lifecycle", NodeState::Ready,
-            {{"up", NodeState::Ready}, {"draining", NodeState::Draining}, {"removed", NodeState::Gone}});
+            {{"up", NodeState::Ready}, {"draining", NodeState::Draining}, {"removed", NodeState::Removed}});
         Micros startedMs = 0;
         n.number("startedAtMs", startedMs);
         node.startedUs = startedMs * 1000;
-        const bool gone = node.state == NodeState::Gone && !n.has("hostPort");
+        const bool gone = node.state == NodeState::Removed && !n.has("hostPort");
         hosts.addresses.push_back(gone ? Endpoint{}
                                        : parseEndpoint(n.text("hostPort"), n.pathOf("hostPort")));
         hosts.list.nodes.push_back(std::move(node));
@@ -134,7 +134,7 @@
 
 Endpoint parseEndpoint(std::string_view text, std::string_view field) {
     const auto bad = [&] {
-        return Bad(fmt::format("{}: '{}' is not an IPv4 address and a port", field, text));
+        return ConfigError(fmt::format("{}: '{}' is not an IPv4 address and a port", field, text));
     };
     const auto colon = text.rfind(':');
     if (colon == std::string_view::npos) throw bad();
@@ -155,7 +155,7 @@
     return e;
 }
 
-HostList parseHostList(std::string_view json) {
+EndpointListing parseEndpointListing(std::string_view json) {
     simdjson::dom::parser parser;
     return hostsFrom(rootOf(parser, json, "list"));
 }
@@ -177,32 +177,32 @@
         for (const auto& peer : root.texts("peers")) c.peers.push_back(parseEndpoint(peer, "peers"));
     if (root.has("peer_listen")) c.peerListen = endpoint("peer_listen");
     if (root.has("peers_all")) c.peersAll = endpoint("peers_all");
-    if (root.has("mgmt")) c.mgmt = endpoint("mgmt");
+    if (root.has("mgmt")) c.adminListen = endpoint("mgmt");
     if (root.has("limits")) {
         const auto limits = root.child("limits");
-        limits.number("sockets", c.sockets);
-        if (c.sockets < 32) limits.bad("sockets", "below 32");
+        limits.number("sockets", c.maxDescriptors);
+        if (c.maxDescriptors < 32) limits.bad("sockets", "below 32");
         limits.number("memory_mb", c.memoryMb);
         if (c.memoryMb < 16) limits.bad("memory_mb", "below 16");
     }
-    if (root.has("known")) c.known = hostsFrom(root.child("known"));
-    c.known.list.kind = ListKind::Saved;
+    if (root.has("known")) c.cachedEndpoints = hostsFrom(root.child("known"));
+    c.cachedEndpoints.list.kind = EndpointListKind::Cached;
     const auto allowed = root.child("settings").child("allowed");
     allowed.number("connectTimeoutUs", c.connectTimeoutUs);
     allowed.number("connIdleUs", c.connIdleUs);
     return c;
 }
 
-void fromEnvironment(Config& c, const char* mgmt, const char* fd) {
-    if (mgmt && c.mgmt.port == 0) c.mgmt = parseEndpoint(mgmt, "PROXY_MGMT");
+void applyEnvironment(Config& c, const char* mgmt, const char* fd) {
+    if (mgmt && c.adminListen.port == 0) c.adminListen = parseEndpoint(mgmt, "PROXY_MGMT");
     if (!fd) return;
     const std::string_view text(fd);
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), c.inherited);
-    if (error != std::errc() || end != text.data() + text.size() || c.inherited < 3)
-        throw Bad(fmt::format("PROXY_FD: '{}' is not a descriptor above 2", text));
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), c.inheritedListenerFd);
+    if (error != std::errc() || end != text.data() + text.size() || c.inheritedListenerFd < 3)
+        throw ConfigError(fmt::format("PROXY_FD: '{}' is not a descriptor above 2", text));
 }
 
-std::string needRestart(const Config& running, const Config& fresh) {
+std::string fieldsNeedingRestart(const Config& running, const Config& fresh) {
     std::string fields;
     const auto note = [&](bool same, std::string_view field) {
         if (!same) fields += fmt::format("{}{}", fields.empty() ? "" : ", ", field);
@@ -212,7 +212,7 @@
     note(running.name == fresh.name, "name");
     note(running.listen == fresh.listen, "listen");
     note(running.peerListen == fresh.peerListen, "peer_listen");
-    note(running.mgmt == fresh.mgmt, "mgmt");
+    note(running.adminListen == fresh.adminListen, "mgmt");
     note(running.memoryMb == fresh.memoryMb, "limits.memory_mb");
     note(running.settings == settings && running.connectTimeoutUs == fresh.connectTimeoutUs &&
              running.connIdleUs == fresh.connIdleUs,
@@ -223,7 +223,7 @@
 std::string readFile(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
     std::ostringstream text;
-    if (!in || !(text << in.rdbuf())) throw Bad(fmt::format("{}: cannot be read", path));
+    if (!in || !(text << in.rdbuf())) throw ConfigError(fmt::format("{}: cannot be read", path));
     return text.str();
 }
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -13,7 +13,7 @@
 namespace wingproxy::config {
 
 // What is wrong, in one line that names the field.
-struct Bad : std::runtime_error {
+struct ConfigError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -25,27 +25,27 @@
 Endpoint parseEndpoint(std::string_view text, std::string_view field);  // an IPv4 address and a port
 
 // One list as discovery gives it: for the module, and where each node listens.
-struct HostList {
-    NodeList list;
+struct EndpointListing {
+    EndpointList list;
     std::vector<Endpoint> addresses;  // beside list.nodes
 };
-HostList parseHostList(std::string_view json);
+EndpointListing parseEndpointListing(std::string_view json);
 
 struct Config {
     std::string name;
     Endpoint listen, discovery;
     Settings settings;
-    HostList known;                 // kind Saved
+    EndpointListing cachedEndpoints;                 // kind Cached
     std::vector<Endpoint> peers;    // by host number, this one included
     Endpoint peerListen, peersAll;  // port 0: none
-    Endpoint mgmt;                  // where operators call; port 0: nowhere
-    int inherited = -1;             // the descriptor that listens for clients already; -1: none
-    int sockets = 1024, memoryMb = 192;
+    Endpoint adminListen;                  // where operators call; port 0: nowhere
+    int inheritedListenerFd = -1;             // the descriptor that listens for clients already; -1: none
+    int maxDescriptors = 1024, memoryMb = 192;
     Micros connectTimeoutUs = 250'000, connIdleUs = 30'000'000;
 };
 Config parseConfig(std::string_view json);
 // What the environment says besides: PROXY_MGMT and PROXY_FD; null where it is not set.
-void fromEnvironment(Config& c, const char* mgmt, const char* fd);
+void applyEnvironment(Config& c, const char* mgmt, const char* fd);
 // The place of the class or plan with this name; -1: none.
 template <typename List>
 int indexOf(const List& list, std::string_view name) {
@@ -54,7 +54,7 @@
     return it == list.end() ? -1 : int(it - list.begin());
 }
 // The fields in which two configurations differ and that a running program does not take over.
-std::string needRestart(const Config& running, const Config& fresh);
+std::string fieldsNeedingRestart(const Config& running, const Config& fresh);
 std::string readFile(const std::string& path);
 
 }  // namespace wingproxy::config
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -83,7 +83,7 @@
         return out;
     }
     [[noreturn]] void bad(std::string_view key, std::string_view why) const {
-        throw Bad(fmt::format("{}{}: {}", path_, key, why));
+        throw ConfigError(fmt::format("{}{}: {}", path_, key, why));
     }
     std::string pathOf(std::string_view key) const { return path_ + std::string(key); }
 
@@ -95,7 +95,7 @@
 inline Node rootOf(simdjson::dom::parser& parser, std::string_view json, std::string_view what) {
     object root;
     if (const auto error = parser.parse(json.data(), json.size()).get(root))
-        throw Bad(fmt::format("{}: {}", what, simdjson::error_message(error)));
+        throw ConfigError(fmt::format("{}: {}", what, simdjson::error_message(error)));
     return Node(root, "");
 }
 
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 // The class a direction runs as: it must allow what a transfer of that direction may need.
-int classFrom(const Node& at, std::string_view key, const Settings& settings, Effect needed,
+int classFrom(const Node& at, std::string_view key, const Settings& settings, RetrySafety needed,
               std::string_view kind) {
     if (!at.has(key)) return -1;
     const auto name = at.text(key);
     const int index = indexOf(settings.classes, name);
     if (index < 0) at.bad(key, fmt::format("unknown class '{}'", name));
-    if (settings.classes[std::size_t(index)].effect != needed)
+    if (settings.classes[std::size_t(index)].retrySafety != needed)
         at.bad(key, fmt::format("'{}' is not a {} class", name, kind));
     return index;
 }
@@ -33,7 +33,7 @@
     m.plan = indexOf(settings.plans, plan);
     if (m.plan < 0) at.bad("plan", fmt::format("unknown plan '{}'", plan));
     m.cell = int(at.real("cell"));
-    if (m.cell < 0 || (settings.cells > 0 && m.cell >= settings.cells)) at.bad("cell", "no such cell");
+    if (m.cell < 0 || (settings.cellCount > 0 && m.cell >= settings.cellCount)) at.bad("cell", "no such cell");
     at.number("hosts", m.hosts);
     if (m.hosts < 1) at.bad("hosts", "below 1");
     at.number("units", m.units);
@@ -42,18 +42,18 @@
     at.number("deadline_ms", deadlineMs);
     if (deadlineMs <= 0) at.bad("deadline_ms", "not above 0");
     m.deadlineUs = deadlineMs * 1000;
-    m.pullClass = classFrom(at, "pull_class", settings, Effect::Idempotent, "repeatable");
-    m.pushClass = classFrom(at, "push_class", settings, Effect::Deduplicated, "keyed");
+    m.pullClass = classFrom(at, "pull_class", settings, RetrySafety::Idempotent, "repeatable");
+    m.pushClass = classFrom(at, "push_class", settings, RetrySafety::IdempotentWithKey, "keyed");
     if (m.pullClass < 0 && m.pushClass < 0) at.bad("pull_class", "missing, and so is push_class");
     return m;
 }
 
 }  // namespace
 
-Operator parseOperator(std::string_view json, const Settings& settings) {
+OperatorConfig parseOperatorConfig(std::string_view json, const Settings& settings) {
     simdjson::dom::parser parser;
     const Node root = rootOf(parser, json, "operator file");
-    Operator o;
+    OperatorConfig o;
     const auto endpoint = [](const Node& at) {
         return parseEndpoint(at.text("listen"), at.pathOf("listen"));
     };
--- a/src/config/operator.h
+++ b/src/config/operator.h
@@ -20,10 +20,10 @@
     std::string motd;
     std::vector<RsyncModule> modules;
 };
-struct Operator {
+struct OperatorConfig {
     std::optional<RsyncFront> rsync;
     std::optional<Endpoint> health, agent;
 };
-Operator parseOperator(std::string_view json, const Settings& settings);
+OperatorConfig parseOperatorConfig(std::string_view json, const Settings& settings);
 
 }  // namespace wingproxy::config
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -33,38 +33,38 @@
 
 // ---------------------------------------------------------------- inputs
 
-void State::take(const Arrived& in) {
+void State::take(const RequestReceived& in) {
     const auto [it, fresh] = requests_.try_emplace(in.request.id);
     if (!fresh) return;
     it->second.deadlineUs = in.request.deadlineUs;
     it->second.cell = in.request.cell;
     it->second.classIndex = in.request.classIndex;
-    it->second.filling = it->second.longBody = in.request.filling;
+    it->second.bodyIncomplete = it->second.longBody = in.request.bodyIncomplete;
     alarms_.insert({in.request.deadlineUs, Due::Overdue, in.request.id, 0});
     ++counters_.taken;
     ++open_;
-    tell(in.request);
+    tell(in);
 }
 
-void State::take(const Filled& in) {
+void State::take(const RequestBodyCompleted& in) {
     const auto it = requests_.find(in.id);
-    if (it == requests_.end() || !it->second.filling) return;
+    if (it == requests_.end() || !it->second.bodyIncomplete) return;
     Live& live = it->second;
-    live.filling = false;
+    live.bodyIncomplete = false;
     quiet({live.deadlineUs, Due::Overdue, in.id, 0});
     live.deadlineUs = in.deadlineUs;
     if (live.done) return;
     alarms_.insert({in.deadlineUs, Due::Overdue, in.id, 0});
     for (auto& [number, attempt] : live.out) {
-        quiet({attempt.giveUpAt, Due::AttemptTimeout, in.id, number});
-        attempt.giveUpAt = in.deadlineUs;
+        quiet({attempt.timeoutAt, Due::AttemptTimeout, in.id, number});
+        attempt.timeoutAt = in.deadlineUs;
         attempt.startedAt = now_;
-        if (!live.freely) alarms_.insert({in.deadlineUs, Due::AttemptTimeout, in.id, number});
+        if (!live.unbounded) alarms_.insert({in.deadlineUs, Due::AttemptTimeout, in.id, number});
     }
-    tell(wingproxy::Filled{in.id, in.deadlineUs});
+    tell(RequestBodyCompleted{in.id, in.deadlineUs});
 }
 
-void State::take(Ended in) {
+void State::take(AttemptFinished in) {
     const auto it = requests_.find(in.id);
     if (it == requests_.end() || !it->second.out.contains(in.attempt)) {
         ++counters_.late;  // stopped or timed out before: already told
@@ -74,7 +74,7 @@
     endAttempt(it, attempt, std::move(in));
 }
 
-void State::take(const Written& in) {
+void State::take(const AttemptRequestSent& in) {
     ++counters_.written;
     const auto it = requests_.find(in.id);
     if (it == requests_.end()) return;
@@ -84,27 +84,27 @@
     quiet({attempt->second.lastByteBy, Due::LastByte, in.id, in.attempt});
 }
 
-void State::take(const Answering& in) {
+void State::take(const ResponseHeadReceived& in) {
     const auto it = requests_.find(in.id);
     if (it == requests_.end() || it->second.done) return;
     const auto attempt = it->second.out.find(in.attempt);
     if (attempt == it->second.out.end()) return;
-    tell(StreamStarted{in.id, in.attempt, attempt->second.node, now_ - attempt->second.startedAt, true,
+    tell(ResponseStarted{in.id, in.attempt, attempt->second.node, now_ - attempt->second.startedAt, true,
                        false});
 }
 
-void State::take(const Streaming& in) {
+void State::take(const ResponseForwardingStarted& in) {
     const auto it = requests_.find(in.id);
     if (it == requests_.end() || it->second.done) return;
     const auto attempt = it->second.out.find(in.attempt);
     if (attempt == it->second.out.end()) return;
     it->second.streaming = true;
-    if (in.freely) {
-        it->second.freely = true;
+    if (in.unbounded) {
+        it->second.unbounded = true;
         quiet({it->second.deadlineUs, Due::Overdue, in.id, 0});
-        quiet({attempt->second.giveUpAt, Due::AttemptTimeout, in.id, in.attempt});
+        quiet({attempt->second.timeoutAt, Due::AttemptTimeout, in.id, in.attempt});
     }
-    tell(StreamStarted{in.id, in.attempt, attempt->second.node, now_ - attempt->second.startedAt, in.freely,
+    tell(ResponseStarted{in.id, in.attempt, attempt->second.node, now_ - attempt->second.startedAt, in.unbounded,
                        true});
 }
 
@@ -113,10 +113,10 @@
     if (it == requests_.end() || it->second.done) return;
     ++counters_.disconnected;
     finish(it->second);
-    tell(RequestGone{in.id});
+    tell(RequestCancelled{in.id});
     // What comes from a client or goes to it byte by byte ends with it, and so does what is not whole at its
     // node: nobody waits for that work. Anything else may still tell something.
-    const bool bytes = it->second.freely || it->second.filling;
+    const bool bytes = it->second.unbounded || it->second.bodyIncomplete;
     std::vector<int> ends;
     for (const auto& [number, attempt] : it->second.out) {
         if (bytes || !attempt.written) ends.push_back(number);
@@ -126,13 +126,13 @@
     for (const int attempt : ends) stop(it, attempt, Outcome::Cancelled);  // the last forgets the request
 }
 
-void State::take(const Leaving& in) { tell(wingproxy::Leaving{in.untilUs}); }
-void State::take(const Crowded& in) { tell(wingproxy::Crowded{in.places}); }
+void State::take(const ShutdownStarted& in) { tell(ShutdownStarted{in.servesUntilUs}); }
+void State::take(const CapacityNeeded& in) { tell(CapacityNeeded{in.connections}); }
 
 NodeInfo State::asTold(NodeInfo listed) const {
     const auto entry = overrides_.find(listed.id);
     if (entry == overrides_.end()) return listed;
-    if (!entry->second.out) listed.startedUs = std::max(listed.startedUs, entry->second.at);
+    if (!entry->second.drained) listed.startedUs = std::max(listed.startedUs, entry->second.at);
     else if (listed.state == NodeState::Ready) listed.state = NodeState::Draining;
     return listed;
 }
@@ -142,49 +142,49 @@
     else drains_.erase(told.id);
 }
 
-void State::take(News in) {
-    if (in.list.kind == ListKind::Full || in.list.kind == ListKind::Saved) listed_.clear();
+void State::take(EndpointListReceived in) {
+    if (in.list.kind == EndpointListKind::Full || in.list.kind == EndpointListKind::Cached) listed_.clear();
     for (auto& node : in.list.nodes) {
-        if (node.state == NodeState::Gone) listed_.erase(node.id);
+        if (node.state == NodeState::Removed) listed_.erase(node.id);
         else listed_[node.id] = node;
-        if (node.state != NodeState::Gone && seen_.insert(node.id).second) seenOrder_.push_back(node.id);
+        if (node.state != NodeState::Removed && seen_.insert(node.id).second) seenOrder_.push_back(node.id);
         node = asTold(std::move(node));
         noteDrain(node);
     }
     for (; seenOrder_.size() > kMostSeen; seenOrder_.pop_front()) seen_.erase(seenOrder_.front());
     std::erase_if(drains_, [&](const auto& node) { return !listed_.contains(node.first); });
     std::erase_if(overrides_, [&](const auto& entry) {
-        return !entry.second.out && now_ - entry.second.at > settings_.warmAfterUs + kOverrideKept;
+        return !entry.second.drained && now_ - entry.second.at > settings_.slowStartDurationUs + kOverrideKept;
     });
-    tell(in.list);
+    tell(in);
 }
 
 // To the module a node that is out by hand drains, and one that was called back has just come up: it was
 // restarted meanwhile, and the list may tell that later. Of two overrides the newer one counts.
-void State::take(const Overridden& in) {
+void State::take(const AdminOverrideChanged& in) {
     const auto it = overrides_.find(in.node);
     const AdminOverride before = it == overrides_.end() ? AdminOverride{false, 0} : it->second;
-    if (before.out == in.order.out || in.order.at <= before.at) return;
+    if (before.drained == in.order.drained || in.order.at <= before.at) return;
     overrides_.insert_or_assign(in.node, in.order);
     const auto node = listed_.find(in.node);
     if (node == listed_.end()) return;  // laid over the list that names it again
     const auto told = asTold(node->second);
     noteDrain(told);
-    tell(NodeList{ListKind::Delta, 0, {told}});
+    tell(EndpointListReceived{{EndpointListKind::Delta, 0, {told}}});
 }
 
-std::size_t State::outByHand() const {
+std::size_t State::adminDrainedNodes() const {
     return std::size_t(std::count_if(overrides_.begin(), overrides_.end(),
-                                     [](const auto& entry) { return entry.second.out; }));
+                                     [](const auto& entry) { return entry.second.drained; }));
 }
 
-void State::take(Heard in) { tell(PeerMessage{in.from, std::move(in.bytes)}); }
+void State::take(PeerMessageReceived in) { tell(PeerMessageReceived{in.from, std::move(in.bytes)}); }
 
-void State::take(Probed in) {
-    tell(ProbeAnswered{std::move(in.node), in.outcome, in.tookUs, std::move(in.report)});
+void State::take(HealthCheckCompleted in) {
+    tell(HealthCheckCompleted{std::move(in.node), in.outcome, in.elapsedUs, std::move(in.loadReport)});
 }
 
-void State::take(const Wake&) {
+void State::take(const TimerExpired&) {
     while (!alarms_.empty() && alarms_.begin()->at <= now_) {
         const Alarm alarm = *alarms_.begin();
         alarms_.erase(alarms_.begin());
@@ -203,24 +203,24 @@
         } else if (!it->second.done && it->second.out.empty()) {
             // The module answers well before; this holds the rule should it ever not.
             ++counters_.overdue;
-            answer(alarm.what, &Answers::failed, FailClient{alarm.what});
-            tell(RequestGone{alarm.what});
+            answer(alarm.what, &Answers::failed, SendFailure{alarm.what});
+            tell(RequestCancelled{alarm.what});
         }
     }
 }
 
-void State::take(const CloseBatch&) {
+void State::take(const BatchEnded&) {
     while (touched_) {
         touched_ = false;
         ++counters_.batches;
         for (const auto& action : policy_.finish(now_)) std::visit([this](const auto& a) { act(a); }, action);
         for (auto& ended : std::exchange(moot_, {})) {
             const auto it = requests_.find(ended.id);
-            ++counters_.outcomes[static_cast<std::size_t>(Outcome::Moot)];
-            tell(AttemptEnded{ended.id,
+            ++counters_.outcomes[static_cast<std::size_t>(Outcome::NotStarted)];
+            tell(AttemptOutcome{ended.id,
                               ended.attempt,
                               {},
-                              Outcome::Moot,
+                              Outcome::NotStarted,
                               0,
                               it == requests_.end() || it->second.done,
                               0,
@@ -237,26 +237,26 @@
 
 // An attempt's end: the first success is the answer, a broken stream is the end too; all else is the
 // module's.
-void State::endAttempt(Requests::iterator it, int attempt, Ended how) {
+void State::endAttempt(Requests::iterator it, int attempt, AttemptFinished how) {
     Live& live = it->second;
     const Attempt was = std::move(live.out.at(attempt));
     live.out.erase(attempt);
-    const bool neverRan = how.outcome == Outcome::ConnectFailed || how.outcome == Outcome::Full;
-    how.spent = how.spent || (live.longBody && !neverRan);
-    quiet({was.giveUpAt, Due::AttemptTimeout, how.id, attempt});
+    const bool neverRan = how.outcome == Outcome::ConnectFailed || how.outcome == Outcome::Rejected;
+    how.requestSpent = how.requestSpent || (live.longBody && !neverRan);
+    quiet({was.timeoutAt, Due::AttemptTimeout, how.id, attempt});
     quiet({was.lastByteBy, Due::LastByte, how.id, attempt});
     ++counters_.outcomes[static_cast<std::size_t>(how.outcome)];
     if (!live.done && how.outcome == Outcome::Ok) {
         ++count(live, &Answers::delivered);
         finish(live);
-        effects_.push_back(Deliver{how.id, attempt});
+        effects_.push_back(DeliverResponse{how.id, attempt});
     } else if (!live.done && live.streaming) {
         ++count(live, &Answers::failed);
         finish(live);
-        effects_.push_back(FailClient{how.id});
+        effects_.push_back(SendFailure{how.id});
     }
-    tell(AttemptEnded{how.id, attempt, was.node, how.outcome, now_ - was.startedAt, live.done, how.usePercent,
-                      how.elsewhere, std::move(how.report), how.spent});
+    tell(AttemptOutcome{how.id, attempt, was.node, how.outcome, now_ - was.startedAt, live.done, how.loadPercent,
+                      how.loadElsewhere, std::move(how.loadReport), how.requestSpent});
     forget(it);
 }
 
@@ -284,30 +284,30 @@
     return live.attempts <= settings_.maxAttempts && (live.cell < 0 || live.cell == at->second.cell);
 }
 
-void State::act(const Send& a) {
+void State::act(const ForwardRequest& a) {
     const auto it = requests_.find(a.id);
     const int attempt = it == requests_.end() ? 0 : it->second.attempts++;
     if (it == requests_.end() || !sendable(it->second, a.node)) {
-        moot_.push_back({a.id, attempt, Outcome::Moot, 0, 0, {}});
+        moot_.push_back({a.id, attempt, Outcome::NotStarted, 0, 0, {}});
         return;
     }
     Live& live = it->second;
     ++counters_.attempts;
-    Micros giveUpAt = live.deadlineUs;
-    if (live.filling) giveUpAt = now_ + kLongestBody;
-    if (a.timeoutUs != 0) giveUpAt = std::min(giveUpAt, now_ + std::max<Micros>(0, a.timeoutUs));
+    Micros timeoutAt = live.deadlineUs;
+    if (live.bodyIncomplete) timeoutAt = now_ + kLongestBody;
+    if (a.timeoutUs != 0) timeoutAt = std::min(timeoutAt, now_ + std::max<Micros>(0, a.timeoutUs));
     Micros firstByte = limits_.connectUs;
     if (settings_.drainGraceUs > 0)
         firstByte = std::min(firstByte, Micros(kGracePart * double(settings_.drainGraceUs)));
     if (const auto drain = drains_.find(a.node); drain != drains_.end())
         firstByte =
             std::min(firstByte, drain->second + Micros(kDrainPart * double(settings_.drainGraceUs)) - now_);
-    const Micros lastByteBy = a.writtenByUs > 0 ? a.writtenByUs : StartAttempt::kNever;
+    const Micros lastByteBy = a.lastByteByUs > 0 ? a.lastByteByUs : StartAttempt::kNever;
     firstByte = std::min(firstByte, lastByteBy - now_);
-    effects_.push_back(StartAttempt{a.id, attempt, a.node, now_ + firstByte, giveUpAt, lastByteBy});
-    alarms_.insert({giveUpAt, Due::AttemptTimeout, a.id, attempt});
-    if (a.writtenByUs > 0) alarms_.insert({lastByteBy, Due::LastByte, a.id, attempt});
-    live.out.emplace(attempt, Attempt{a.node, now_, giveUpAt, lastByteBy});
+    effects_.push_back(StartAttempt{a.id, attempt, a.node, now_ + firstByte, timeoutAt, lastByteBy});
+    alarms_.insert({timeoutAt, Due::AttemptTimeout, a.id, attempt});
+    if (a.lastByteByUs > 0) alarms_.insert({lastByteBy, Due::LastByte, a.id, attempt});
+    live.out.emplace(attempt, Attempt{a.node, now_, timeoutAt, lastByteBy});
 }
 
 std::uint64_t& State::count(const Live& live, std::uint64_t Answers::*kind) {
@@ -325,39 +325,39 @@
     forget(it);
 }
 
-void State::act(const Refuse& a) { answer(a.id, &Answers::refused, RefuseClient{a.id, a.retryAfterUs}); }
-void State::act(const Fail& a) { answer(a.id, &Answers::failed, FailClient{a.id}); }
+void State::act(const RejectRequest& a) { answer(a.id, &Answers::refused, SendRejection{a.id, a.retryAfterUs}); }
+void State::act(const FailRequest& a) { answer(a.id, &Answers::failed, SendFailure{a.id}); }
 
-void State::act(const Cancel& a) {
+void State::act(const CancelAttempt& a) {
     const auto it = requests_.find(a.id);
     if (it == requests_.end() || !it->second.out.contains(a.attempt)) return;
     if (it->second.streaming) return;  // it belongs to the client now
     stop(it, a.attempt, Outcome::Cancelled);
 }
 
-void State::act(const ProbeNode& a) { effects_.push_back(ProbeStart{a.node}); }
-void State::act(const TellPeer& a) { effects_.push_back(Tell{a.to, a.bytes}); }
+void State::act(const StartHealthCheck& a) { effects_.push_back(StartHealthCheck{a.node}); }
+void State::act(const SendPeerMessage& a) { effects_.push_back(SendPeerMessage{a.to, a.bytes}); }
 void State::act(const SetTimer& a) {
-    alarms_.insert({now_ + std::max<Micros>(1, a.inUs), Due::Timer, a.token, 0});
+    alarms_.insert({now_ + std::max<Micros>(1, a.delayUs), Due::Timer, a.token, 0});
 }
-void State::act(const WatchList& a) { effects_.push_back(Watch{a.on}); }
-void State::act(const Note& a) { effects_.push_back(Say{a.text}); }
+void State::act(const WatchEndpointList& a) { effects_.push_back(a); }
+void State::act(const LogLine& a) { effects_.push_back(LogLine{a.text}); }
 
-Handed handOver(State& state, Micros now) {
+StateSnapshot takeSnapshot(State& state, Micros now) {
     state.now_ = std::max(state.now_, now);
-    Handed handed;
-    for (const auto& [id, node] : state.listed_) handed.listed.push_back(node);
-    handed.drains = state.drains_;
-    handed.seen.assign(state.seenOrder_.begin(), state.seenOrder_.end());
-    handed.module = state.policy_.handOver(state.now_);
-    return handed;
+    StateSnapshot snapshot;
+    for (const auto& [id, node] : state.listed_) snapshot.listed.push_back(node);
+    snapshot.drains = state.drains_;
+    snapshot.seen.assign(state.seenOrder_.begin(), state.seenOrder_.end());
+    snapshot.module = state.policy_.takeSnapshot(state.now_);
+    return snapshot;
 }
 
-bool restore(State& state, const Handed& handed) {
-    for (const auto& [id, since] : handed.drains) state.drains_.insert_or_assign(id, since);
-    for (const auto& id : handed.seen)
+bool restore(State& state, const StateSnapshot& snapshot) {
+    for (const auto& [id, since] : snapshot.drains) state.drains_.insert_or_assign(id, since);
+    for (const auto& id : snapshot.seen)
         if (state.seen_.insert(id).second) state.seenOrder_.push_back(id);
-    return state.policy_.restore(handed.module);
+    return state.policy_.restore(snapshot.module);
 }
 
 Effects reduce(State& state, Micros now, Input input) {
--- a/src/fleet/restart_recovery.cpp
+++ b/src/fleet/restart_recovery.cpp
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-Arrival::Arrival(const Terms& terms, Micros startedAt)
+RestartRecovery::RestartRecovery(const Options& terms, Micros startedAt)
     : terms_(terms),
       startedAt_(startedAt),
       clearAt_(terms.hosts > 1 ? startedAt + terms.lease : startedAt),
@@ -66,12 +66,12 @@
       lastToAll_(kLongAgo),
       lastNotice_(kLongAgo),
       life_(msOf(startedAt) | 1u),  // never 0
-      askAll_(terms.hosts <= kFew),
-      by_(terms.hosts > 1 ? By::Lease : By::Everyone) {}
+      askAll_(terms.hosts <= kSmallFleet),
+      by_(terms.hosts > 1 ? RecoveryCause::LeaseExpired : RecoveryCause::AllPeersReplied) {}
 
-bool Arrival::speaks(const std::string& bytes) { return !bytes.empty() && bytes[0] == kFormat; }
+bool RestartRecovery::isRecoveryDatagram(const std::string& bytes) { return !bytes.empty() && bytes[0] == kFormat; }
 
-std::vector<int> Arrival::holders() const {
+std::vector<int> RestartRecovery::holders() const {
     std::vector<int> all;
     for (int k = 0; k < 3; ++k) {
         const int host = (terms_.host + 1 + terms_.hosts * k / 4) % terms_.hosts;
@@ -80,29 +80,29 @@
     return all;
 }
 
-bool Arrival::holdersKnow(Micros now) const {
-    if (now - startedAt_ >= kNoticeKept) return true;
+bool RestartRecovery::holdersKnow(Micros now) const {
+    if (now - startedAt_ >= kNoticeRetention) return true;
     const auto all = holders();
     return std::all_of(all.begin(), all.end(), [&](int h) { return welcomedBy_.contains(h); });
 }
 
-bool Arrival::lends(Micros now) const {
-    if (!clear(now) || (leavingUntil_ != 0 && now + terms_.lease > leavingUntil_)) return false;
+bool RestartRecovery::mayLend(Micros now) const {
+    if (!isRecovered(now) || (leavingUntil_ != 0 && now + terms_.lease > leavingUntil_)) return false;
     return holdersKnow(now);
 }
 
-void Arrival::clearBy(By by, Micros at) {
+void RestartRecovery::clearBy(RecoveryCause by, Micros at) {
     if (at >= clearAt_) return;
     clearAt_ = at;
     by_ = by;
 }
 
-Arrival::Life Arrival::met(int from, std::uint32_t life, Micros now) {
+RestartRecovery::IncarnationStatus RestartRecovery::observeIncarnation(int from, std::uint32_t life, Micros now) {
     const auto [known, first] = peers_.try_emplace(from, Peer{life, now});
     Peer& peer = known->second;
-    if (peer.life != life && before(life, peer.life) && now - peer.at < kStaleFor) {
+    if (peer.life != life && before(life, peer.life) && now - peer.at < kStaleIncarnationPeriod) {
         ++counters_.stale;
-        return Life::Stale;
+        return IncarnationStatus::Stale;
     }
     peer.at = now;
     const bool anew = peer.life != life;
@@ -111,21 +111,21 @@
         if (f->second.next == 0) f->second.next = life;
         else if (f->second.next != life) notices_.erase(f);  // of a life before the last: it says nothing
     }
-    if (!anew) return Life::Known;
-    ++counters_.lives;
-    return Life::Fresh;
+    if (!anew) return IncarnationStatus::Known;
+    ++counters_.newIncarnations;
+    return IncarnationStatus::New;
 }
 
-Arrival::Heard Arrival::heard(int from, const std::string& bytes, Micros now) {
+RestartRecovery::DatagramResult RestartRecovery::handleDatagram(int from, const std::string& bytes, Micros now) {
     const auto d = read(bytes);
     if (!d || from == terms_.host || from < 0 || from >= terms_.hosts) {
         ++counters_.malformed;
-        return {Life::Stale, {}};
+        return {IncarnationStatus::Stale, {}};
     }
     const auto known = peers_.find(from);
     const bool first = known == peers_.end() || known->second.life != d->life;
-    Heard heard{met(from, d->life, now), {}};
-    if (heard.life == Life::Stale) return heard;
+    DatagramResult heard{observeIncarnation(from, d->life, now), {}};
+    if (heard.status == IncarnationStatus::Stale) return heard;
     if (d->tag == kHello) {
         Datagram welcome{life_, kWelcome, {d->life, 0, 0, 0}};
         if (const auto f = notices_.find(from); f != notices_.end() && f->second.life != d->life)
@@ -133,33 +133,33 @@
             welcome.fields[2] = f->second.sentMs, welcome.fields[3] = f->second.overMs;
         heard.replies.push_back({from, write(welcome)});
         // It has just come up, and may have missed the hello to it. Once for each of its lives.
-        if (first && !welcomedBy_.contains(from) && (!clear(now) || !holdersKnow(now)))
+        if (first && !welcomedBy_.contains(from) && (!isRecovered(now) || !holdersKnow(now)))
             heard.replies.push_back({from, write({life_, kHello, {}})});
     } else if (d->tag == kShutdownNotice) {
         auto& f = notices_[from];
         if (f.life != d->life || before(f.sentMs, d->fields[0])) {
-            if (f.life != d->life) ++counters_.notices;
+            if (f.life != d->life) ++counters_.storedNotices;
             f = {d->life, d->fields[0], d->fields[1], 0};
         }
     } else if (d->fields[0] == life_) {  // a welcome to this life
         welcomedBy_.insert(from);
-        if (int(welcomedBy_.size()) >= terms_.hosts - 1) clearBy(By::Everyone, now);
+        if (int(welcomedBy_.size()) >= terms_.hosts - 1) clearBy(RecoveryCause::AllPeersReplied, now);
         const auto held = holders();
         const bool holder = std::find(held.begin(), held.end(), from) != held.end();
         const auto [to, life, sentMs, overMs] = d->fields;
         const auto age = std::int32_t(msOf(now) - sentMs), left = std::int32_t(overMs - msOf(now));
-        if (life != 0 && age >= 0 && Micros(age) * 1000 < kNoticeKept)
-            clearBy(By::ShutdownNotice, now + std::max(0, left) * Micros(1000));
+        if (life != 0 && age >= 0 && Micros(age) * 1000 < kNoticeRetention)
+            clearBy(RecoveryCause::ShutdownNotice, now + std::max(0, left) * Micros(1000));
         else if (holder) askAll_ = true;  // it knows of none: they are all asked
     }
     return heard;
 }
 
-std::vector<Message> Arrival::due(Micros now) {
-    std::vector<Message> out;
+std::vector<OutgoingDatagram> RestartRecovery::dueDatagrams(Micros now) {
+    std::vector<OutgoingDatagram> out;
     if (!terms_.talks || terms_.hosts < 2) return out;
     if (leavingUntil_ != 0) {
-        if (now - lastNotice_ < kHelloGap) return out;
+        if (now - lastNotice_ < kQueryInterval) return out;
         lastNotice_ = now;
         const auto over = std::max(leavingUntil_, clearAt_);
         for (const int h : holders())
@@ -169,9 +169,9 @@
     // All, where no holder can help; holders until they know of this life, as no later one may go by an older
     // shutdown notice.
     const bool anyone =
-        !clear(now) && by_ != By::ShutdownNotice && (askAll_ || now - startedAt_ >= kHoldersFirst);
-    const bool toAll = anyone && now - lastToAll_ >= kHelloGap;
-    const bool toHolders = !holdersKnow(now) && now - lastHello_ >= kHelloGap;
+        !isRecovered(now) && by_ != RecoveryCause::ShutdownNotice && (askAll_ || now - startedAt_ >= kHoldersOnlyPeriod);
+    const bool toAll = anyone && now - lastToAll_ >= kQueryInterval;
+    const bool toHolders = !holdersKnow(now) && now - lastHello_ >= kQueryInterval;
     if (!toAll && !toHolders) return out;  // as at nearly every look
     if (toAll) lastToAll_ = now;
     lastHello_ = now;
--- a/src/fleet/restart_recovery.h
+++ b/src/fleet/restart_recovery.h
@@ -18,60 +18,60 @@
 
 using Micros = std::int64_t;
 
-struct Message {
+struct OutgoingDatagram {
     int to = 0;  // a host's number
     std::string bytes;
 };
 
-class Arrival {
+class RestartRecovery {
 public:
     // Until a shutdown notice is this old a new life may go by it; so long a host whose holders have not
     // answered lends nothing, as a later life might go by a shutdown notice from before it.
-    static constexpr Micros kNoticeKept = 10'000'000;
-    static constexpr Micros kHelloGap = 500'000;  // between two hellos, or shutdown notices, to the same host
-    static constexpr Micros kHoldersFirst = 50'000;  // then all are asked: a crossing of the network and more
-    static constexpr int kFew = 8;                   // of so many hosts all are asked at once
-    static constexpr Micros kStaleFor = 10'000'000;  // a life before the newest is not believed for so long
-    static constexpr std::size_t kMostBytes = 22;    // of a datagram
+    static constexpr Micros kNoticeRetention = 10'000'000;
+    static constexpr Micros kQueryInterval = 500'000;  // between two hellos, or shutdown notices, to the same host
+    static constexpr Micros kHoldersOnlyPeriod = 50'000;  // then all are asked: a crossing of the network and more
+    static constexpr int kSmallFleet = 8;                   // of so many hosts all are asked at once
+    static constexpr Micros kStaleIncarnationPeriod = 10'000'000;  // a life before the newest is not believed for so long
+    static constexpr std::size_t kMaxDatagramBytes = 22;    // of a datagram
 
-    struct Terms {
+    struct Options {
         int host = 0, hosts = 1;
         Micros lease = 0;   // of a chunk, at the longest
         bool talks = true;  // hosts may tell each other anything
     };
     struct Counters {
         std::uint64_t stale = 0, malformed = 0;  // datagrams that changed nothing
-        std::uint64_t lives = 0;                 // of peers that began anew
-        std::uint64_t notices = 0;               // kept here for others
+        std::uint64_t newIncarnations = 0;                 // of peers that began anew
+        std::uint64_t storedNotices = 0;               // kept here for others
     };
-    enum class Life { Known, Fresh, Stale };
-    enum class By { Nothing, ShutdownNotice, Everyone, Lease };  // what made it clear
+    enum class IncarnationStatus { Known, New, Stale };
+    enum class RecoveryCause { NotRecovered, ShutdownNotice, AllPeersReplied, LeaseExpired };  // what made it clear
 
-    Arrival() = default;
-    Arrival(const Terms& terms, Micros startedAt);
+    RestartRecovery() = default;
+    RestartRecovery(const Options& terms, Micros startedAt);
 
     // Names this life: a later one has a higher number, for as long as the machine's clock is not set back.
-    std::uint32_t life() const { return life_; }
-    void unreadable() { ++counters_.malformed; }   // a datagram in neither of the front's forms
-    static bool speaks(const std::string& bytes);  // a datagram for heard()
-    struct Heard {
-        Life life = Life::Stale;  // Fresh: whatever that host lent in its earlier life is over
-        std::vector<Message> replies;
+    std::uint32_t incarnation() const { return life_; }
+    void countMalformed() { ++counters_.malformed; }   // a datagram in neither of the front's forms
+    static bool isRecoveryDatagram(const std::string& bytes);  // a datagram for heard()
+    struct DatagramResult {
+        IncarnationStatus status = IncarnationStatus::Stale;  // Fresh: whatever that host lent in its earlier life is over
+        std::vector<OutgoingDatagram> replies;
     };
-    Heard heard(int from, const std::string& bytes, Micros now);
-    Life met(int from, std::uint32_t life, Micros now);  // in whatever it says
-    std::vector<Message> due(Micros now);  // hellos and shutdown notices; to be asked a few times a second
+    DatagramResult handleDatagram(int from, const std::string& bytes, Micros now);
+    IncarnationStatus observeIncarnation(int from, std::uint32_t life, Micros now);  // in whatever it says
+    std::vector<OutgoingDatagram> dueDatagrams(Micros now);  // hellos and shutdown notices; to be asked a few times a second
 
-    bool clear(Micros now) const { return now >= clearAt_; }  // may spend all of its own chunks
-    bool lends(Micros now) const;                             // may lend them for a whole lease
-    By by() const { return by_; }
+    bool isRecovered(Micros now) const { return now >= clearAt_; }  // may spend all of its own chunks
+    bool mayLend(Micros now) const;                             // may lend them for a whole lease
+    RecoveryCause recoveryCause() const { return by_; }
     // It ends in order: nothing is lent beyond then, or beyond what is lent already, and the holders are
     // told.
-    void leaving(Micros until, Micros now) {
+    void startShutdown(Micros until, Micros now) {
         leavingUntil_ = until > now + terms_.lease ? until : now + terms_.lease;
     }
     const Counters& counters() const { return counters_; }
-    std::size_t kept() const { return peers_.size() + notices_.size(); }
+    std::size_t tableEntries() const { return peers_.size() + notices_.size(); }
     std::vector<int> holders() const;  // three at the most, spread over the numbers
 
     template <typename Archive>
@@ -97,15 +97,15 @@
             a(life, sentMs, overMs, next);
         }
     };
-    void clearBy(By by, Micros at);
+    void clearBy(RecoveryCause by, Micros at);
     bool holdersKnow(
         Micros now) const;  // of this life, all of them; or no shutdown notice from before it counts
 
-    Terms terms_;
+    Options terms_;
     Micros startedAt_ = 0, clearAt_ = 0, lastHello_ = 0, lastToAll_ = 0, lastNotice_ = 0, leavingUntil_ = 0;
     std::uint32_t life_ = 0;
     bool askAll_ = false;  // a holder knows of no shutdown notice
-    By by_ = By::Nothing;
+    RecoveryCause by_ = RecoveryCause::NotRecovered;
     std::map<int, Peer> peers_;
     std::set<int> welcomedBy_;               // they hold nothing of earlier lives
     std::map<int, ShutdownNotice> notices_;  // by the host that left
--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -1,6 +1,6 @@
 #include "hot_restart/hot_restart.h"
 
-namespace wingproxy::handover {
+namespace wingproxy::hot_restart {
 namespace {
 
 // How soon a successor notices that the right to serve is free: well within an aim.
@@ -63,7 +63,7 @@
 }
 
 bool HotRestart::another() {
-    if (role_ == Role::Successor || role_ == Role::Leaving) return true;
+    if (role_ == Role::Successor || role_ == Role::ShutdownStarted) return true;
     Lock leaving(path("leaving"));
     return successorWaits() || !leaving.take();
 }
@@ -74,7 +74,7 @@
 }
 
 void HotRestart::give(const Snapshot& snapshot) {
-    role_ = Role::Leaving;
+    role_ = Role::ShutdownStarted;
     if (writeFile(path("snapshot"), encode(snapshot))) {
         ++counters_.given;
     } else {
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -8,7 +8,7 @@
 #include "hot_restart/snapshot.h"
 #include "log/log.h"
 
-namespace wingproxy::handover {
+namespace wingproxy::hot_restart {
 
 class HotRestart {
 public:
@@ -16,7 +16,7 @@
         std::uint64_t taken = 0, given = 0, refused = 0;  // snapshots
         std::uint64_t overrides = 0, unwritten = 0;  // files with overrides that were new; files not written
     };
-    enum class Role { First, Successor, Serving, Leaving };
+    enum class Role { First, Successor, Serving, ShutdownStarted };
 
     HotRestart(boost::asio::io_context& io, std::string folder, std::string front, log::Logger& logger);
     // First: no other process serves, and nothing passes on. Else takeOver is called once the right to serve
--- a/src/hot_restart/shared_files.cpp
+++ b/src/hot_restart/shared_files.cpp
@@ -9,7 +9,7 @@
 #include <fstream>
 #include <iterator>
 
-namespace wingproxy::handover {
+namespace wingproxy::hot_restart {
 
 bool Lock::lock(int how) {
     if (fd_ >= 0) return true;
--- a/src/hot_restart/shared_files.h
+++ b/src/hot_restart/shared_files.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-namespace wingproxy::handover {
+namespace wingproxy::hot_restart {
 
 // An flock on a file of its own. Let go by the destructor and by the process's end.
 class Lock {
--- a/src/hot_restart/snapshot.cpp
+++ b/src/hot_restart/snapshot.cpp
@@ -25,19 +25,19 @@
 namespace core {
 template <typename A>
 void serialize(A& a, AdminOverride& w) {
-    a(w.out, w.at);
+    a(w.drained, w.at);
 }
 template <typename A>
-void serialize(A& a, Handed& h) {
+void serialize(A& a, StateSnapshot& h) {
     a(h.listed, h.drains, h.seen, h.module);
 }
 }  // namespace core
 
-namespace handover {
+namespace hot_restart {
 
 template <typename A>
 void serialize(A& a, Snapshot& s) {
-    a(s.front, s.takenAt, s.engine.core, s.engine.addresses, s.engine.listVersion, s.openIds);
+    a(s.front, s.takenAt, s.engine.core, s.engine.addresses, s.engine.listVersion, s.openRequestIds);
 }
 
 namespace {
@@ -106,7 +106,7 @@
 core::AdminOverrides merge(core::AdminOverrides a, const core::AdminOverrides& b) {
     for (const auto& [node, entry] : b) {
         const auto [it, fresh] = a.try_emplace(node, entry);
-        if (!fresh && std::pair(entry.at, entry.out) > std::pair(it->second.at, it->second.out))
+        if (!fresh && std::pair(entry.at, entry.drained) > std::pair(it->second.at, it->second.drained))
             it->second = entry;
     }
     return a;
--- a/src/hot_restart/snapshot.h
+++ b/src/hot_restart/snapshot.h
@@ -8,13 +8,13 @@
 
 #include "net/engine.h"
 
-namespace wingproxy::handover {
+namespace wingproxy::hot_restart {
 
 struct Snapshot {
     std::string front;   // its name
     Micros takenAt = 0;  // Unix microseconds
-    net::Engine::Handed engine;
-    std::vector<std::string> openIds;  // Req-Ids that the old process has not answered yet
+    net::EngineSnapshot engine;
+    std::vector<std::string> openRequestIds;  // Req-Ids that the old process has not answered yet
 };
 // A snapshot is read within milliseconds; one that is older was left behind by another pair of processes.
 constexpr Micros kFresh = 10'000'000;
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -51,7 +51,7 @@
 // What a refusal advises, where the settings allow it, and at most what clients honour.
 std::string retryField(const Settings& settings, Micros us) {
     const auto advice = std::min(us, settings.maxRetryAfterUs);
-    return settings.retryAdvice && advice > 0 ? fmt::format("Retry-After: {}\r\n", retryAfter(advice)) : "";
+    return settings.sendsRetryAfter && advice > 0 ? fmt::format("Retry-After: {}\r\n", retryAfter(advice)) : "";
 }
 
 }  // namespace
@@ -65,14 +65,14 @@
     }
     bool idle() const override { return state_ == State::Reading && (!begun() || quiet() > kHalfSent); }
     // First who never asked, unless it has just come; then who asked and stays; then the half-sent.
-    int givesWay() const override {
+    int evictionPriority() const override {
         if (begun()) return 2;
         return asked_ ? 1 : age() > kHalfSent ? 0 : 3;
     }
-    void tend() override;
-    void retire() override;
+    void sweep() override;
+    void closeGracefully() override;
     void evict() override {
-        if (begun()) retire();
+        if (begun()) closeGracefully();
         close();
     }
     void answer(int status, std::string_view fields, std::string_view body,
@@ -84,7 +84,7 @@
     bool bodyTaken() const override { return !filling_ && body_.empty(); }
     void wantBody(std::function<void()> more) override { more_ = std::move(more); }
     void beginAnswer(const LongAnswer& answer, std::function<std::size_t(char*, std::size_t)> take) override;
-    void moreAnswer() override { poke(); }
+    void moreAnswer() override { resumeFeed(); }
 
 protected:
     void received() override;
@@ -93,22 +93,22 @@
         if (state_ == State::Waiting || passing_) front_.engine_.clientDisconnected(id_);
     }
     void progressed() override {
-        if (state_ == State::Answering) since_ = Clock::now();
+        if (state_ == State::ResponseHeadReceived) since_ = Clock::now();
     }
     void sent() override {
-        if (state_ != State::Answering || passing_) return;  // that was only "100 Continue"
+        if (state_ != State::ResponseHeadReceived || passing_) return;  // that was only "100 Continue"
         if (!keepAlive_) return filling_ ? linger(kStillSending) : linger();
         next();
-        touch();
+        markActive();
         parse();
         read();
     }
 
 private:
     using Clock = std::chrono::steady_clock;
-    enum class State { Reading, Waiting, Answering };
+    enum class State { Reading, Waiting, ResponseHeadReceived };
     bool over(std::size_t part) const {
-        return front_.answerBy_ == INT64_MAX && sessionManager_.connections() * part > sessionManager_.most();
+        return front_.answerBy_ == INT64_MAX && sessionManager_.connections() * part > sessionManager_.capacity();
     }
     bool begun() const { return in_.size() > 0 || reader_->gotSome(); }
     Clock::duration age() const { return Clock::now() - since_; }
@@ -154,7 +154,7 @@
     }
     ~Pending() override { front.ids_.erase(id()); }
     std::string id() const { return std::string((*message)["Req-Id"]); }
-    std::shared_ptr<net::Attempt> start(const net::AttemptOrder& order) override {
+    std::shared_ptr<net::Attempt> start(const net::AttemptParams& order) override {
         const auto attempt =
             std::make_shared<NodeAttempt>(front.engine_, front.pool_, order, message, framing, client,
                                           [this](int number, Answer answer, net::ByteBudget::Hold hold) {
@@ -214,7 +214,7 @@
         return;
     }
     if (drained_) emptyAt_ = front_.engine_.now();
-    if (state_ == State::Answering) in_.clear();  // the answer did not wait for it
+    if (state_ == State::ResponseHeadReceived) in_.clear();  // the answer did not wait for it
     else if (more_) std::exchange(more_, nullptr)();
 }
 
@@ -271,7 +271,7 @@
     return true;
 }
 
-void Front::Client::tend() {
+void Front::Client::sweep() {
     if (!open()) return;
     if (state_ == State::Waiting) {  // what waits is the module's to answer, but for a client that stopped
         if (!filling_ || in_.space() == 0 || quiet() < kAnswerRead) return;
@@ -279,7 +279,7 @@
         front_.engine_.clientDisconnected(id_);
         return answer(408, "", "the body did not go on\n");
     }
-    if (state_ == State::Answering) {
+    if (state_ == State::ResponseHeadReceived) {
         if (age() > kAnswerRead) {
             ++front_.counters_.unread;
             disconnected(), close();
@@ -339,10 +339,10 @@
     emptyAt_ = front_.engine_.now();
     waitUs_ = std::max<Micros>(0, asked.waitUs - kAnswerRoom);
     asked.request.deadlineUs = std::min(emptyAt_ + waitUs_, front_.answerBy_);
-    asked.request.filling = filling_ = framing.has_value();
+    asked.request.bodyIncomplete = filling_ = framing.has_value();
     state_ = State::Waiting;
     ++front_.waiting_;
-    touch();
+    markActive();
     const auto self = std::static_pointer_cast<Client>(shared_from_this());
     id_ = front_.engine_.submit(std::move(asked.request),
                                 std::make_shared<Pending>(front_, self, std::move(message), framing,
@@ -375,7 +375,7 @@
     if (filling_ && reader_->done()) {
         filling_ = false;
         dropSurplus();
-        front_.engine_.filled(id_, std::min(emptyAt_ + waitUs_, front_.answerBy_));
+        front_.engine_.requestBodyCompleted(id_, std::min(emptyAt_ + waitUs_, front_.answerBy_));
     }
     read();
     return n;
@@ -396,7 +396,7 @@
 }
 
 // A request of which a part is here is taken as soon as its last byte comes: it gets its refusal before.
-void Front::Client::retire() {
+void Front::Client::closeGracefully() {
     if (!begun()) return linger();
     keepAlive_ = false;
     answer(503, retryField(front_.engine_.settings(), kBusyAdvice), "");
@@ -414,7 +414,7 @@
                                 std::function<std::size_t(char*, std::size_t)> take) {
     if (!open() || state_ != State::Waiting) return;
     --front_.waiting_;
-    state_ = State::Answering;
+    state_ = State::ResponseHeadReceived;
     passing_ = true;
     since_ = Clock::now();
     chunked_ = !answer.length && !oldClient_;
@@ -462,7 +462,7 @@
     ++(status == 200   ? front_.counters_.ok
        : status == 503 ? front_.counters_.refused
                        : front_.counters_.failed);
-    state_ = State::Answering;
+    state_ = State::ResponseHeadReceived;
     since_ = Clock::now();
     if (front_.draining_ || over(kFull)) keepAlive_ = false;
     std::string all(fields);
@@ -475,7 +475,7 @@
     const auto open = sessionManager_.connections(), free = std::max(open / kFreePart, kLeastFree);
     if (!lastClients_ || waiting_ + free <= open) return;
     ++counters_.crowded;
-    engine_.crowded(1);
+    engine_.capacityNeeded(1);
 }
 
 Front::Front(net::Engine& engine, net::NodePool& pool, const config::Endpoint& listen,
@@ -489,7 +489,7 @@
           },
           ring, inherited) {}
 
-void Front::openElsewhere(const std::vector<std::string>& ids, Micros until) {
+void Front::setRequestsOpenElsewhere(const std::vector<std::string>& ids, Micros until) {
     elsewhere_ = {ids.begin(), ids.end()};
     elsewhereUntil_ = until;
 }
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -20,13 +20,13 @@
     };
     Front(net::Engine& engine, net::NodePool& pool, const config::Endpoint& listen, std::size_t mostClients,
           std::size_t ring = net::kMostRing, int inherited = -1);
-    void drain() { draining_ = true; }                // answers end their connections from now on
-    void answerBy(Micros when) { answerBy_ = when; }  // whatever a client allows
+    void startDraining() { draining_ = true; }                // answers end their connections from now on
+    void setResponseDeadline(Micros when) { answerBy_ = when; }  // whatever a client allows
     // From now on clients have only the connections that are open: some are kept free for other requests.
-    void noMoreClients() { lastClients_ = true; }
+    void expectNoNewConnections() { lastClients_ = true; }
     // Req-Ids that are open, and those that are open in another process until then.
-    std::vector<std::string> openIds() const { return {ids_.begin(), ids_.end()}; }
-    void openElsewhere(const std::vector<std::string>& ids, Micros until);
+    std::vector<std::string> openRequestIds() const { return {ids_.begin(), ids_.end()}; }
+    void setRequestsOpenElsewhere(const std::vector<std::string>& ids, Micros until);
     net::SessionManager& sessionManager() { return sessionManager_; }
     const Counters& counters() const { return counters_; }
 
--- a/src/http/node_client.cpp
+++ b/src/http/node_client.cpp
@@ -19,13 +19,13 @@
 
 std::chrono::microseconds stallOf(const Settings& settings) {
     const std::chrono::microseconds most = net::Exchange::kStall;
-    const auto aim = settings.shortestAim();
+    const auto aim = settings.shortestLatencyObjective();
     return aim > 0 ? std::min(most, std::chrono::microseconds(Micros(kStallPart * double(aim)))) : most;
 }
 
 }  // namespace
 
-NodeAttempt::NodeAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptOrder& order,
+NodeAttempt::NodeAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptParams& order,
                          std::shared_ptr<const Message> message, std::optional<Framing> framing,
                          std::weak_ptr<Caller> caller, Keep keep)
     : net::NodeAttempt(engine, pool, order),
@@ -40,7 +40,7 @@
 void NodeAttempt::connected(std::shared_ptr<net::Connection> connection) {
     connection_ = std::move(connection);
     const auto host = fmt::format("{}:{}", order_.node.host, order_.node.port);
-    text_ = forNode(*message_, host, order_.giveUpAt - engine_.now(), framing_ ? &*framing_ : nullptr);
+    text_ = forNode(*message_, host, order_.timeoutAt - engine_.now(), framing_ ? &*framing_ : nullptr);
     bodyPut_ = !framing_;
     reader_.emplace(connection_->in, kMostBody);
     write();
@@ -85,7 +85,7 @@
     if (out.size() == 0) {
         if (more) return;  // the client has to bring it
         written_ = true;
-        engine_.written(order_.id, order_.attempt);
+        engine_.attemptRequestSent(order_.id, order_.attempt);
         return read();
     }
     if (engine_.now() > order_.lastByteBy) return broke();  // what is left would come past its window
@@ -138,7 +138,7 @@
     if (error || nodeEnded_ || in.space() == 0) return broke();
     if (headDone_ && written_ && !answering_ && reader_->parser().get().result_int() == 200) {
         answering_ = true;  // its bytes come slowly, which says nothing of its work
-        engine_.answering(order_.id, order_.attempt);
+        engine_.responseHeadReceived(order_.id, order_.attempt);
         if (over_) return;
     }
     if (reader_->gotSome()) awaitMore(stallOf(engine_.settings()));
@@ -162,7 +162,7 @@
     const auto type = parser.get()[beast::http::field::content_type];
     Caller::LongAnswer answer{std::string(type.data(), type.size()), std::nullopt};
     if (const auto length = parser.content_length()) answer.length = *length;
-    engine_.streaming(order_.id, order_.attempt, true);
+    engine_.responseForwardingStarted(order_.id, order_.attempt, true);
     if (over_) return;
     caller->beginAnswer(answer, [weak = weak_from_this()](char* to, std::size_t n) {
         const auto held = weak.lock();
@@ -212,11 +212,11 @@
 
 void NodeAttempt::finish() {
     const auto& head = reader_->parser().get();
-    core::Ended ended = readAnswer(head, engine_.settings());
+    core::AttemptFinished ended = readAnswer(head, engine_.settings());
     // Answered before the whole request was there: it was not served, whatever the node says, unless it fails
     // it.
     if (!written_ && ended.outcome == Outcome::Ok) ended.outcome = Outcome::Reset;
-    ended.spent = ended.spent || spent_;
+    ended.requestSpent = ended.requestSpent || spent_;
     if (ended.outcome == Outcome::Ok && !passing_) {
         Answer answer{AnswerHead(head)};
         answer.body() = std::move(body_);
@@ -229,9 +229,9 @@
 }
 
 void NodeAttempt::broke() {
-    core::Ended ended;
+    core::AttemptFinished ended;
     ended.outcome = written_ ? Outcome::Reset : Outcome::ConnectFailed;
-    ended.spent = spent_;
+    ended.requestSpent = spent_;
     end(std::move(ended));
 }
 
@@ -277,7 +277,7 @@
         ticket_ = nullptr;
         if (exchange_) exchange_->abandon();
         exchange_ = nullptr;
-        engine_.probed({node_, outcome, engine_.now() - since_, std::move(report)});
+        engine_.healthCheckCompleted({node_, outcome, engine_.now() - since_, std::move(report)});
     }
     net::Engine& engine_;
     net::NodePool& pool_;
--- a/src/http/node_client.h
+++ b/src/http/node_client.h
@@ -40,7 +40,7 @@
     // A short answer, whole. Called before the engine hears of an Ok.
     using Keep = std::function<void(int attempt, Answer answer, net::ByteBudget::Hold hold)>;
     // With a framing the message has no body yet, and the caller gives it.
-    NodeAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptOrder& order,
+    NodeAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptParams& order,
                 std::shared_ptr<const Message> message, std::optional<Framing> framing,
                 std::weak_ptr<Caller> caller, Keep keep);
 
--- a/src/http/platform.cpp
+++ b/src/http/platform.cpp
@@ -99,12 +99,12 @@
     if (!member(info, ',', "units", value) || !parse(value, r.units) || r.units <= 0 || r.units > 1e6)
         return bad("IO-Info units", "missing or not a size above 0");
     if (!member(info, ',', "shard", value) || !parse(value, r.cell) || r.cell < -1 ||
-        (settings.cells > 0 && r.cell >= settings.cells))
+        (settings.cellCount > 0 && r.cell >= settings.cellCount))
         return bad("IO-Info shard", "missing or not a shard");
     if (!member(info, ',', "hosts", value) || !parse(value, r.volumeHosts) || r.volumeHosts < 1 ||
         r.volumeHosts > 100'000)
         return bad("IO-Info hosts", "missing or not a number of hosts");
-    if (settings.classes[std::size_t(r.classIndex)].effect == Effect::Deduplicated &&
+    if (settings.classes[std::size_t(r.classIndex)].retrySafety == RetrySafety::IdempotentWithKey &&
         text("Idempotency-Key").empty())
         return bad("Idempotency-Key", "missing, and the class carries a key");
     if (message.method() == beast::http::verb::get && !message.body().empty())
@@ -136,21 +136,21 @@
     return report;
 }
 
-core::Ended readAnswer(const AnswerHead& answer, const Settings& settings) {
-    core::Ended ended;
+core::AttemptFinished readAnswer(const AnswerHead& answer, const Settings& settings) {
+    core::AttemptFinished ended;
     const auto status = answer.result_int();
     const bool declined = trim(sv(answer["Srv-Declined"])) == "1";
     if (status == 200) ended.outcome = Outcome::Ok;
-    else if ((status == 503 || status == 504) && declined) ended.outcome = Outcome::Full;
+    else if ((status == 503 || status == 504) && declined) ended.outcome = Outcome::Rejected;
     else ended.outcome = Outcome::Error;
     // With 504 it is the request that is over, or not this node's: another attempt would hear the same.
-    ended.spent = status == 504 && declined;
+    ended.requestSpent = status == 504 && declined;
     // The simulator's figure is one more than the header's, so that 0 means none.
     double number = 0;
-    if (parse(trim(sv(answer["Volume-Load"])), number) && number >= 0) ended.usePercent = number + 1;
+    if (parse(trim(sv(answer["Volume-Load"])), number) && number >= 0) ended.loadPercent = number + 1;
     number = 0;
-    if (parse(trim(sv(answer["Other-Hosts"])), number) && number >= 0) ended.elsewhere = number;
-    ended.report = readLoad(sv(answer["Srv-Load"]), settings);
+    if (parse(trim(sv(answer["Other-Hosts"])), number) && number >= 0) ended.loadElsewhere = number;
+    ended.loadReport = readLoad(sv(answer["Srv-Load"]), settings);
     return ended;
 }
 
--- a/src/http/platform.h
+++ b/src/http/platform.h
@@ -25,7 +25,7 @@
 // What a node's answer means for the attempt; the outcome of an answer that came whole.
 using AskedHead = boost::beast::http::request_header<>;
 using AnswerHead = boost::beast::http::response_header<>;
-core::Ended readAnswer(const AnswerHead& answer, const Settings& settings);
+core::AttemptFinished readAnswer(const AnswerHead& answer, const Settings& settings);
 std::vector<double> readLoad(std::string_view load, const Settings& settings);
 
 // How a body that is not whole yet is framed: its length, or in chunks.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -40,7 +40,7 @@
 constexpr std::chrono::milliseconds kRest{8};
 constexpr std::chrono::milliseconds kLookForOther{100};  // far below the 1 s that a call's answer allows
 // Standard streams, listeners, checks, discovery; and the operators' calls.
-constexpr int kOwnDescriptors = 24 + int(operation::kMostCallers);
+constexpr int kOwnDescriptors = 24 + int(admin::kMostCallers);
 
 // The configured number, or the system's where that is lower.
 int descriptors(int configured) {
@@ -67,14 +67,14 @@
 
 class Program {
 public:
-    Program(std::string path, const config::Config& config, const config::Operator& extra,
+    Program(std::string path, const config::Config& config, const config::OperatorConfig& extra,
             log::Logger& logger)
         : path_(std::move(path)),
           config_(config),
           logger_(logger),
-          shared_(config.inherited >= 0 && std::getenv("TMPDIR")),
-          sockets_(config.sockets),
-          budget_(budget(config.sockets, true, extra.rsync.has_value())),
+          shared_(config.inheritedListenerFd >= 0 && std::getenv("TMPDIR")),
+          sockets_(config.maxDescriptors),
+          budget_(budget(config.maxDescriptors, true, extra.rsync.has_value())),
           engine_(io_, halved(config, shared_), logger),
           pool_(io_, {budget_.nodes, std::chrono::microseconds(config.connectTimeoutUs),
                       std::chrono::microseconds(config.connIdleUs / 2), budget_.ring, kRest}),
@@ -82,37 +82,37 @@
                            std::chrono::microseconds(0), budget_.ring}),
           discovery_(engine_, config.discovery),
           peers_(engine_, config, false),
-          front_(engine_, pool_, config.listen, budget_.clients, budget_.ring, config.inherited),
+          front_(engine_, pool_, config.listen, budget_.clients, budget_.ring, config.inheritedListenerFd),
           signals_(io_, SIGTERM, SIGINT, SIGUSR1),
           closing_(io_),
           looking_(io_) {
         signals_.add(SIGHUP);
-        engine_.connect({[this](int to, const std::string& bytes) { peers_.tell(to, bytes); },
-                         [this](bool on) { discovery_.watch(on); },
+        engine_.setEffectHandlers({[this](int to, const std::string& bytes) { peers_.send(to, bytes); },
+                         [this](bool on) { discovery_.setWatching(on); },
                          [this](const std::string& id, const config::Endpoint& at) {
                              http::probe(engine_, pool_, id, at);
                          }});
         if (extra.rsync) {
             rsync_ = std::make_unique<rsync::Front>(engine_, rsyncPool_, *extra.rsync, budget_.rsyncClients,
                                                     budget_.ring);
-            said("rsync", rsync_->sessionManager().at());
+            said("rsync", rsync_->sessionManager().address());
         }
         const auto ask = [this] { return health(); };
-        if (extra.health) said("health", (health_ = health::httpServer(io_, *extra.health, ask))->at());
-        if (config.mgmt.port != 0) {
-            admin_ = std::make_unique<operation::AdminServer>(io_, config.mgmt, adminHandler());
-            said("mgmt", admin_->sessionManager().at());
+        if (extra.health) said("health", (health_ = health::httpServer(io_, *extra.health, ask))->address());
+        if (config.adminListen.port != 0) {
+            admin_ = std::make_unique<admin::AdminServer>(io_, config.adminListen, adminHandler());
+            said("mgmt", admin_->sessionManager().address());
         }
-        if (extra.agent) said("agent", (agent_ = health::agentServer(io_, *extra.agent, ask))->at());
+        if (extra.agent) said("agent", (agent_ = health::agentServer(io_, *extra.agent, ask))->address());
         awaitSignal();
         if (shared_) {
             hotRestart_ =
-                std::make_unique<handover::HotRestart>(io_, std::getenv("TMPDIR"), config.name, logger);
+                std::make_unique<hot_restart::HotRestart>(io_, std::getenv("TMPDIR"), config.name, logger);
             hotRestart_->begin(
-                [this](std::optional<handover::Snapshot> snapshot) { serve(std::move(snapshot)); });
+                [this](std::optional<hot_restart::Snapshot> snapshot) { serve(std::move(snapshot)); });
             look();
         }
-        if (!hotRestart_ || hotRestart_->role() == handover::HotRestart::Role::First) serve({});
+        if (!hotRestart_ || hotRestart_->role() == hot_restart::HotRestart::Role::First) serve({});
     }
     void run() {
         io_.run();
@@ -125,8 +125,8 @@
         logger_.info("started: {} listens on {}:{}", what, at.host, at.port);
     }
     health::Report health() {
-        return {engine_.nodes() > 0, leaving_,
-                double(front_.sessionManager().connections()) / double(front_.sessionManager().most())};
+        return {engine_.nodeCount() > 0, leaving_,
+                double(front_.sessionManager().connections()) / double(front_.sessionManager().capacity())};
     }
     // Two processes of one front share its limits for as long as both live.
     static config::Config halved(config::Config config, bool shared) {
@@ -137,35 +137,35 @@
         return Budget(shared_ && two ? sockets / 2 : sockets, halved(config_, shared_).memoryMb, withRsync);
     }
     void allow() {
-        front_.sessionManager().allow(budget_.clients);
-        pool_.allow(budget_.nodes);
-        if (rsync_) rsync_->sessionManager().allow(budget_.rsyncClients);
-        rsyncPool_.allow(budget_.rsyncNodes);
+        front_.sessionManager().setCapacity(budget_.clients);
+        pool_.setCapacity(budget_.nodes);
+        if (rsync_) rsync_->sessionManager().setCapacity(budget_.rsyncClients);
+        rsyncPool_.setCapacity(budget_.rsyncNodes);
     }
     // The right to serve is this process's, at the start or from another one.
-    void serve(std::optional<handover::Snapshot> snapshot) {
+    void serve(std::optional<hot_restart::Snapshot> snapshot) {
         if (snapshot) {
             const auto until = snapshot->takenAt + longestDeadline();
-            front_.openElsewhere(snapshot->openIds, until);
+            front_.setRequestsOpenElsewhere(snapshot->openRequestIds, until);
             if (!engine_.restore(std::move(snapshot->engine)))
                 logger_.warn(
                     "handover: the module's memory is of other settings; it starts as after a crash");
         }
-        if (hotRestart_) engine_.overridden(hotRestart_->exchange(engine_.overrides()));
+        if (hotRestart_) engine_.applyOverrides(hotRestart_->exchange(engine_.overrides()));
         peers_.open();
         engine_.start();
         if (snapshot)
             logger_.info("handover: taken over after {} us, {} nodes, {} requests open there",
-                         engine_.now() - snapshot->takenAt, engine_.nodes(), snapshot->openIds.size());
-        if (config_.inherited >= 0) front_.sessionManager().open();
-        said(config_.name, front_.sessionManager().at());
+                         engine_.now() - snapshot->takenAt, engine_.nodeCount(), snapshot->openRequestIds.size());
+        if (config_.inheritedListenerFd >= 0) front_.sessionManager().open();
+        said(config_.name, front_.sessionManager().address());
     }
     void giveUpService() {
-        front_.sessionManager().leave();
-        front_.drain();  // clients go to the successor with their next request
+        front_.sessionManager().releaseListener();
+        front_.startDraining();  // clients go to the successor with their next request
         peers_.stop();
-        auto ids = front_.openIds();
-        hotRestart_->give({config_.name, engine_.now(), engine_.handOver(), std::move(ids)});
+        auto ids = front_.openRequestIds();
+        hotRestart_->give({config_.name, engine_.now(), engine_.takeSnapshot(), std::move(ids)});
         logger_.info("handover: given to the other process");
     }
     // Whether another process shares the limits; while one does, operators' overrides pass both ways.
@@ -177,7 +177,7 @@
             allow();
             logger_.info("handover: {}", two ? "two processes share the limits" : "alone");
         }
-        if (two) engine_.overridden(hotRestart_->exchange(engine_.overrides()));
+        if (two) engine_.applyOverrides(hotRestart_->exchange(engine_.overrides()));
         looking_.expires_after(kLookForOther);
         looking_.async_wait([this](const boost::system::error_code& stopped) {
             if (!stopped) look();
@@ -188,17 +188,17 @@
         for (const auto& c : config_.settings.classes) longest = std::max(longest, c.deadlineUs);
         return longest;
     }
-    operation::AdminHandler adminHandler() {
+    admin::AdminHandler adminHandler() {
         return {[this] { return !leaving_; },
                 [this] {
-                    operation::Metrics metrics{
-                        {}, engine_.counters(), engine_.open(), engine_.nodes(), engine_.avoided()};
+                    admin::AdminMetrics metrics{
+                        {}, engine_.counters(), engine_.openRequests(), engine_.nodeCount(), engine_.avoidedNodes()};
                     for (const auto& c : engine_.settings().classes) metrics.classes.push_back(c.name);
                     return metrics;
                 },
                 [this](const std::string& node, bool out) {
-                    if (hotRestart_) engine_.overridden(hotRestart_->exchange(engine_.overrides()));
-                    const bool known = engine_.outByHand(node, out);
+                    if (hotRestart_) engine_.applyOverrides(hotRestart_->exchange(engine_.overrides()));
+                    const bool known = engine_.setAdminDrain(node, out);
                     if (hotRestart_) hotRestart_->exchange(engine_.overrides());
                     logger_.info("by hand: {} {}{}", out ? "detach" : "attach", node,
                                  known ? "" : ", which was never listed");
@@ -218,15 +218,15 @@
     void reload() {
         try {
             auto fresh = config::parseConfig(config::readFile(path_));
-            discovery_.move(fresh.discovery);
-            peers_.know(fresh);
-            sockets_ = fresh.sockets;
+            discovery_.moveTo(fresh.discovery);
+            peers_.setPeers(fresh);
+            sockets_ = fresh.maxDescriptors;
             budget_ = budget(sockets_, two_, rsync_ != nullptr);
             allow();
-            const auto late = config::needRestart(config_, fresh);
+            const auto late = config::fieldsNeedingRestart(config_, fresh);
             ++reloads_;
             logger_.info("reloaded: discovery at {}:{}, {} peers, {} descriptors{}{}", fresh.discovery.host,
-                         fresh.discovery.port, fresh.peers.size(), fresh.sockets,
+                         fresh.discovery.port, fresh.peers.size(), fresh.maxDescriptors,
                          late.empty() ? "" : "; only a restart changes ", late);
         } catch (const std::exception& error) {
             ++badReloads_;
@@ -239,11 +239,11 @@
         kill_ = std::min<std::chrono::microseconds>(std::chrono::microseconds(longestDeadline()), kLongest) +
                 kBeforeKill;
         takenBefore_ = engine_.counters().taken;
-        logger_.info("stopping: {} requests open", engine_.open());
-        if (hotRestart_ && hotRestart_->role() == handover::HotRestart::Role::Successor) return end();
+        logger_.info("stopping: {} requests open", engine_.openRequests());
+        if (hotRestart_ && hotRestart_->role() == hot_restart::HotRestart::Role::Successor) return end();
         if (hotRestart_ && hotRestart_->successorWaits()) giveUpService();
-        else engine_.leaving(engine_.now() + (kill_ - kStopServing).count());
-        front_.answerBy(engine_.now() + (kill_ - kAnswerBy).count());
+        else engine_.shutdownStarted(engine_.now() + (kill_ - kStopServing).count());
+        front_.setResponseDeadline(engine_.now() + (kill_ - kAnswerBy).count());
         serveOn();
     }
     void after(std::chrono::milliseconds delay, void (Program::*next)()) {
@@ -252,25 +252,25 @@
     }
     void serveOn() {
         const auto since = std::chrono::steady_clock::now() - leavingSince_;
-        const bool given = hotRestart_ && hotRestart_->role() == handover::HotRestart::Role::Leaving;
-        if (since >= kNewClients && !given) front_.noMoreClients();
+        const bool given = hotRestart_ && hotRestart_->role() == hot_restart::HotRestart::Role::ShutdownStarted;
+        if (since >= kNewClients && !given) front_.expectNoNewConnections();
         const bool alone = front_.sessionManager().connections() == 0;
         if ((since < kKeepAccepting && !given) || (!alone && since < kill_ - kStopServing)) {
             return after(kLookEvery, &Program::serveOn);
         }
-        front_.drain();
+        front_.startDraining();
         front_.sessionManager().closeListener();
         if (rsync_) rsync_->sessionManager().closeListener();
         after(kLastRequests, &Program::lookWhetherDone);
     }
     // All that was taken is answered first; a connection that only began to ask holds nothing up for long.
     void lookWhetherDone() {
-        front_.sessionManager().retireIdle();
-        if (rsync_) rsync_->sessionManager().retireIdle();
+        front_.sessionManager().closeIdleGracefully();
+        if (rsync_) rsync_->sessionManager().closeIdleGracefully();
         const auto connections =
-            front_.sessionManager().held() + (rsync_ ? rsync_->sessionManager().held() : 0);
+            front_.sessionManager().sessionCount() + (rsync_ ? rsync_->sessionManager().sessionCount() : 0);
         const auto since = std::chrono::steady_clock::now() - leavingSince_;
-        if (engine_.open() > 0 || (connections > 0 && since < kill_ - kGone)) {
+        if (engine_.openRequests() > 0 || (connections > 0 && since < kill_ - kGone)) {
             return after(kLookEvery, &Program::lookWhetherDone);
         }
         end();
@@ -300,7 +300,7 @@
             "withdrawn={} "
             "too_late={}",
             c.taken, answers.delivered, answers.refused, answers.failed, c.disconnected, c.overdue,
-            engine_.open(), c.withdrawn, c.tooLate);
+            engine_.openRequests(), c.withdrawn, c.tooLate);
         logger_.info(
             "counters attempts: sent={} written={} ok={} error={} full={} timeout={} connect_failed={} "
             "reset={} "
@@ -316,7 +316,7 @@
             "silent={} slow={} unread={} repeated={} no_memory={} crowded={} pipelined={} hung_up={}",
             sessionManager.accepted(), sessionManager.connections(), f.requests, f.ok, f.refused, f.failed,
             f.malformed, f.tooLarge, f.unsupported, sessionManager.closedIdle(), f.silent, f.slow, f.unread,
-            f.repeated, f.noMemory, f.crowded, f.pipelined, sessionManager.hungUp());
+            f.repeated, f.noMemory, f.crowded, f.pipelined, sessionManager.detectHangUp());
         if (rsync_) {
             const auto& r = rsync_->counters();
             logger_.info(
@@ -330,8 +330,8 @@
                      pool_.reused());
         logger_.info("counters discovery: calls={} answers={} failed={} malformed={}", d.calls, d.answers,
                      d.failed, d.malformed);
-        logger_.info("counters tables: entries={} nodes={} avoided={} out_by_hand={}", engine_.kept(),
-                     engine_.nodes(), engine_.avoided(), engine_.outByHand());
+        logger_.info("counters tables: entries={} nodes={} avoided={} out_by_hand={}", engine_.tableEntries(),
+                     engine_.nodeCount(), engine_.avoidedNodes(), engine_.adminDrainedNodes());
         if (admin_) {
             const auto& o = admin_->counters();
             logger_.info("counters admin: connections={} open={} yes={} no={} malformed={} hung={}",
@@ -343,12 +343,12 @@
             logger_.info("counters handover: taken={} given={} refused={} overrides={} unwritten={}", h.taken,
                          h.given, h.refused, h.overrides, h.unwritten);
         }
-        const auto& a = engine_.arrival();
+        const auto& a = engine_.recovery();
         constexpr const char* kBy[] = {"nothing", "shutdown_notice", "everyone", "lease"};
         logger_.info(
             "counters fleet: clear_by={} lends={} lives={} shutdown_notices={} stale={} malformed={}",
-            a.clear(engine_.now()) ? kBy[int(a.by())] : "nothing", a.lends(engine_.now()), a.counters().lives,
-            a.counters().notices, a.counters().stale, a.counters().malformed);
+            a.isRecovered(engine_.now()) ? kBy[int(a.recoveryCause())] : "nothing", a.mayLend(engine_.now()), a.counters().newIncarnations,
+            a.counters().storedNotices, a.counters().stale, a.counters().malformed);
         logger_.info("counters reloads: done={} bad={}", reloads_, badReloads_);
         logger_.info("counters peers: sent={} received={} unsent={} unknown={} oversize={}", p.sent,
                      p.received, p.unsent, p.unknown, p.oversize);
@@ -369,8 +369,8 @@
     http::Front front_;
     std::unique_ptr<rsync::Front> rsync_;  // these three only where the operator's file has them
     std::unique_ptr<net::SessionManager> health_, agent_;
-    std::unique_ptr<handover::HotRestart> hotRestart_;  // where the platform holds the listening socket
-    std::unique_ptr<operation::AdminServer> admin_;     // where the configuration has mgmt
+    std::unique_ptr<hot_restart::HotRestart> hotRestart_;  // where the platform holds the listening socket
+    std::unique_ptr<admin::AdminServer> admin_;     // where the configuration has mgmt
     asio::signal_set signals_;
     asio::steady_timer closing_, looking_;
     bool leaving_ = false;
@@ -385,60 +385,60 @@
 
 struct Files {
     config::Config config;
-    config::Operator extra;
+    config::OperatorConfig extra;
 };
 
 const char* set(const std::string& text) { return text.empty() ? nullptr : text.c_str(); }
 
 config::Config readConfig(const cli::Files& files) {
-    if (files.config.empty()) throw config::Bad("PROXY_CONFIG: not set, and no --config");
+    if (files.config.empty()) throw config::ConfigError("PROXY_CONFIG: not set, and no --config");
     auto config = config::parseConfig(config::readFile(files.config));
-    config::fromEnvironment(config, set(files.mgmt), set(files.descriptor));
+    config::applyEnvironment(config, set(files.adminListen), set(files.descriptor));
     return config;
 }
 
 Files readFiles(const cli::Files& files) {
     Files read{readConfig(files), {}};
     if (!files.operators.empty())
-        read.extra = config::parseOperator(config::readFile(files.operators), read.config.settings);
+        read.extra = config::parseOperatorConfig(config::readFile(files.operators), read.config.settings);
     return read;
 }
 
 // Where the front is asked: what --mgmt or the environment says needs no configuration beside it.
 config::Endpoint deskOf(const cli::Files& files) {
-    if (!files.mgmt.empty()) return config::parseEndpoint(files.mgmt, "mgmt");
-    const auto at = readConfig(files).mgmt;
-    if (at.port == 0) throw config::Bad("mgmt: neither in the configuration nor told by --mgmt");
+    if (!files.adminListen.empty()) return config::parseEndpoint(files.adminListen, "mgmt");
+    const auto at = readConfig(files).adminListen;
+    if (at.port == 0) throw config::ConfigError("mgmt: neither in the configuration nor told by --mgmt");
     return at;
 }
 
-int run(const cli::Serve& command, log::Logger& logger) {
+int run(const cli::RunCommand& command, log::Logger& logger) {
     const auto read = readFiles(command.files);
     Program(command.files.config, read.config, read.extra, logger).run();
-    return cli::kDone;
+    return cli::kExitOk;
 }
 
-int run(const cli::Check& command, log::Logger&) {
+int run(const cli::CheckCommand& command, log::Logger&) {
     const auto read = readFiles(command.files);
     fmt::print("good: {} at {}:{}, {} peers, {} known nodes{}\n", read.config.name, read.config.listen.host,
-               read.config.listen.port, read.config.peers.size(), read.config.known.list.nodes.size(),
+               read.config.listen.port, read.config.peers.size(), read.config.cachedEndpoints.list.nodes.size(),
                command.files.operators.empty() ? ", no operator's file" : "");
-    return cli::kDone;
+    return cli::kExitOk;
 }
 
-int run(const cli::Ask& command, log::Logger& logger) {
+int run(const cli::AdminCommand& command, log::Logger& logger) {
     const auto at = deskOf(command.files);
-    const auto asked = operation::ask(at, command.call);
+    const auto asked = admin::sendAdminRequest(at, command.call);
     if (!asked.reply) {
         logger.error("no front answers at {}:{}: {}", at.host, at.port, asked.why);
-        return cli::kUnreachable;
+        return cli::kExitUnreachable;
     }
     const bool yes = asked.reply->status / 100 == 2;
     fmt::print(yes ? stdout : stderr, "{}", asked.reply->body);
-    return yes ? cli::kDone : cli::kNo;
+    return yes ? cli::kExitOk : cli::kExitDenied;
 }
 
-int run(const cli::End& command, log::Logger&) { return command.code; }
+int run(const cli::ExitCommand& command, log::Logger&) { return command.code; }
 
 }  // namespace
 
@@ -456,6 +456,6 @@
         return std::visit([&](const auto& c) { return run(c, logger); }, command);
     } catch (const std::exception& error) {
         logger.error("{}", error.what());
-        return cli::kWrong;
+        return cli::kExitUsage;
     }
 }
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -20,7 +20,7 @@
     : engine_(engine),
       at_(at),
       timing_(timing),
-      pushed_(!engine.settings().listOnRequest),
+      pushed_(!engine.settings().pollsEndpointList),
       againIn_(kAgain),
       pool_(engine.io(), {2, std::chrono::seconds(1), std::chrono::seconds(10)}),
       timeout_(engine.io()),
@@ -32,10 +32,10 @@
             timing_.patienceAnew, std::chrono::duration_cast<std::chrono::milliseconds>(grace / kMissedPart));
         againIn_ = std::min(againIn_, grace / kAgainPart);
     }
-    watch(true);
+    setWatching(true);
 }
 
-void Discovery::watch(bool on) {
+void Discovery::setWatching(bool on) {
     on_ = on;
     if (!on) {
         abandon();
@@ -44,7 +44,7 @@
     }
 }
 
-void Discovery::move(const config::Endpoint& to) {
+void Discovery::moveTo(const config::Endpoint& to) {
     if (to == at_) return;
     abandon();
     pool_.forget(at_);
@@ -103,8 +103,8 @@
     if (result != Exchange::Result::Answered) return fail("the connection broke");
     if (response.result_int() != 200) return fail("an answer other than 200");
     try {
-        engine_.news(config::parseHostList(response.body()));
-    } catch (const config::Bad& bad) {
+        engine_.endpointListReceived(config::parseEndpointListing(response.body()));
+    } catch (const config::ConfigError& bad) {
         ++counters_.malformed;
         engine_.logger().warn("discovery: list dropped, {}", bad.what());
         return fail("a malformed list");
@@ -121,7 +121,7 @@
     ++counters_.failed;
     abandon();
     engine_.logger().warn("discovery: call failed, {}", why);
-    engine_.lost();
+    engine_.endpointListUnavailable();
     if (!pushed_) return;
     again_.expires_after(againIn_);
     again_.async_wait([this](const boost::system::error_code& error) {
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -25,9 +25,9 @@
         std::uint64_t calls = 0, answers = 0, failed = 0, malformed = 0;
     };
     Discovery(Engine& engine, const config::Endpoint& at, WatchTiming timing = {});
-    void watch(bool on);  // as the module asks; a running watch goes on
+    void setWatching(bool on);  // as the module asks; a running watch goes on
     // To another address at once: the call under way is abandoned and the whole list asked for there.
-    void move(const config::Endpoint& to);
+    void moveTo(const config::Endpoint& to);
     void stop();
     const Counters& counters() const { return counters_; }
 
--- a/src/net/engine.cpp
+++ b/src/net/engine.cpp
@@ -9,13 +9,13 @@
       logger_(logger),
       bodies_(std::size_t(config.memoryMb) * 1024 * 1024 * 3 / 8),  // rings get a quarter
       settings_(config.settings),
-      known_(config.known),
+      known_(config.cachedEndpoints),
       state_(config.settings, core::Limits{config.connectTimeoutUs}, clock_.now()),
       wake_(io) {}
 
 void Engine::start() {
     started_ = true;
-    news(known_);
+    endpointListReceived(known_);
     closeBatch();
 }
 
@@ -32,7 +32,7 @@
     request.id = ++lastId_;
     const auto id = request.id;
     live_[id].transfer = std::move(transfer);
-    put(core::Arrived{std::move(request)});
+    put(RequestReceived{std::move(request)});
     return id;
 }
 
@@ -41,47 +41,47 @@
     put(core::ClientDisconnected{id});
 }
 
-void Engine::news(config::HostList hosts) {
-    if (hosts.list.kind != ListKind::Delta) addresses_.clear();
+void Engine::endpointListReceived(config::EndpointListing hosts) {
+    if (hosts.list.kind != EndpointListKind::Delta) addresses_.clear();
     for (std::size_t i = 0; i < hosts.list.nodes.size(); ++i) {
         const auto& node = hosts.list.nodes[i];
-        if (node.state == NodeState::Gone) addresses_.erase(node.id);
+        if (node.state == NodeState::Removed) addresses_.erase(node.id);
         else addresses_[node.id] = hosts.addresses[i];
     }
     listVersion_ = hosts.list.version;
-    put(core::News{std::move(hosts.list)});
+    put(EndpointListReceived{std::move(hosts.list)});
 }
 
-bool Engine::outByHand(const std::string& node, bool out) {
+bool Engine::setAdminDrain(const std::string& node, bool out) {
     if (!state_.everListed(node)) return false;
-    put(core::Overridden{node, {out, clock_.now()}});
+    put(core::AdminOverrideChanged{node, {out, clock_.now()}});
     return true;
 }
 
-void Engine::overridden(const core::AdminOverrides& overrides) {
-    for (const auto& [node, entry] : overrides) put(core::Overridden{node, entry});
+void Engine::applyOverrides(const core::AdminOverrides& overrides) {
+    for (const auto& [node, entry] : overrides) put(core::AdminOverrideChanged{node, entry});
 }
 
-Engine::Handed Engine::handOver() {
-    Handed handed{core::handOver(state_, clock_.now()), {}, listVersion_};
-    for (const auto& node : handed.core.listed) handed.addresses.push_back(addresses_[node.id]);
-    return handed;
+EngineSnapshot Engine::takeSnapshot() {
+    EngineSnapshot snapshot{core::takeSnapshot(state_, clock_.now()), {}, listVersion_};
+    for (const auto& node : snapshot.core.listed) snapshot.addresses.push_back(addresses_[node.id]);
+    return snapshot;
 }
 
-bool Engine::restore(Handed handed) {
-    const bool whole = core::restore(state_, handed.core);
-    known_ = {{ListKind::Saved, handed.listVersion, std::move(handed.core.listed)},
-              std::move(handed.addresses)};
+bool Engine::restore(EngineSnapshot snapshot) {
+    const bool whole = core::restore(state_, snapshot.core);
+    known_ = {{EndpointListKind::Cached, snapshot.listVersion, std::move(snapshot.core.listed)},
+              std::move(snapshot.addresses)};
     return whole;
 }
 
-void Engine::lost() { put(core::News{{ListKind::Lost, listVersion_, {}}}); }
+void Engine::endpointListUnavailable() { put(EndpointListReceived{{EndpointListKind::Unavailable, listVersion_, {}}}); }
 
 // Inputs change the state at once; the module decides when all that was ready together has been put in.
 void Engine::put(core::Input input) {
     if (stopped_) return;
     RequestId id = 0;  // no request's
-    if (const auto* ended = std::get_if<core::Ended>(&input)) {
+    if (const auto* ended = std::get_if<core::AttemptFinished>(&input)) {
         id = ended->id;
         if (const auto it = live_.find(id); it != live_.end()) it->second.out.erase(ended->attempt);
     }
@@ -96,7 +96,7 @@
 void Engine::closeBatch() {
     closing_ = false;
     if (stopped_) return;
-    run(core::reduce(state_, clock_.now(), core::CloseBatch{}));
+    run(core::reduce(state_, clock_.now(), core::BatchEnded{}));
     armWake();
 }
 
@@ -108,7 +108,7 @@
     wake_.async_wait([this](const boost::system::error_code& error) {
         if (error || stopped_) return;
         wakeAt_ = core::State::kNoWake;
-        put(core::Wake{});
+        put(core::TimerExpired{});
     });
 }
 
@@ -120,12 +120,12 @@
     const auto it = live_.find(e.id);
     const auto address = addresses_.find(e.node);
     if (it == live_.end() || !it->second.transfer || address == addresses_.end()) {
-        put(core::Ended{e.id, e.attempt, Outcome::ConnectFailed, 0, 0, {}});
+        put(core::AttemptFinished{e.id, e.attempt, Outcome::ConnectFailed, 0, 0, {}});
         return;
     }
     it->second.out[e.attempt] = nullptr;  // it may end before start() returns
     auto attempt = it->second.transfer->start(
-        {e.id, e.attempt, address->second, e.firstByteBy, e.giveUpAt, e.lastByteBy});
+        {e.id, e.attempt, address->second, e.firstByteBy, e.timeoutAt, e.lastByteBy});
     const auto now = live_.find(e.id);
     if (now == live_.end()) return;
     if (const auto slot = now->second.out.find(e.attempt); slot != now->second.out.end())
@@ -154,25 +154,25 @@
     return transfer;
 }
 
-void Engine::run(const core::Deliver& e) {
+void Engine::run(const core::DeliverResponse& e) {
     if (const auto transfer = finish(e.id)) transfer->deliver(e.attempt);
 }
-void Engine::run(const core::RefuseClient& e) {
+void Engine::run(const core::SendRejection& e) {
     if (const auto transfer = finish(e.id)) transfer->refuse(e.retryAfterUs);
 }
-void Engine::run(const core::FailClient& e) {
+void Engine::run(const core::SendFailure& e) {
     if (const auto transfer = finish(e.id)) transfer->fail();
 }
-void Engine::run(const core::Tell& e) {
-    if (outlets_.tell) outlets_.tell(e.to, e.bytes);
+void Engine::run(const SendPeerMessage& e) {
+    if (effectHandlers_.sendPeerMessage) effectHandlers_.sendPeerMessage(e.to, e.bytes);
 }
-void Engine::run(const core::Watch& e) {
-    if (outlets_.watch) outlets_.watch(e.on);
+void Engine::run(const WatchEndpointList& e) {
+    if (effectHandlers_.watchEndpointList) effectHandlers_.watchEndpointList(e.enabled);
 }
-void Engine::run(const core::ProbeStart& e) {
+void Engine::run(const StartHealthCheck& e) {
     const auto address = addresses_.find(e.node);
-    if (address != addresses_.end() && outlets_.probe) outlets_.probe(e.node, address->second);
+    if (address != addresses_.end() && effectHandlers_.startHealthCheck) effectHandlers_.startHealthCheck(e.node, address->second);
 }
-void Engine::run(const core::Say& e) { logger_.info("module: {}", e.text); }
+void Engine::run(const LogLine& e) { logger_.info("module: {}", e.text); }
 
 }  // namespace wingproxy::net
--- a/src/net/engine.h
+++ b/src/net/engine.h
@@ -18,11 +18,11 @@
 namespace wingproxy::net {
 
 // What an attempt needs to know of its place and time.
-struct AttemptOrder {
+struct AttemptParams {
     RequestId id = 0;
     int attempt = 0;
     config::Endpoint node;
-    Micros firstByteBy = 0, giveUpAt = 0, lastByteBy = core::StartAttempt::kNever;
+    Micros firstByteBy = 0, timeoutAt = 0, lastByteBy = core::StartAttempt::kNever;
 };
 
 // One attempt on the wire. It calls Engine::ended once, unless it is abandoned first.
@@ -37,52 +37,59 @@
 class Transfer {
 public:
     virtual ~Transfer() = default;
-    virtual std::shared_ptr<Attempt> start(const AttemptOrder& order) = 0;
+    virtual std::shared_ptr<Attempt> start(const AttemptParams& order) = 0;
     virtual void deliver(int attempt) = 0;  // that attempt's answer, which ended as Ok
     virtual void refuse(Micros retryAfterUs) = 0;
     virtual void fail() = 0;
 };
 
+/// What a successor process starts from; see `Engine::takeSnapshot`.
+struct EngineSnapshot {
+    core::StateSnapshot core;
+    std::vector<config::Endpoint> addresses;  ///< beside core.listed
+    std::int64_t listVersion = 0;
+};
+
 class Engine {
 public:
-    struct Outlets {
-        std::function<void(int to, const std::string&)> tell;
-        std::function<void(bool)> watch;
-        std::function<void(const std::string& id, const config::Endpoint&)> probe;
+    /// Where effects go that concern no request.
+    struct EffectHandlers {
+        std::function<void(int to, const std::string&)> sendPeerMessage;
+        std::function<void(bool)> watchEndpointList;
+        std::function<void(const std::string& id, const config::Endpoint&)> startHealthCheck;
     };
     Engine(boost::asio::io_context& io, const config::Config& config, log::Logger& logger);
-    void connect(Outlets outlets) { outlets_ = std::move(outlets); }
-    void start();  // the saved list, then the module's first actions
-    void stop();   // no more timers; what is open is dropped
+    void setEffectHandlers(EffectHandlers handlers) { effectHandlers_ = std::move(handlers); }
+    void start();  ///< the cached endpoint list, then the policy's first actions
+    void stop();   ///< no more timers; what is open is dropped
 
-    RequestId submit(Request request, std::shared_ptr<Transfer> transfer);  // the id is given here
+    RequestId submit(Request request, std::shared_ptr<Transfer> transfer);  ///< the id is given here
     void clientDisconnected(RequestId id);
-    void crowded(int places) { put(core::Crowded{places}); }
-    void leaving(Micros untilUs) { put(core::Leaving{untilUs}); }
-    void written(RequestId id, int attempt) { put(core::Written{id, attempt}); }
-    void answering(RequestId id, int attempt) { put(core::Answering{id, attempt}); }
-    // freely: the node has done its work, and no deadline runs any more.
-    void streaming(RequestId id, int attempt, bool freely = false) {
-        put(core::Streaming{id, attempt, freely});
+    void capacityNeeded(int connections) { put(CapacityNeeded{connections}); }
+    void shutdownStarted(Micros servesUntilUs) { put(ShutdownStarted{servesUntilUs}); }
+    void attemptRequestSent(RequestId id, int attempt) { put(core::AttemptRequestSent{id, attempt}); }
+    void responseHeadReceived(RequestId id, int attempt) { put(core::ResponseHeadReceived{id, attempt}); }
+    /// \param unbounded the node has done its work, and no deadline runs any more
+    void responseForwardingStarted(RequestId id, int attempt, bool unbounded = false) {
+        put(core::ResponseForwardingStarted{id, attempt, unbounded});
     }
-    void filled(RequestId id, Micros deadlineUs) { put(core::Filled{id, deadlineUs}); }
-    void ended(core::Ended how) { put(std::move(how)); }
-    void news(config::HostList hosts);
-    // An operator's override of a node, which stands above the list; false: the id was never listed.
-    bool outByHand(const std::string& node, bool out);
-    void overridden(const core::AdminOverrides& overrides);  // by operators, to another process of this front
+    void requestBodyCompleted(RequestId id, Micros deadlineUs) { put(RequestBodyCompleted{id, deadlineUs}); }
+    void attemptFinished(core::AttemptFinished result) { put(std::move(result)); }
+    void endpointListReceived(config::EndpointListing listing);
+    void endpointListUnavailable();
+    void peerMessageReceived(int from, std::string bytes) { put(PeerMessageReceived{from, std::move(bytes)}); }
+    void healthCheckCompleted(HealthCheckCompleted check) { put(std::move(check)); }
+
+    /// An operator's order about a node, which stands above the endpoint list.
+    /// \return false: the id was never listed
+    bool setAdminDrain(const std::string& node, bool drained);
+    void applyOverrides(const core::AdminOverrides& overrides);  ///< given to another process of this front
     const core::AdminOverrides& overrides() const { return state_.overrides(); }
-    // What a successor starts from. What is open here is finished.
-    struct Handed {
-        core::Handed core;
-        std::vector<config::Endpoint> addresses;  // beside core.listed
-        std::int64_t listVersion = 0;
-    };
-    Handed handOver();
-    bool restore(Handed handed);  // before start(); false: without the module's memory
-    void lost();
-    void heard(int from, std::string bytes) { put(core::Heard{from, std::move(bytes)}); }
-    void probed(core::Probed probe) { put(std::move(probe)); }
+
+    /// What a successor starts from. What is open here is finished.
+    EngineSnapshot takeSnapshot();
+    /// To be called before start(). \return false: the policy's part did not fit these settings and is left out
+    bool restore(EngineSnapshot snapshot);
 
     boost::asio::io_context& io() { return io_; }
     Micros now() const { return clock_.now(); }
@@ -90,13 +97,13 @@
     ByteBudget& bodies() { return bodies_; }
     const Settings& settings() const { return settings_; }
     log::Logger& logger() { return logger_; }
-    std::size_t open() const { return state_.open(); }
-    std::size_t nodes() const { return addresses_.size(); }  // on the list
-    std::size_t avoided() const { return state_.avoided(); }
-    std::size_t outByHand() const { return state_.outByHand(); }
-    const fleet::Arrival& arrival() const { return state_.arrival(); }
+    std::size_t openRequests() const { return state_.openRequests(); }
+    std::size_t nodeCount() const { return addresses_.size(); }  ///< on the endpoint list
+    std::size_t avoidedNodes() const { return state_.avoidedNodes(); }
+    std::size_t adminDrainedNodes() const { return state_.adminDrainedNodes(); }
+    const fleet::RestartRecovery& recovery() const { return state_.recovery(); }
     std::int64_t listVersion() const { return listVersion_; }
-    std::size_t kept() const { return state_.kept() + live_.size() + addresses_.size(); }
+    std::size_t tableEntries() const { return state_.tableEntries() + live_.size() + addresses_.size(); }
     const core::Counters& counters() const { return state_.counters(); }
 
 private:
@@ -111,13 +118,13 @@
     void run(const core::Effects& effects);
     void run(const core::StartAttempt& e);
     void run(const core::StopAttempt& e);
-    void run(const core::Deliver& e);
-    void run(const core::RefuseClient& e);
-    void run(const core::FailClient& e);
-    void run(const core::Tell& e);
-    void run(const core::Watch& e);
-    void run(const core::ProbeStart& e);
-    void run(const core::Say& e);
+    void run(const core::DeliverResponse& e);
+    void run(const core::SendRejection& e);
+    void run(const core::SendFailure& e);
+    void run(const SendPeerMessage& e);
+    void run(const WatchEndpointList& e);
+    void run(const StartHealthCheck& e);
+    void run(const LogLine& e);
     std::shared_ptr<Transfer> finish(RequestId id);  // its transfer, if it had no answer yet
     void dropAttempt(RequestId id, int attempt);
 
@@ -126,12 +133,12 @@
     Clock clock_;
     ByteBudget bodies_;
     Settings settings_;
-    config::HostList known_;
+    config::EndpointListing known_;
     core::State state_;
     boost::asio::steady_timer wake_;
     Micros wakeAt_ = core::State::kNoWake;
     bool closing_ = false, started_ = false, stopped_ = false;
-    Outlets outlets_;
+    EffectHandlers effectHandlers_;
     std::unordered_map<RequestId, Live> live_;
     std::map<std::string, config::Endpoint, std::less<>> addresses_;
     std::int64_t listVersion_ = 0;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -26,13 +26,13 @@
 
 void Listener::open() { accept(); }
 
-void Listener::leave() {
+void Listener::release() {
     boost::system::error_code ignored;
     acceptor_.close(ignored);
     pause_.cancel();
 }
 
-config::Endpoint Listener::at() const {
+config::Endpoint Listener::address() const {
     const auto bound = acceptor_.local_endpoint();
     return {bound.address().to_string(), bound.port()};
 }
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -21,8 +21,8 @@
     Listener(boost::asio::io_context& io, const config::Endpoint& at, Hooks hooks, int inherited = -1);
     void open();                  // from now on it accepts
     void close();                 // takes what the system has accepted, then closes
-    void leave();                 // closes this process's descriptor; what waits is another's
-    config::Endpoint at() const;  // as bound
+    void release();                 // closes this process's descriptor; what waits is another's
+    config::Endpoint address() const;  // as bound
 
 private:
     void accept();
--- a/src/net/node_attempt.cpp
+++ b/src/net/node_attempt.cpp
@@ -10,7 +10,7 @@
         if (connection && self->engine_.now() <= self->order_.firstByteBy)
             return self->connected(std::move(connection));
         if (connection) self->late(std::move(connection));
-        core::Ended failed;
+        core::AttemptFinished failed;
         failed.outcome = Outcome::ConnectFailed;
         self->end(std::move(failed));
     });
@@ -22,12 +22,12 @@
     drop();
 }
 
-void NodeAttempt::end(core::Ended how) {
+void NodeAttempt::end(core::AttemptFinished how) {
     if (over_) return;
     abandon();
     how.id = order_.id;
     how.attempt = order_.attempt;
-    engine_.ended(std::move(how));
+    engine_.attemptFinished(std::move(how));
 }
 
 }  // namespace wingproxy::net
--- a/src/net/node_attempt.h
+++ b/src/net/node_attempt.h
@@ -8,7 +8,7 @@
 
 class NodeAttempt : public Attempt, public std::enable_shared_from_this<NodeAttempt> {
 public:
-    NodeAttempt(Engine& engine, NodePool& pool, const AttemptOrder& order)
+    NodeAttempt(Engine& engine, NodePool& pool, const AttemptParams& order)
         : engine_(engine), pool_(pool), order_(order) {}
     void start();
     void abandon() override;
@@ -17,11 +17,11 @@
     virtual void connected(std::shared_ptr<Connection> connection) = 0;  // in time: bytes may go out
     virtual void late(std::shared_ptr<Connection>) {}                    // up, but no byte may go out
     virtual void drop() = 0;                                             // closes what is open
-    void end(core::Ended how);                                           // tells the engine, once
+    void end(core::AttemptFinished how);                                           // tells the engine, once
 
     Engine& engine_;
     NodePool& pool_;
-    AttemptOrder order_;
+    AttemptParams order_;
     bool over_ = false;
 
 private:
--- a/src/net/node_pool.h
+++ b/src/net/node_pool.h
@@ -45,7 +45,7 @@
     void release(std::shared_ptr<Connection> connection);         // whole, nothing unread: may serve again
     void forget(const config::Endpoint& to) { idle_.erase(to); }  // closes what is idle there
     void clear();  // closes what is idle; later releases close too
-    void allow(std::size_t most) { limits_.most = most; }
+    void setCapacity(std::size_t most) { limits_.most = most; }
     std::size_t open() const { return *open_; }
     std::uint64_t opened() const { return opened_; }
     std::uint64_t reused() const { return reused_; }
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -12,8 +12,8 @@
 }  // namespace
 
 Peers::Peers(Engine& engine, const config::Config& config, bool opened)
-    : engine_(engine), socket_(engine.io()), listen_(config.peerListen), self_(config.settings.host) {
-    know(config);
+    : engine_(engine), socket_(engine.io()), listen_(config.peerListen), self_(config.settings.hostIndex) {
+    setPeers(config);
     if (opened) open();
 }
 
@@ -25,7 +25,7 @@
     receive();
 }
 
-void Peers::know(const config::Config& config) {
+void Peers::setPeers(const config::Config& config) {
     all_ = udpEndpoint(config.peersAll);
     numbers_.clear();
     peers_.clear();
@@ -35,7 +35,7 @@
     }
 }
 
-void Peers::tell(int to, const std::string& bytes) {
+void Peers::send(int to, const std::string& bytes) {
     if (!socket_.is_open()) return;
     const bool known = to < 0 || std::size_t(to) < peers_.size();
     if (!known || to == self_ || bytes.empty() || bytes.size() > kMost) {
@@ -67,7 +67,7 @@
                                        ++counters_.unknown;
                                    else {
                                        ++counters_.received;
-                                       engine_.heard(from->second, std::string(buffer_.data(), n));
+                                       engine_.peerMessageReceived(from->second, std::string(buffer_.data(), n));
                                    }
                                    receive();
                                });
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -18,8 +18,8 @@
     };
     Peers(Engine& engine, const config::Config& config, bool opened = true);
     void open();                              // binds; another process of this front must have let go
-    void know(const config::Config& config);  // the peers' addresses, at the start and anew
-    void tell(int to, const std::string& bytes);
+    void setPeers(const config::Config& config);  // the peers' addresses, at the start and anew
+    void send(int to, const std::string& bytes);
     void stop();
     const Counters& counters() const { return counters_; }
 
--- a/src/net/session.cpp
+++ b/src/net/session.cpp
@@ -133,7 +133,7 @@
     return error ? 0 : bytes;
 }
 
-void Session::touch() {
+void Session::markActive() {
     sessionManager_.sessions_.splice(sessionManager_.sessions_.end(), sessionManager_.sessions_, place_);
 }
 
@@ -144,7 +144,7 @@
     close();
 }
 
-bool Session::hungUp() {
+bool Session::detectHangUp() {
     if (!open_ || reading_ || lingering_) return false;  // a read tells
     pollfd at{socket_.native_handle(), POLLRDHUP, 0};
     return ::poll(&at, 1, 0) > 0 && (at.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
@@ -180,33 +180,33 @@
                      session->place_ = sessions_.insert(sessions_.end(), session);
                      session->start();
                  },
-                 [this] { return sessions_.size() >= most_; }, [this] { return closeOldestIdle(); }},
+                 [this] { return sessions_.size() >= most_; }, [this] { return evictOne(); }},
                 inherited),
-      at_(listener_.at()),
+      at_(listener_.address()),
       tender_(io) {
     if (inherited < 0) open();
-    tend();
+    sweep();
 }
 
-void SessionManager::tend() {
+void SessionManager::sweep() {
     for (auto it = sessions_.begin(); it != sessions_.end();) {
         const auto held = *it++;  // which may close itself, but no other
-        if (!held->lingering_) held->tend();
-        if (held->hungUp()) {
+        if (!held->lingering_) held->sweep();
+        if (held->detectHangUp()) {
             ++hungUp_;
             held->disconnected(), held->close();
         }
     }
     tender_.expires_after(kTendEvery);
     tender_.async_wait([this](const boost::system::error_code& stopped) {
-        if (!stopped) tend();
+        if (!stopped) sweep();
     });
 }
 
-bool SessionManager::closeOldestIdle() {
+bool SessionManager::evictOne() {
     std::shared_ptr<Session> first;
     for (const auto& session : sessions_)
-        if ((!first || session->givesWay() < first->givesWay()) && session->spare()) first = session;
+        if ((!first || session->evictionPriority() < first->evictionPriority()) && session->spare()) first = session;
     if (!first) return false;
     ++closedIdle_;
     first->evict();
@@ -215,12 +215,12 @@
 
 void SessionManager::closeListener() { listener_.close(); }
 
-void SessionManager::retireIdle() {
+void SessionManager::closeIdleGracefully() {
     // In the next turn: what was read in this one may not have been looked at yet.
     for (const auto& session : sessions_)
         if (!session->lingering_ && session->idle())
             boost::asio::post(io_, [held = session] {
-                if (held->open_ && !held->lingering_ && held->idle() && held->unread() == 0) held->retire();
+                if (held->open_ && !held->lingering_ && held->idle() && held->unread() == 0) held->closeGracefully();
             });
 }
 
--- a/src/net/session.h
+++ b/src/net/session.h
@@ -22,15 +22,15 @@
     virtual void start() { read(); }
     virtual bool idle() const = 0;  // nothing is owed to the client: it may be closed
     // Of those that may be closed to make room, the lowest first, and of equals the longest untouched.
-    virtual int givesWay() const { return 0; }
-    virtual void tend() {}  // looked at by its session manager now and then: closes what has waited too long
+    virtual int evictionPriority() const { return 0; }
+    virtual void sweep() {}  // looked at by its session manager now and then: closes what has waited too long
     void close();  // at once; what came meanwhile is read and dropped, as unread bytes would reset it
     // At a stop, when nothing is owed: closes without a reset, and what still comes is not served.
-    virtual void retire() { linger(); }
+    virtual void closeGracefully() { linger(); }
     // In a full house, when nothing is owed: leaves its place at once.
     virtual void evict() { close(); }
     // The client closed or reset its connection, though nothing is read from it now: its ring is full.
-    bool hungUp();
+    bool detectHangUp();
 
 protected:
     virtual void received() = 0;    // there is more in in_
@@ -43,11 +43,11 @@
     // poke() tells of it later; endFeed() when there will be none.
     using Source = std::function<void(RingBuffer& out)>;
     void feed(Source source);
-    void poke() { write(); }
+    void resumeFeed() { write(); }
     void endFeed();
     // Nothing more to say: the client closes, falls quiet, or a bound.
     void linger(std::chrono::milliseconds most = std::chrono::milliseconds(2'000));
-    void touch();  // now the last of the idle ones to be closed
+    void markActive();  // now the last of the idle ones to be closed
     bool open() const { return open_; }
     void reset();                // closes so that the client sees a break
     std::size_t unread() const;  // bytes that wait in the system
@@ -78,25 +78,25 @@
                    std::size_t ring = kMostRing,
                    int inherited = -1);  // inherited: see Listener; accepts after open()
     void open() { listener_.open(); }
-    void leave() { listener_.leave(); }
+    void releaseListener() { listener_.release(); }
     void closeListener();  // first takes the clients that wait
-    void retireIdle();     // closes gracefully what owes nothing
+    void closeIdleGracefully();     // closes gracefully what owes nothing
     void stop();
     std::size_t connections() const { return sessions_.size() - lingering_; }  // that may still ask
-    std::size_t held() const { return sessions_.size(); }                      // and those that only end
+    std::size_t sessionCount() const { return sessions_.size(); }                      // and those that only end
     std::uint64_t accepted() const { return accepted_; }
     std::uint64_t closedIdle() const { return closedIdle_; }
-    std::uint64_t hungUp() const { return hungUp_; }  // noticed while their bytes were not read
-    std::size_t most() const { return most_; }
-    void allow(std::size_t most) { most_ = most; }
+    std::uint64_t detectHangUp() const { return hungUp_; }  // noticed while their bytes were not read
+    std::size_t capacity() const { return most_; }
+    void setCapacity(std::size_t most) { most_ = most; }
     std::size_t ring() const { return ring_; }  // bytes a direction of each connection
-    config::Endpoint at() const { return at_; }
+    config::Endpoint address() const { return at_; }
     boost::asio::io_context& io() { return io_; }
 
 private:
     friend class Session;
-    bool closeOldestIdle();  // of those that give way first
-    void tend();
+    bool evictOne();  // of those that give way first
+    void sweep();
     boost::asio::io_context& io_;
     std::size_t most_, ring_;
     std::size_t lingering_ = 0;
--- a/src/policy/memory_archive.cpp
+++ b/src/policy/memory_archive.cpp
@@ -63,7 +63,7 @@
 }
 template <typename A>
 void serialize(A& a, Memory& m) {
-    a(m.startedAt, m.settledAt, m.lastTell, m.lastForget, m.arrival, m.nextSeq, m.nodes, m.unusedNodes,
+    a(m.startedAt, m.settledAt, m.lastTell, m.lastForget, m.recovery, m.nextSeq, m.nodes, m.unusedNodes,
       m.nodeIndex, m.cells, m.volumes, m.shared, m.rolls, m.askBytes, m.taken, m.furtherSends);
 }
 
@@ -76,9 +76,9 @@
 // Both processes must mean the same by an index of a plan, a class, a cell or a host, and write the same
 // fields.
 std::vector<double> fingerprint(const Settings& s) {
-    std::vector<double> sum{kLayout, double(s.host), double(s.hosts), double(s.cells),
+    std::vector<double> sum{kLayout, double(s.hostIndex), double(s.hostCount), double(s.cellCount),
                             double(s.classes.size())};
-    for (const auto& p : s.plans) sum.insert(sum.end(), {p.rate, p.reserve, p.limit, p.limitBurst});
+    for (const auto& p : s.plans) sum.insert(sum.end(), {p.baseRate, p.guaranteedRate, p.limit, p.limitBurst});
     return sum;
 }
 
@@ -123,7 +123,7 @@
     }
     if (!sound(fresh)) return false;
     fresh.now = into.now;
-    fresh.shortestAim = into.shortestAim;
+    fresh.shortestLatencyObjective = into.shortestLatencyObjective;
     fresh.actions = std::move(into.actions);
     for (auto& c : fresh.cells)
         if (const auto s = fresh.shared.find(c.key); c.key != 0 && s != fresh.shared.end())
