--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -90,10 +90,10 @@
 struct Policy::Impl : Memory {
     Impl(const Settings& settings, Micros t) {
         set = settings, now = startedAt = t, askBytes = kBytesKept;
-        arrival = fleet::Arrival({set.host, set.hosts, kLease, set.mayTellPeers}, t);
-        cells.resize(static_cast<std::size_t>(std::max(set.cells, 0)));
-        shortestAim = set.shortestAim();
-        if (shortestAim == 0) shortestAim = kNoAim;
+        recovery = fleet::RestartRecovery({set.hostIndex, set.hostCount, kLease, set.mayGossip}, t);
+        cells.resize(static_cast<std::size_t>(std::max(set.cellCount, 0)));
+        shortestLatencyObjective = set.shortestLatencyObjective();
+        if (shortestLatencyObjective == 0) shortestLatencyObjective = kNoAim;
         act(SetTimer{kTick, kTickToken});
         nextList = now + spread(listTurn());
         watch(), settle(), greet();
@@ -115,12 +115,12 @@
         v.reserveAt = v.tokensAt = now;
         if (v.plan < 0) return v;
         const PlanInfo& p = set.plans.at(v.plan);
-        v.reserveTokens = p.reserve / v.hosts + set.maxUnits;
+        v.reserveTokens = p.guaranteedRate / v.hosts + set.maxUnits;
         if (!(v.limited = p.limit > 0)) return v;
         // Base + home = limit / hosts at every host, in rate and burst: the sum needs no message to arrive.
         const double homeRate = p.limit / v.hosts, homeCap = p.limitBurst / v.hosts;
         v.home = std::max(kLeastHome, int(std::lround(double(kChunks) / v.hosts)));
-        v.baseRate = std::min(p.reserve / v.hosts, homeRate);
+        v.baseRate = std::min(p.guaranteedRate / v.hosts, homeRate);
         v.baseCap = homeCap * v.baseRate / homeRate;
         v.chunkRate = (homeRate - v.baseRate) / v.home;
         v.chunkCap = (homeCap - v.baseCap) / v.home;
@@ -156,13 +156,13 @@
     bool settled() const { return settledAt <= now; }
 
     void settle() {
-        if (settled() || !arrival.clear(now)) return;
+        if (settled() || !recovery.isRecovered(now)) return;
         for (auto& [name, v] : volumes) refill(v);  // up to now without the home
         settledAt = now;
     }
 
     void greet() {
-        for (const auto& m : arrival.due(now)) act(TellPeer{m.to, m.bytes});
+        for (const auto& m : recovery.dueDatagrams(now)) act(SendPeerMessage{m.to, m.bytes});
     }
 
     int chunksHeld(const Volume& v) const {
@@ -187,18 +187,18 @@
 
     // Records for one host leave in one message when the batch ends, or sooner when it is full.
     void tell(int to, const peer::Record& r) {
-        if (to == set.host) return hear(to, r);
-        if (!set.mayTellPeers || set.hosts <= 1) return;
+        if (to == set.hostIndex) return hear(to, r);
+        if (!set.mayGossip || set.hostCount <= 1) return;
         std::string& m = outbox[to];
         if (m.size() + peer::sizeOf(peer::Tag(r.tag)) > kMessageBytes)
-            act(TellPeer{to, std::exchange(m, {})});
-        if (m.empty()) m = peer::header(arrival.life());
+            act(SendPeerMessage{to, std::exchange(m, {})});
+        if (m.empty()) m = peer::header(recovery.incarnation());
         peer::add(m, r);
     }
 
     // Asks for chunks where demand passes the claim, returns them where it fell below.
     void lease(Volume& v) {
-        if (!v.limited || v.hosts <= 1 || !set.mayTellPeers || v.chunkRate <= 0) return;
+        if (!v.limited || v.hosts <= 1 || !set.mayGossip || v.chunkRate <= 0) return;
         refill(v);
         std::erase_if(v.lent, [&](const Loan& l) { return l.until <= now; });
         const double demand = demandOf(v);
@@ -240,7 +240,7 @@
                          [](const auto& l, const auto& r) { return l.first < r.first; });
         for (const auto& [peer, ask] : asks) {
             const auto it = byHash.find(ask.a);
-            if (it == byHash.end() || it->second->chunkRate <= 0 || !arrival.lends(now)) continue;
+            if (it == byHash.end() || it->second->chunkRate <= 0 || !recovery.mayLend(now)) continue;
             Volume& v = *it->second;
             v.neededAt = now;
             refill(v);
@@ -263,20 +263,20 @@
 
     // ------------------------------------------------------------ peer messages
 
-    void on(const PeerMessage& m) {
-        if (m.from == set.host || m.from < 0 || m.from >= set.hosts) return;
+    void on(const PeerMessageReceived& m) {
+        if (m.from == set.hostIndex || m.from < 0 || m.from >= set.hostCount) return;
         std::uint64_t theirLife = 0;
         std::vector<peer::Record> records;      // all or none: malformed, cut or foreign has no effect
-        fleet::Arrival::Heard heard;
-        if (fleet::Arrival::speaks(m.bytes)) heard = arrival.heard(m.from, m.bytes, now);
+        fleet::RestartRecovery::DatagramResult heard;
+        if (fleet::RestartRecovery::isRecoveryDatagram(m.bytes)) heard = recovery.handleDatagram(m.from, m.bytes, now);
         else if (peer::read(m.bytes, theirLife, records))
-            heard.life = arrival.met(m.from, std::uint32_t(theirLife), now);
-        else return arrival.unreadable();
-        if (heard.life == fleet::Arrival::Life::Stale) return;
+            heard.status = recovery.observeIncarnation(m.from, std::uint32_t(theirLife), now);
+        else return recovery.countMalformed();
+        if (heard.status == fleet::RestartRecovery::IncarnationStatus::Stale) return;
         // A new life knows nothing of its loans: give them back.
-        if (heard.life == fleet::Arrival::Life::Fresh)
+        if (heard.status == fleet::RestartRecovery::IncarnationStatus::New)
             for (auto& [name, v] : volumes) refill(v), v.borrowed.erase(m.from);
-        for (const auto& reply : heard.replies) act(TellPeer{reply.to, reply.bytes});
+        for (const auto& reply : heard.replies) act(SendPeerMessage{reply.to, reply.bytes});
         settle();
         for (const auto& r : records) {
             if (r.tag == peer::kAsk) {
@@ -314,14 +314,14 @@
         const double rate = s.use.get(now, kTellMemory), known = s.told.get(now, kTellMemory);
         const double step = 0.75 * set.meanUnits * 1e6 / double(kTellMemory);
         const bool changed = std::abs(rate - known) >= std::max(kTellPart * known, step) ||
-                             waited > kAimPart * double(shortestAim);
+                             waited > kAimPart * double(shortestLatencyObjective);
         if (now - s.told.at < (out != s.toldOut ? kTellEvery / 4 : changed ? kTellEvery : -kNever)) return;
         s.told = {rate, now};
         s.toldOut = out;
         const auto word = std::uint64_t(std::min(65535.0, rate * 16));
         const auto served = std::uint64_t(std::min(std::exchange(s.borne, 0), 255.0));
         const auto state = peer::waitCode(waited) | std::uint64_t(std::min(out, 255)) << 8 | served << 16;
-        tell(int(key % std::uint32_t(set.hosts)), {join ? peer::kJoin : peer::kUse, key, word, state});
+        tell(int(key % std::uint32_t(set.hostCount)), {join ? peer::kJoin : peer::kUse, key, word, state});
     }
 
     double aged(const Rate& wait) const { return std::max(0.0, wait.value - kDrain * double(now - wait.at)); }
@@ -333,7 +333,7 @@
             if (it == shared.end()) return;
             Shared& s = it->second;
             if (r.tag == peer::kOthers) s.others = {double(r.b) / 16, now, peer::rateOf(r.c >> 8)};
-            else if (int(r.b) < set.hosts && int(r.b) != set.host) s.peers.insert(int(r.b));
+            else if (int(r.b) < set.hostCount && int(r.b) != set.hostIndex) s.peers.insert(int(r.b));
             for (std::size_t i = 0; s.cell >= 0 && (r.c & 255) > 0 && i < cells[s.cell].nodes.size(); ++i) {
                 Node& n = nodes.at(cells[s.cell].nodes[i]);
                 n.latency = n.floor() * n.units + peer::waitOf(r.c & 255);
@@ -371,7 +371,7 @@
     double bears(const Roll& r) const { return now < r.coldUntil ? r.served.get(now, kRateMemory) : 0; }
 
     void tellRolls() {
-        const double least = set.meanUnits / 4, calm = kAimPart * double(shortestAim);
+        const double least = set.meanUnits / 4, calm = kAimPart * double(shortestLatencyObjective);
         for (auto& [key, roll] : rolls) {
             std::erase_if(roll.members,
                           [&](const auto& m) { return m.second.use.get(now, kTellMemory) < least / 8; });
@@ -403,7 +403,7 @@
     }
 
     double latencyOf(const Node& n) const {
-        if (n.latency <= 0) return double(shortestAim) / 4;
+        if (n.latency <= 0) return double(shortestLatencyObjective) / 4;
         const double left = n.latency - kDrain * double(now - n.heardAt);
         return std::max(std::min(n.latency, n.floor() * n.units), left);
     }
@@ -411,30 +411,30 @@
     // Whether this host may send a cold node so many units: in the rule's span what it answered and a
     // little ahead. Rejected and unanswered work is not given back, so a node that chokes is left alone.
     bool coldTakes(Node& n, double units) {
-        if (!coldNode(n) || set.coldSpanUs <= 0) return true;
+        if (!coldNode(n) || set.slowStartWindowUs <= 0) return true;
         if (handedOver) return false;
-        while (!n.coldSends.empty() && now - n.coldSends.front().first > set.coldSpanUs)
+        while (!n.coldSends.empty() && now - n.coldSends.front().first > set.slowStartWindowUs)
             n.coldSends.pop_front();
         double open = 0, answered = 0;
         for (const auto& [at, sum] : n.coldSends) open += sum, answered -= std::min(0.0, sum);
-        const double push = 1 + kColdAhead * (set.coldMultiple - 1);
+        const double push = 1 + kColdAhead * (set.slowStartOverloadFactor - 1);
         const double ahead = std::max((push - 1) * answered, std::min(answered, set.maxUnits));
         return n.coldTurn + n.coldDraw * units >= units ||
-               std::max(set.coldUnits / set.hosts, ahead) - std::max(0.0, open) >= units;
+               std::max(set.slowStartUnits / set.hostCount, ahead) - std::max(0.0, open) >= units;
     }
 
     // Many heads take turns at what is borne in any case: of all that is asked so much is sent, each head's
     // part of a request rounded by a draw of the seed. It grows as capacity does at the least, and what the
     // node has answered all heads lately it bears again. Not heard, others are taken to ask as much.
     void takeTurn(Node& n, double units) {
-        if (!coldNode(n) || set.coldSpanUs <= 0) return;
+        if (!coldNode(n) || set.slowStartWindowUs <= 0) return;
         const Shared& s = *cellAt(n.info.cell).shared;
         const double own = s.use.get(now, kTellMemory);
-        const PeerUse others = now - s.others.at < kPeerForget ? s.others : PeerUse{own * (set.hosts - 1)};
-        const double full = 1 / std::max(set.coldStart, 0.01), push = 1 + kColdAhead * (set.coldMultiple - 1);
-        const double age = std::max(0.0, double(now - n.info.startedUs) / double(set.warmAfterUs));
+        const PeerUse others = now - s.others.at < kPeerForget ? s.others : PeerUse{own * (set.hostCount - 1)};
+        const double full = 1 / std::max(set.slowStartCapacity, 0.01), push = 1 + kColdAhead * (set.slowStartOverloadFactor - 1);
+        const double age = std::max(0.0, double(now - n.info.startedUs) / double(set.slowStartDurationUs));
         const double grown = 1 + (full - 1) * age;      // a start told as yet to come counts as now
-        const double least = set.coldUnits * grown * 1e6 / double(set.coldSpanUs);
+        const double least = set.slowStartUnits * grown * 1e6 / double(set.slowStartWindowUs);
         const double borne = std::max(least, others.served), all = std::max(own + others.rate, 1e-9);
         const double mine = push * units * std::min(1.0, borne / all);
         n.coldTurn = std::min(n.coldTurn + mine, set.maxUnits);
@@ -447,7 +447,7 @@
     }
 
     double patience(const Pending& r) const {
-        const double left = double(r.due - now), aim = double(shortestAim);
+        const double left = double(r.due - now), aim = double(shortestLatencyObjective);
         if (r.inReserve) return left;
         const Cell& c = cells[std::size_t(r.cell)];     // spare: only where the shares are not contended
         return r.inShare ? std::min(left, kShareWait * aim) : c.level < c.most ? 0 : kSpareWait * aim;
@@ -463,8 +463,8 @@
             n.bound = std::max(1.0, n.bound / 2);
             n.downUntil = now + (kTrickleGap << n.failures) / 2;
             // Unanswered is not told as a wait: the answer may have been lost. What is out speaks for itself.
-            const bool turnedAway = outcome == Outcome::Full || outcome == Outcome::ConnectFailed;
-            if (turnedAway) tellCell(cellAt(n.info.cell), 2 * double(shortestAim));
+            const bool turnedAway = outcome == Outcome::Rejected || outcome == Outcome::ConnectFailed;
+            if (turnedAway) tellCell(cellAt(n.info.cell), 2 * double(shortestLatencyObjective));
             return;
         }
         if (coldNode(n) && outcome == Outcome::Ok)
@@ -488,7 +488,7 @@
             n.floorAt = now;
         }
         n.floorNow = n.floorNow > 0 ? std::min(n.floorNow, n.perUnit) : n.perUnit;
-        if (n.perUnit > kStretch * n.floor() || n.latency > kAimPart * double(shortestAim)) {
+        if (n.perUnit > kStretch * n.floor() || n.latency > kAimPart * double(shortestLatencyObjective)) {
             if (double(now - n.shrunkAt) < n.latency) return;
             n.bound = std::max(1.0, n.bound * kShrink);
             n.shrunkAt = now;
@@ -511,7 +511,7 @@
     double boundOf(const Node& n) const {
         if (n.info.cell < 0 || std::size_t(n.info.cell) >= cells.size()) return n.bound;
         const Cell& c = cells[std::size_t(n.info.cell)];
-        const double least = latencyOf(n) > kAimPart * double(shortestAim) ? 1 : kCalmBound;
+        const double least = latencyOf(n) > kAimPart * double(shortestLatencyObjective) ? 1 : kCalmBound;
         return std::max(least, c.shared ? n.bound * partOf(*c.shared) : n.bound);
     }
 
@@ -532,25 +532,25 @@
         v.byClass.resize(set.classes.size());
         double dearer = 0;
         for (std::size_t i = 0; r.cls && i < set.classes.size(); ++i)
-            if (set.classes[i].value > r.cls->value)
+            if (set.classes[i].priorityWeight > r.cls->priorityWeight)
                 dearer += v.byClass[i].get(now, kRateMemory) * kDearerSpan;
         if (r.cls) v.byClass[std::size_t(r.info.classIndex)].add(now, kRateMemory, r.info.units);
-        double cap = p.reserve * part + set.maxUnits;
-        v.reserveTokens = std::min(v.reserveTokens + p.reserve * part * double(now - v.reserveAt) / 1e6, cap);
+        double cap = p.guaranteedRate * part + set.maxUnits;
+        v.reserveTokens = std::min(v.reserveTokens + p.guaranteedRate * part * double(now - v.reserveAt) / 1e6, cap);
         v.reserveAt = now;
-        r.inReserve = p.reserve > 0 && v.reserveTokens >= std::min(cap, r.info.units + dearer);
+        r.inReserve = p.guaranteedRate > 0 && v.reserveTokens >= std::min(cap, r.info.units + dearer);
         if (r.inReserve) v.reserveTokens -= r.info.units;
         Account& a = v.byCell[r.cell];
         a.own.add(now, kRateMemory, r.info.units);
-        const double due = cellAt(r.cell).level * p.weight * part;
+        const double due = cellAt(r.cell).level * p.shares * part;
         cap = due + set.maxUnits;
         a.share = std::min(a.share + due * double(now - a.at) / 1e6, cap);
         a.at = now;
         Cell& c = cellAt(r.cell);
-        c.most = std::max(c.most, a.own.get(now, kRateMemory) / std::max(p.weight * part, 1e-9));
+        c.most = std::max(c.most, a.own.get(now, kRateMemory) / std::max(p.shares * part, 1e-9));
         r.inShare = !r.inReserve && a.share >= std::min(cap, r.info.units + dearer);
         if (r.inShare) a.share -= r.info.units;
-        const double duePart = r.inReserve || r.inShare ? 1 : set.spareWorth / std::max(set.shareWorth, 1e-9);
+        const double duePart = r.inReserve || r.inShare ? 1 : set.spareWeight / std::max(set.shareWeight, 1e-9);
         c.shared->use.add(now, kTellMemory, r.info.units * duePart);
         for (const int i : c.nodes) takeTurn(nodes.at(i), r.info.units * duePart);
         if (v.hosts > 1) tellUse(std::uint32_t(v.hash), *v.shared, v.limited);
@@ -566,7 +566,7 @@
                     wait = latencyOf(n);
                     least = kStretch * n.floor() * n.units;
                 }
-            const double aim = double(shortestAim), rise = wait <= least ? kLevelIdle : kLevelRise;
+            const double aim = double(shortestLatencyObjective), rise = wait <= least ? kLevelIdle : kLevelRise;
             c.most *= kMostMemory;
             if (wait == kNoLevel) continue;     // a drained node's successor is not crowded: the level stays
             if (wait > kShareWait * aim) c.level = std::min(c.level, c.most) * kLevelStep;
@@ -574,10 +574,10 @@
         }
     }
 
-    static double value(const Pending& r) { return r.cls ? r.cls->value : 1; }
+    static double value(const Pending& r) { return r.cls ? r.cls->priorityWeight : 1; }
     double worth(const Pending& r) const {      // of a unit of work on it, were it answered in time
-        const double factor = r.volume->plan < 0 ? 1 : set.plans.at(r.volume->plan).factor;
-        const double part = r.inReserve ? 1 : r.inShare ? set.shareWorth : set.spareWorth;
+        const double factor = r.volume->plan < 0 ? 1 : set.plans.at(r.volume->plan).priorityFactor;
+        const double part = r.inReserve ? 1 : r.inShare ? set.shareWeight : set.spareWeight;
         return value(r) * factor * part;
     }
 
@@ -585,10 +585,10 @@
     // to what only it can serve: it is taken where it has room for the whole request and warm nodes are an
     // aim behind, so that heads with no answer of it yet do not all choose what looks idle (Lc69f0a).
     int cellForNew(double units) {
-        int best = cells.empty() ? 0 : int((nextSeq + std::size_t(set.host)) % cells.size());
+        int best = cells.empty() ? 0 : int((nextSeq + std::size_t(set.hostIndex)) % cells.size());
         double least = 1e15;
         for (std::size_t k = 0; k < cells.size(); ++k) {   // from another each time: equals share
-            const std::size_t i = (k + nextSeq * 7 + std::size_t(set.host)) % cells.size();
+            const std::size_t i = (k + nextSeq * 7 + std::size_t(set.hostIndex)) % cells.size();
             double ahead = 0;
             for (const auto& [key, r] : cells[i].held) ahead += r->info.units;
             for (const int index : cells[i].nodes) {
@@ -597,8 +597,8 @@
                 double wait = latencyOf(n) * (1 + std::max(0.0, n.out + 1 - boundOf(n)) / boundOf(n)) +
                               ahead * 1e6 / unitRate(n);
                 // What fails there may be tried again in its cell only.
-                if (now - n.progressAt < kErrorMemory) wait += kErrorAims * n.errors * double(shortestAim);
-                if (coldNode(n)) wait = wait / set.coldStart + double(shortestAim);
+                if (now - n.progressAt < kErrorMemory) wait += kErrorAims * n.errors * double(shortestLatencyObjective);
+                if (coldNode(n)) wait = wait / set.slowStartCapacity + double(shortestLatencyObjective);
                 if (stalled(n) || !coldTakes(n, ahead + units)) wait += 1e12;     // the last resort
                 if (wait < least) { least = wait; best = int(i); }
             }
@@ -707,9 +707,9 @@
         Node& n = nodes.at(index);
         if (r.done || r.out > 0 || now >= r.info.deadlineUs) return false;                      // 1
         if (r.attempts >= set.maxAttempts) return false;
-        const Effect effect = r.cls ? r.cls->effect : Effect::AtMostOnce;
-        if (r.maybeRun && effect == Effect::AtMostOnce) return false;                           // 2
-        if (r.maybeRun && effect == Effect::Deduplicated && (!sameGroup(r, n) || now >= repeatBy(r)))
+        const RetrySafety safety = r.cls ? r.cls->retrySafety : RetrySafety::NotIdempotent;
+        if (r.maybeRun && safety == RetrySafety::NotIdempotent) return false;                           // 2
+        if (r.maybeRun && safety == RetrySafety::IdempotentWithKey && (!sameGroup(r, n) || now >= repeatBy(r)))
             return false;
         if (!takes(n)) return false;                                                            // 3
         if (r.info.cell >= 0 && r.info.cell != n.info.cell) return false;
@@ -722,11 +722,11 @@
             if (turn->order.front() != r.info.id || turn->strayOut > 0) return false;
             if (now < turn->restUntil && turn->restBy != r.info.id) return false;
         }
-        if (r.attempts > 0 && set.retrySpanUs > 0) {                                            // 7
-            while (!taken.empty() && now - taken.front() >= set.retrySpanUs) taken.pop_front();
-            while (!furtherSends.empty() && now - furtherSends.front() > set.retrySpanUs)
+        if (r.attempts > 0 && set.retryWindowUs > 0) {                                            // 7
+            while (!taken.empty() && now - taken.front() >= set.retryWindowUs) taken.pop_front();
+            while (!furtherSends.empty() && now - furtherSends.front() > set.retryWindowUs)
                 furtherSends.pop_front();
-            if (double(furtherSends.size()) + 1 > set.retryFree + set.retryShare * double(taken.size()))
+            if (double(furtherSends.size()) + 1 > set.retryAllowance + set.retryRatio * double(taken.size()))
                 return false;
         }
         return true;
@@ -734,15 +734,15 @@
 
     // Until when a keyed request may be repeated: from the first attempt that may have run. 0: at any time.
     static Micros repeatBy(const Pending& r) {
-        return r.cls && r.cls->effect == Effect::Deduplicated ? r.firstMaybeRun + r.cls->windowUs : 0;
+        return r.cls && r.cls->retrySafety == RetrySafety::IdempotentWithKey ? r.firstMaybeRun + r.cls->keyWindowUs : 0;
     }
 
     // The one guard before every refusal: it tells the client that nothing ran.
     bool mayRefuse(const Pending& r) const {
         if (!r.cls) return r.attempts == 0;
-        if (r.cls->effect == Effect::Idempotent) return true;
+        if (r.cls->retrySafety == RetrySafety::Idempotent) return true;
         if (!r.maybeRun && r.out == 0) return true;
-        return r.cls->effect == Effect::Deduplicated && r.cls->scope == Scope::All;
+        return r.cls->retrySafety == RetrySafety::IdempotentWithKey && r.cls->keyScope == KeyScope::Global;
     }
 
     void send(Pending& r, int index) {
@@ -755,7 +755,7 @@
         if (stalled(n)) n.trickleAt = now;
         if (n.out == 0) n.progressAt = now;
         if (!r.filling) ++n.out;
-        if (r.attempts > 0 && set.retrySpanUs > 0) furtherSends.push_back(now);
+        if (r.attempts > 0 && set.retryWindowUs > 0) furtherSends.push_back(now);
         if (coldNode(n)) {
             n.coldSends.emplace_back(now, r.info.units);
             n.coldTurn = std::max(n.coldTurn - r.info.units, -set.maxUnits);
@@ -764,35 +764,35 @@
         r.sentTo[r.attempts++] = index;
         r.sentAt = now;
         ++r.out;
-        act(Send{r.info.id, n.info.id, 0, r.maybeRun ? repeatBy(r) : 0});
+        act(ForwardRequest{r.info.id, n.info.id, 0, r.maybeRun ? repeatBy(r) : 0});
     }
 
     // What is lost holds a place at its node until its deadline: it is given free, and the time that is left
     // goes to another attempt. Could harm where a node overtakes by far in its own queue.
     void dropLost() {
-        std::map<std::uint64_t, Cancel> lost;
+        std::map<std::uint64_t, CancelAttempt> lost;
         std::set<int> unsure;
         for (const auto& [id, r] : requests) {
             if (r.out != 1 || r.streaming || r.filling || r.worked) continue;
             const auto& [attempt, index] = *r.sentTo.begin();
             const Node& n = nodes[std::size_t(index)];
             const double age = double(now - r.sentAt), usual = std::max(n.latency, n.perUnit * r.info.units);
-            const double least = std::max(kLostPart * double(shortestAim), kLostTimes * usual);
+            const double least = std::max(kLostPart * double(shortestLatencyObjective), kLostTimes * usual);
             const bool overtaken = double(n.newestSent - r.sentAt) > usual, late = overtaken && age > least;
             if (!overtaken && age > kProbeTimes * least && n.probedAt < r.sentAt) unsure.insert(index);
-            const bool may = r.attempts < set.maxAttempts && r.cls && r.cls->effect != Effect::AtMostOnce;
-            if (late && (may || r.done)) lost.emplace(r.seq, Cancel{id, attempt});
+            const bool may = r.attempts < set.maxAttempts && r.cls && r.cls->retrySafety != RetrySafety::NotIdempotent;
+            if (late && (may || r.done)) lost.emplace(r.seq, CancelAttempt{id, attempt});
         }
         for (const auto& [seq, cancel] : lost) act(cancel);
         for (const int i : unsure)
-            if (Node& n = nodes[i]; set.mayProbe && n.ready())   // 3: nothing new else
-                n.probedAt = now, act(ProbeNode{n.info.id});
+            if (Node& n = nodes[i]; set.mayCheckHealth && n.ready())   // 3: nothing new else
+                n.probedAt = now, act(StartHealthCheck{n.info.id});
     }
 
     void giveUp(Pending& r, Micros wait, Micros least = kLeastAdvice) {
         const Micros advice = std::min(std::max(wait, least), set.maxRetryAfterUs);
-        if (mayRefuse(r)) act(Refuse{r.info.id, set.retryAdvice ? advice : 0});
-        else act(Fail{r.info.id});
+        if (mayRefuse(r)) act(RejectRequest{r.info.id, set.sendsRetryAfter ? advice : 0});
+        else act(FailRequest{r.info.id});
         finishRequest(r);
     }
 
@@ -811,20 +811,21 @@
         if (r.out == 0) requests.erase(r.info.id);
     }
 
-    void on(const Request& q) {
+    void on(const RequestReceived& e) {
+        const Request& q = e.request;
         const auto [it, fresh] = requests.try_emplace(q.id);
         if (!fresh) return;
         Pending& r = it->second;
         r.info = q;
-        r.filling = q.filling;
+        r.filling = q.bodyIncomplete;
         r.cls = q.classIndex < 0 ? nullptr : &set.classes.at(q.classIndex);
         r.volume = &volumeOf(q);
         r.arrival = now;
-        r.due = std::min(now + (r.cls && r.cls->aimUs > 0 ? r.cls->aimUs : q.deadlineUs - now), q.deadlineUs);
+        r.due = std::min(now + (r.cls && r.cls->latencyObjectiveUs > 0 ? r.cls->latencyObjectiveUs : q.deadlineUs - now), q.deadlineUs);
         r.seq = nextSeq++;
         r.cell = q.cell >= 0 ? q.cell : cellForNew(q.units);
         cellAt(r.cell);
-        if (set.retrySpanUs > 0) taken.push_back(now);
+        if (set.retryWindowUs > 0) taken.push_back(now);
         askBytes = std::min(kBytesKept, askBytes + kBytesPerRequest);
         if (r.cls && r.cls->fifoByKey && !q.key.empty()) turns[q.key].order.push_back(q.id);
         weigh(r);
@@ -834,7 +835,7 @@
         if (r.held && r.volume->limited) lease(*r.volume);
     }
 
-    void on(const AttemptEnded& e) {
+    void on(const AttemptOutcome& e) {
         Pending* const open = find(e.id);
         if (!open || !open->sentTo.count(e.attempt)) return;
         Pending& r = *open;
@@ -846,14 +847,14 @@
         const bool placed = !r.filling && !std::exchange(r.worked, false);
         if (placed) --n.out;
         const auto is = [&](auto... o) { return ((e.outcome == o) || ...); };
-        const bool ran = !is(Outcome::Full, Outcome::ConnectFailed, Outcome::Moot);
+        const bool ran = !is(Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotStarted);
         // Of a request that was over, or whose body was on its way, a refusal says nothing.
-        const bool says = placed ? !(e.spent && is(Outcome::Full)) : !is(Outcome::Ok, Outcome::Error);
-        if (says && e.outcome != Outcome::Moot) learn(n, r, e.tookUs, e.outcome);
+        const bool says = placed ? !(e.requestSpent && is(Outcome::Rejected)) : !is(Outcome::Ok, Outcome::Error);
+        if (says && e.outcome != Outcome::NotStarted) learn(n, r, e.elapsedUs, e.outcome);
         dirty.insert(n.info.cell);
         KeyTurn* turn = turnOf(r);
         if (turn && is(Outcome::Timeout, Outcome::Reset, Outcome::Cancelled)) {
-            turn->restUntil = now + set.keyRestUs;
+            turn->restUntil = now + set.keyCooldownUs;
             turn->restBy = r.done ? 0 : r.info.id;
         }
         if (r.done) {
@@ -863,17 +864,17 @@
         }
         if (ran) r.maybeRun = true;
         else if (!r.maybeRun) r.pinnedNode = -1;
-        if (e.closed || e.outcome == Outcome::Ok) { finishRequest(r); return; }
-        if (e.spent) { giveUp(r, 0, is(Outcome::Full) ? kMovedAdvice : kLeastAdvice); return; }
+        if (e.requestClosed || e.outcome == Outcome::Ok) { finishRequest(r); return; }
+        if (e.requestSpent) { giveUp(r, 0, is(Outcome::Rejected) ? kMovedAdvice : kLeastAdvice); return; }
         again(r);
     }
 
     // Another attempt where the class, the budget and the time left allow one; else the final answer, now.
     void again(Pending& r) {
-        const Effect effect = r.cls ? r.cls->effect : Effect::AtMostOnce;
+        const RetrySafety safety = r.cls ? r.cls->retrySafety : RetrySafety::NotIdempotent;
         const bool barred =
-            r.streaming || r.attempts >= set.maxAttempts || (r.maybeRun && effect == Effect::AtMostOnce) ||
-            (r.maybeRun && effect == Effect::Deduplicated && now >= repeatBy(r));
+            r.streaming || r.attempts >= set.maxAttempts || (r.maybeRun && safety == RetrySafety::NotIdempotent) ||
+            (r.maybeRun && safety == RetrySafety::IdempotentWithKey && now >= repeatBy(r));
         if (barred || double(r.info.deadlineUs - now) < double(2 * kTick)) { giveUp(r, 0); return; }
         if (r.info.cell < 0 && !r.maybeRun) r.cell = -1;    // a new object that never ran: any node again
         hold(r);
@@ -882,23 +883,24 @@
     // ------------------------------------------------------------ membership
 
     void watch() {
-        if (!set.listOnRequest || now < nextList) return;
-        nextList = set.askEveryUs > 0 ? now + Micros(kRenewPart * double(set.askEveryUs)) : -kNever;
-        act(WatchList{true});
+        if (!set.pollsEndpointList || now < nextList) return;
+        nextList = set.pollIntervalUs > 0 ? now + Micros(kRenewPart * double(set.pollIntervalUs)) : -kNever;
+        act(WatchEndpointList{true});
     }
 
-    Micros listTurn() { return std::min(kListTurn * std::max(0, set.hosts - kFew), set.askEveryUs / 2); }
+    Micros listTurn() { return std::min(kListTurn * std::max(0, set.hostCount - kFew), set.pollIntervalUs / 2); }
     Micros spread(Micros span) const { return Micros(double(span) * peer::drawOf(set.seed + now)); }
 
-    void on(const NodeList& list) {
-        if (list.kind == ListKind::Lost) {
-            listWait = std::max({kListRetry, listTurn(), std::min(listWait * 2, set.askEveryUs / 4)});
+    void on(const EndpointListReceived& e) {
+        const EndpointList& list = e.list;
+        if (list.kind == EndpointListKind::Unavailable) {
+            listWait = std::max({kListRetry, listTurn(), std::min(listWait * 2, set.pollIntervalUs / 4)});
             nextList = now + listWait - spread(std::min(listWait / 2, listTurn()));
             return;
         }
         const bool late = listWait > 0;     // what is told now may count as told before
-        if (list.kind != ListKind::Saved) listWait = 0;
-        if (list.kind != ListKind::Delta) for (auto& n : nodes) n.listed = false;
+        if (list.kind != EndpointListKind::Cached) listWait = 0;
+        if (list.kind != EndpointListKind::Delta) for (auto& n : nodes) n.listed = false;
         for (const auto& info : list.nodes) {
             if (unusedNodes.empty()) unusedNodes.push_back(int(nodes.size())), nodes.emplace_back();
             const auto [it, fresh] = nodeIndex.try_emplace(info.id, unusedNodes.back());
@@ -913,7 +915,7 @@
                 n.progressAt = n.floorAt = now;
                 if (info.cell >= 0) {
                     Roll& roll = rolls[cellAt(info.cell).key];
-                    roll.served = {}, roll.coldUntil = info.startedUs + set.warmAfterUs;
+                    roll.served = {}, roll.coldUntil = info.startedUs + set.slowStartDurationUs;
                     cellAt(info.cell).shared->borne = cellAt(info.cell).shared->others.served = 0;
                 }
                 n.coldDraw = peer::drawOf(info.id + std::to_string(set.seed));
@@ -921,7 +923,7 @@
             const bool drains = n.ready() && info.state == NodeState::Draining && !late;
             if (drains) n.servesUntil = now + Micros(kDrainPart * double(set.drainGraceUs));
             n.info = info;
-            n.listed = info.state != NodeState::Gone;
+            n.listed = info.state != NodeState::Removed;
         }
         for (std::size_t i = 0; i < cells.size(); ++i) {
             const auto& in = cells[i].nodes;
@@ -932,37 +934,37 @@
 
     // ------------------------------------------------------------ the batch
 
-    void on(const ProbeAnswered& e) {
+    void on(const HealthCheckCompleted& e) {
         const auto it = nodeIndex.find(e.node);
         if (it == nodeIndex.end() || e.outcome != Outcome::Ok) return;
-        nodes[it->second].newestSent = std::max(nodes[it->second].newestSent, now - e.tookUs);
+        nodes[it->second].newestSent = std::max(nodes[it->second].newestSent, now - e.elapsedUs);
     }
-    void on(const Leaving& e) { arrival.leaving(e.untilUs, now); }
-    void on(const RequestGone& e) { if (Pending* r = find(e.id)) finishRequest(*r); }
-    void on(const StreamStarted& e) {
+    void on(const ShutdownStarted& e) { recovery.startShutdown(e.servesUntilUs, now); }
+    void on(const RequestCancelled& e) { if (Pending* r = find(e.id)) finishRequest(*r); }
+    void on(const ResponseStarted& e) {
         Pending* const r = find(e.id);
         if (!r || !r->sentTo.count(e.attempt)) return;
-        r->streaming = r->streaming || e.passing;
-        if (!e.worked || r->filling || std::exchange(r->worked, true)) return;
+        r->streaming = r->streaming || e.forwarding;
+        if (!e.nodeDone || r->filling || std::exchange(r->worked, true)) return;
         Node& n = nodes.at(r->sentTo.at(e.attempt));
-        learn(n, *r, e.tookUs, Outcome::Ok);
+        learn(n, *r, e.elapsedUs, Outcome::Ok);
         --n.out, dirty.insert(n.info.cell);
     }
-    void on(const Filled& e) {
+    void on(const RequestBodyCompleted& e) {
         Pending* const r = find(e.id);
         if (!r || !r->filling) return;
         const bool waits = r->held;
         unhold(*r);
         r->info.deadlineUs = e.deadlineUs;
-        r->due = std::min(now + (r->cls && r->cls->aimUs > 0 ? r->cls->aimUs : kNoAim), e.deadlineUs);
+        r->due = std::min(now + (r->cls && r->cls->latencyObjectiveUs > 0 ? r->cls->latencyObjectiveUs : kNoAim), e.deadlineUs);
         r->filling = false, r->sentAt = now;
         if (waits) hold(*r);
         for (const auto& [attempt, index] : r->sentTo)
             if (Node& n = nodes.at(index); n.out++ == 0) n.progressAt = now;
     }
     // The front runs out of connections for other requests: of what only waits here the least worthy goes.
-    void on(const Crowded& e) {
-        for (int i = 0; i < e.places; ++i) {
+    void on(const CapacityNeeded& e) {
+        for (int i = 0; i < e.connections; ++i) {
             Pending* least = nullptr;
             for (const auto& c : cells)
                 for (const auto& [key, r] : c.held)
@@ -982,7 +984,7 @@
         for (auto it = nodeIndex.begin(); it != nodeIndex.end();) {
             Node& n = nodes[std::size_t(it->second)];
             if (n.listed) n.listedAt = now;
-            const bool lately = now - n.listedAt < std::max(kForget, set.coldSpanUs);
+            const bool lately = now - n.listedAt < std::max(kForget, set.slowStartWindowUs);
             if (lately || n.out > 0 || pinned.count(it->second)) { ++it; continue; }
             for (auto& c : cells) std::erase(c.nodes, it->second);
             n = Node();
@@ -1028,12 +1030,12 @@
     std::visit([this](const auto& e) { impl_->on(e); }, event);
 }
 
-std::size_t Policy::kept() const { return impl_->Memory::kept(); }
-const fleet::Arrival& Policy::arrival() const { return impl_->Memory::arrival; }
-std::string Policy::handOver(Micros now) { return impl_->handOver(now); }
+std::size_t Policy::tableEntries() const { return impl_->Memory::tableEntries(); }
+const fleet::RestartRecovery& Policy::recovery() const { return impl_->Memory::recovery; }
+std::string Policy::takeSnapshot(Micros now) { return impl_->handOver(now); }
 bool Policy::restore(const std::string& bytes) { return loadMemory(bytes, *impl_); }
 
-std::size_t Policy::avoided() const {
+std::size_t Policy::avoidedNodes() const {
     const Impl& p = *impl_;
     return std::size_t(std::count_if(p.nodes.begin(), p.nodes.end(), [&](const Node& n) {
         const bool tried = p.now - std::max(n.trickleAt, n.progressAt) < kRateMemory;   // or used, of late
@@ -1051,7 +1053,7 @@
         p.pump(cell);
         p.shed(cell);
     }
-    for (auto& [to, bytes] : p.outbox) p.act(TellPeer{to, bytes});
+    for (auto& [to, bytes] : p.outbox) p.act(SendPeerMessage{to, bytes});
     p.outbox.clear();
     return std::exchange(p.actions, {});
 }
--- a/src/policy/state.h
+++ b/src/policy/state.h
@@ -144,8 +144,8 @@
 struct Memory {
     Settings set;
     Micros now = 0, startedAt = 0, settledAt = -kNever, lastTell = kNever;
-    Micros lastForget = kNever, nextList = 0, listWait = 0, shortestAim = 0;
-    fleet::Arrival arrival;             // this run of the host, and what is out from the one before
+    Micros lastForget = kNever, nextList = 0, listWait = 0, shortestLatencyObjective = 0;
+    fleet::RestartRecovery recovery;             // this run of the host, and what is out from the one before
     std::uint64_t nextSeq = 0;
     std::vector<Action> actions;
     std::vector<Node> nodes;
@@ -187,13 +187,13 @@
     }
 
     bool coldNode(const Node& n) const {
-        return n.info.startedUs > 0 && now - n.info.startedUs < set.warmAfterUs;
+        return n.info.startedUs > 0 && now - n.info.startedUs < set.slowStartDurationUs;
     }
 
     bool sameGroup(const Pending& r, const Node& n) const {
-        if (r.pinnedNode < 0 || r.cls->scope == Scope::All) return true;
+        if (r.pinnedNode < 0 || r.cls->keyScope == KeyScope::Global) return true;
         const NodeInfo& first = nodes.at(r.pinnedNode).info;
-        return r.cls->scope == Scope::Cell ? first.cell == n.info.cell : first.zone == n.info.zone;
+        return r.cls->keyScope == KeyScope::Cell ? first.cell == n.info.cell : first.zone == n.info.zone;
     }
 
     void unhold(Pending& r) {
@@ -205,9 +205,9 @@
 
     void act(const Action& action) { actions.push_back(action); }
 
-    std::size_t kept() const {                  // entries in all tables
+    std::size_t tableEntries() const {                  // entries in all tables
         return nodeIndex.size() + volumes.size() + shared.size() + rolls.size() + requests.size() + turns.size() +
-               arrival.kept();
+               recovery.tableEntries();
     }
 };
 
--- a/src/rsync/front.cpp
+++ b/src/rsync/front.cpp
@@ -65,7 +65,7 @@
 struct Front::Pending : net::Transfer {
     Pending(Front& front, std::weak_ptr<Peer> peer, Order order)
         : front(front), peer(std::move(peer)), order(std::make_shared<Order>(std::move(order))) {}
-    std::shared_ptr<net::Attempt> start(const net::AttemptOrder& wanted) override {
+    std::shared_ptr<net::Attempt> start(const net::AttemptParams& wanted) override {
         auto at = wanted;
         if (front.config_.nodePort != 0) at.node.port = front.config_.nodePort;
         const auto attempt = std::make_shared<NodeAttempt>(front.engine_, front.pool_, at, order, peer);
--- a/src/rsync/node_client.cpp
+++ b/src/rsync/node_client.cpp
@@ -4,7 +4,7 @@
 
 namespace wingproxy::rsync {
 
-NodeAttempt::NodeAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptOrder& order,
+NodeAttempt::NodeAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptParams& order,
                          std::shared_ptr<const Order> transfer, std::weak_ptr<Client> client)
     : net::NodeAttempt(engine, pool, order),
       transfer_(std::move(transfer)),
@@ -37,7 +37,7 @@
     if (!saying_) {
         if (!asked_ && stage_ >= Stage::Arguments) {
             asked_ = true;
-            engine_.written(order_.id, order_.attempt);
+            engine_.attemptRequestSent(order_.id, order_.attempt);
         }
         if (stage_ == Stage::Stream) toNode();
         return;
@@ -74,9 +74,9 @@
     std::string line;
     while (stage_ != Stage::Arguments && connection_->in.line(line)) {
         int version = 0;
-        if (line.starts_with("@ERROR")) return end(Outcome::Full);
+        if (line.starts_with("@ERROR")) return end(Outcome::Rejected);
         if (stage_ == Stage::Greeting) {
-            if (!parseGreeting(line, version) || version < kVersion) return end(Outcome::Full);
+            if (!parseGreeting(line, version) || version < kVersion) return end(Outcome::Rejected);
             stage_ = Stage::Module;
         } else if (line == "@RSYNCD: OK") {  // any other line is the message of the day
             std::string arguments;
@@ -88,18 +88,18 @@
             stage_ = Stage::Arguments;
             say(arguments + "\n");
         } else if (line.starts_with("@RSYNCD:")) {
-            return end(Outcome::Full);  // it wants a password, or says goodbye
+            return end(Outcome::Rejected);  // it wants a password, or says goodbye
         }
     }
     if (stage_ != Stage::Arguments) {
-        if (connection_->in.space() == 0) end(Outcome::Full);
+        if (connection_->in.space() == 0) end(Outcome::Rejected);
         return;
     }
     if (connection_->in.size() == 0) return;
     const auto client = client_.lock();
     if (!client) return end(Outcome::Cancelled);
     stage_ = Stage::Stream;
-    engine_.streaming(order_.id, order_.attempt);  // from now on answer bytes go to the client
+    engine_.responseForwardingStarted(order_.id, order_.attempt);  // from now on answer bytes go to the client
     client->relayTo([weak = std::weak_ptr<NodeAttempt>(self())] {
         if (const auto self = weak.lock()) self->toNode();
     });
@@ -181,7 +181,7 @@
 void NodeAttempt::clientLeft() { end(delivered() ? Outcome::Ok : Outcome::Cancelled); }
 
 void NodeAttempt::end(Outcome outcome) {
-    core::Ended how;
+    core::AttemptFinished how;
     how.outcome = outcome;
     net::NodeAttempt::end(std::move(how));
 }
--- a/src/rsync/node_client.h
+++ b/src/rsync/node_client.h
@@ -29,7 +29,7 @@
 
 class NodeAttempt : public net::NodeAttempt {
 public:
-    NodeAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptOrder& order,
+    NodeAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptParams& order,
                 std::shared_ptr<const Order> transfer, std::weak_ptr<Client> client);
     bool delivered() const;  // the node's whole stream is with the client
     void clientLeft();       // the node need not go on for nobody
--- a/tests/admin/admin_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -19,19 +19,19 @@
           calls(rig.io, {"127.0.0.1", 0},
                 {[this] { return ready; },
                  [&rig] {
-                     operation::Metrics f{{},
+                     admin::AdminMetrics f{{},
                                           rig.engine.counters(),
-                                          rig.engine.open(),
-                                          rig.engine.nodes(),
-                                          rig.engine.avoided()};
+                                          rig.engine.openRequests(),
+                                          rig.engine.nodeCount(),
+                                          rig.engine.avoidedNodes()};
                      for (const auto& c : rig.engine.settings().classes) f.classes.push_back(c.name);
                      return f;
                  },
-                 [&rig](const std::string& node, bool out) { return rig.engine.outByHand(node, out); }}) {}
+                 [&rig](const std::string& node, bool out) { return rig.engine.setAdminDrain(node, out); }}) {}
     ~Office() { calls.sessionManager().closeListener(), calls.sessionManager().stop(); }
     // The whole answer to one call.
     std::string call(const std::string& text) {
-        const auto caller = rig.connect(calls.sessionManager().at());
+        const auto caller = rig.connect(calls.sessionManager().address());
         caller->say(text);
         rig.until([&] { return caller->ended; }, text.c_str());
         return caller->got;
@@ -46,7 +46,7 @@
     }
     Rig& rig;
     bool ready = true;
-    operation::AdminServer calls;
+    admin::AdminServer calls;
 };
 
 bool says(const std::string& answer, int status) {
@@ -93,11 +93,11 @@
     Rig rig;
     Office office(rig);
     std::vector<WirePtr> hanging;
-    for (std::size_t i = 0; i < operation::kMostCallers; ++i) {
-        hanging.push_back(rig.connect(office.calls.sessionManager().at()));
+    for (std::size_t i = 0; i < admin::kMostCallers; ++i) {
+        hanging.push_back(rig.connect(office.calls.sessionManager().address()));
         if (i % 2) hanging.back()->say("POST /_chunk-servers/det");
     }
-    rig.until([&] { return office.calls.sessionManager().connections() == operation::kMostCallers; });
+    rig.until([&] { return office.calls.sessionManager().connections() == admin::kMostCallers; });
     const auto since = std::chrono::steady_clock::now();
     CHECK(says(office.call("GET /_ready HTTP/1.1\r\n\r\n"), 200));
     CHECK(std::chrono::steady_clock::now() - since < std::chrono::seconds(1));
@@ -119,7 +119,7 @@
     rig.nodeHas("0000000000000003");
     CHECK(office.vars()["open_requests"] == 1);
     left->close();
-    rig.until([&] { return rig.engine.open() == 0; });
+    rig.until([&] { return rig.engine.openRequests() == 0; });
     // No node holds shard 3: refused, as nothing ran.
     failed->say(Ask{.id = "0000000000000004", .deadlineMs = 60, .shard = 3}.text());
     rig.until([&] { return failed->has("HTTP/1.1 503"); });
--- a/tests/cli/cli_test.cpp
+++ b/tests/cli/cli_test.cpp
@@ -92,14 +92,14 @@
     tcp::acceptor silent(io,
                          tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));  // its queue takes the call
     const config::Endpoint at{"127.0.0.1", silent.local_endpoint().port()};
-    const auto none = operation::ask(at, {operation::Call::Kind::Ready, ""}, std::chrono::milliseconds(50));
+    const auto none = admin::sendAdminRequest(at, {admin::AdminRequest::Kind::Ready, ""}, std::chrono::milliseconds(50));
     CHECK(!none.reply);
     CHECK(none.why == "no answer in 50 ms");
     std::thread noise([&] {
         tcp::socket first = silent.accept(), socket = silent.accept();
         asio::write(socket, asio::buffer(std::string("what?\r\n\r\n")));
     });
-    const auto garbled = operation::ask(at, {operation::Call::Kind::Vars, ""});
+    const auto garbled = admin::sendAdminRequest(at, {admin::AdminRequest::Kind::Vars, ""});
     noise.join();
     CHECK(!garbled.reply);
     CHECK(garbled.why.starts_with("read: "));
@@ -107,11 +107,11 @@
 
 // What the command says is what the front reads: both stand beside each other in src/operation.
 TEST_CASE("every call is read as it is said") {
-    using operation::Call;
-    for (const auto kind : {Call::Kind::Ready, Call::Kind::Vars, Call::Kind::Detach, Call::Kind::Attach}) {
-        const bool ofNode = kind == Call::Kind::Detach || kind == Call::Kind::Attach;
-        const auto said = operation::say({kind, ofNode ? "s-1" : ""});
-        const auto read = std::get<Call>(operation::readCall(said.method, said.target, said.body));
+    using admin::AdminRequest;
+    for (const auto kind : {AdminRequest::Kind::Ready, AdminRequest::Kind::Vars, AdminRequest::Kind::Detach, AdminRequest::Kind::Attach}) {
+        const bool ofNode = kind == AdminRequest::Kind::Detach || kind == AdminRequest::Kind::Attach;
+        const auto said = admin::encodeAdminRequest({kind, ofNode ? "s-1" : ""});
+        const auto read = std::get<AdminRequest>(admin::parseAdminRequest(said.method, said.target, said.body));
         CHECK(read.kind == kind);
         CHECK(read.node == (ofNode ? "s-1" : ""));
     }
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -20,7 +20,7 @@
 std::string complaint(F&& f) {
     try {
         f();
-    } catch (const config::Bad& bad) { return bad.what(); }
+    } catch (const config::ConfigError& bad) { return bad.what(); }
     return "";
 }
 
@@ -55,12 +55,12 @@
 TEST_CASE("config: the values that the module must get") {
     const auto c = config::parseConfig(configText());
     CHECK(c.settings.seed == 0x8c1f30d27a5be964ull);
-    CHECK(c.settings.classes[1].effect == Effect::Deduplicated);
-    CHECK(c.settings.classes[1].scope == Scope::Cell);
+    CHECK(c.settings.classes[1].retrySafety == RetrySafety::IdempotentWithKey);
+    CHECK(c.settings.classes[1].keyScope == KeyScope::Cell);
     CHECK(c.settings.classes[1].writes);
     CHECK(c.settings.plans[0].limitSlack == 6);
-    CHECK(c.settings.listOnRequest);
-    CHECK(c.known.list.kind == ListKind::Saved);  // old knowledge, however complete it was
+    CHECK(c.settings.pollsEndpointList);
+    CHECK(c.cachedEndpoints.list.kind == EndpointListKind::Cached);  // old knowledge, however complete it was
 }
 
 TEST_CASE("discovery's list") {
@@ -69,20 +69,20 @@
     const auto list = [](const std::string& entries) {
         return R"({"generation":9,"reset":false,"instances":[)" + entries + "]}";
     };
-    const auto hosts = config::parseHostList(list(entry));
-    CHECK(hosts.list.kind == ListKind::Delta);
+    const auto hosts = config::parseEndpointListing(list(entry));
+    CHECK(hosts.list.kind == EndpointListKind::Delta);
     CHECK(hosts.list.version == 9);
     CHECK(hosts.list.nodes[0].state == NodeState::Draining);
     CHECK(hosts.list.nodes[0].rating == 1.5);
     CHECK(hosts.list.nodes[0].startedUs == 7000);
     CHECK(hosts.addresses[0] == config::Endpoint{"127.0.0.1", 80});
     for (const char* bad : {"", "[]", "{}", R"({"generation":1,"instances":[{}]})", "{\"generation\":1}"})
-        CHECK(complaint([&] { config::parseHostList(bad); }) != "");
+        CHECK(complaint([&] { config::parseEndpointListing(bad); }) != "");
     CHECK(complaint([&] {
-              config::parseHostList(list(replaced(entry, "draining", "asleep")));
+              config::parseEndpointListing(list(replaced(entry, "draining", "asleep")));
           }).find("lifecycle") != std::string::npos);
     CHECK(complaint([&] {
-              config::parseHostList(list(replaced(entry, "\"cell\":3", "\"cell\":-3")));
+              config::parseEndpointListing(list(replaced(entry, "\"cell\":3", "\"cell\":-3")));
           }).find("cell") != std::string::npos);
 }
 
@@ -91,12 +91,12 @@
     const std::string good =
         R"({"rsync":{"listen":"127.0.0.1:0","modules":[{"name":"m","volume":"v","plan":"basico","cell":1,)"
         R"("pull_class":"lectura","push_class":"alta"}]},"agent":{"listen":"127.0.0.1:0"}})";
-    const auto o = config::parseOperator(good, settings);
+    const auto o = config::parseOperatorConfig(good, settings);
     CHECK(o.rsync->modules[0].pushClass == 1);
     CHECK(o.rsync->modules[0].nodeModule == "m");
     CHECK(o.agent.has_value());
     CHECK(!o.health.has_value());
-    CHECK(!config::parseOperator("{}", settings).rsync.has_value());
+    CHECK(!config::parseOperatorConfig("{}", settings).rsync.has_value());
     const struct {
         const char *from, *to, *names;
     } cases[] = {
@@ -110,13 +110,13 @@
         {"\"agent\":{\"listen\":\"127.0.0.1:0\"}", "\"agent\":{\"listen\":\"x\"}", "agent.listen"},
     };
     for (const auto& c : cases) {
-        const auto what = complaint([&] { config::parseOperator(replaced(good, c.from, c.to), settings); });
+        const auto what = complaint([&] { config::parseOperatorConfig(replaced(good, c.from, c.to), settings); });
         CHECK_MESSAGE(what.find(c.names) == 0, what);
     }
     const auto example = config::readFile(std::string(WINGPROXY_SOURCE) + "/deploy/operator.example.json");
     CHECK(complaint([&] {
               auto wide = settings;
               wide.classes.push_back({"exportacion"});
-              config::parseOperator(example, wide);
+              config::parseOperatorConfig(example, wide);
           }) == "");
 }
--- a/tests/fleet/restart_recovery_test.cpp
+++ b/tests/fleet/restart_recovery_test.cpp
@@ -15,14 +15,14 @@
 #include <unordered_set>
 
 using namespace wingproxy;
-using fleet::Arrival;
+using fleet::RestartRecovery;
 using fleet::Micros;
 
 namespace {
 
 constexpr Micros kSecond = 1'000'000, kMs = 1'000, kStart = 1'000 * kSecond, kLease = 2 * kSecond;
 
-Arrival::Terms terms(int host, int hosts) { return {host, hosts, kLease, true}; }
+RestartRecovery::Options terms(int host, int hosts) { return {host, hosts, kLease, true}; }
 
 // Hosts whose datagrams arrive at once.
 struct Joined {
@@ -30,16 +30,16 @@
         for (int i = 0; i < n; ++i) hosts.emplace_back(terms(i, n), now);
     }
     std::size_t settle() {  // returns the datagrams told
-        std::deque<std::pair<int, fleet::Message>> wire;
+        std::deque<std::pair<int, fleet::OutgoingDatagram>> wire;
         for (std::size_t i = 0; i < hosts.size(); ++i)
             if (alive(int(i)))
-                for (auto& m : hosts[i].due(now)) wire.emplace_back(int(i), m);
+                for (auto& m : hosts[i].dueDatagrams(now)) wire.emplace_back(int(i), m);
         std::size_t told = 0;
         for (; !wire.empty(); wire.pop_front(), ++told) {
             const auto [from, m] = wire.front();
             largest = std::max(largest, m.bytes.size());
             if (!alive(m.to)) continue;
-            for (auto& reply : hosts[std::size_t(m.to)].heard(from, m.bytes, now).replies)
+            for (auto& reply : hosts[std::size_t(m.to)].handleDatagram(from, m.bytes, now).replies)
                 wire.emplace_back(m.to, reply);
         }
         return told;
@@ -52,12 +52,12 @@
     bool alive(int i) const { return !dead.contains(i); }
     void restart(int i) {
         dead.erase(i);
-        hosts[std::size_t(i)] = Arrival(terms(i, int(hosts.size())), now);
+        hosts[std::size_t(i)] = RestartRecovery(terms(i, int(hosts.size())), now);
     }
     Micros now = kStart;
     std::size_t largest = 0;
     std::set<int> dead;
-    std::vector<Arrival> hosts;
+    std::vector<RestartRecovery> hosts;
 };
 
 }  // namespace
@@ -65,38 +65,38 @@
 TEST_CASE("a host that left in order is clear with its first answer, and asks three of 300 for it") {
     Joined fleet(300);
     fleet.run(kSecond);
-    for (const auto& h : fleet.hosts) REQUIRE((h.clear(fleet.now) && h.lends(fleet.now)));
+    for (const auto& h : fleet.hosts) REQUIRE((h.isRecovered(fleet.now) && h.mayLend(fleet.now)));
     CHECK(fleet.run(20 * kSecond) == 0);  // and then it is silent
     auto& leaver = fleet.hosts[7];
-    leaver.leaving(fleet.now + 3 * kSecond, fleet.now);
-    CHECK(leaver.lends(fleet.now));
+    leaver.startShutdown(fleet.now + 3 * kSecond, fleet.now);
+    CHECK(leaver.mayLend(fleet.now));
     const auto notices = fleet.run(1'100 * kMs);
     CHECK(notices == 9);            // to three, every 0.5 s
-    CHECK(!leaver.lends(fleet.now));  // a lease would outlast it
+    CHECK(!leaver.mayLend(fleet.now));  // a lease would outlast it
     fleet.run(2 * kSecond);
     fleet.restart(7);
-    CHECK(!fleet.hosts[7].clear(fleet.now));
+    CHECK(!fleet.hosts[7].isRecovered(fleet.now));
     CHECK(fleet.settle() == 6);  // hellos and welcomes
-    CHECK(fleet.hosts[7].clear(fleet.now));
-    CHECK(fleet.hosts[7].lends(fleet.now));
-    CHECK(fleet.hosts[7].by() == Arrival::By::ShutdownNotice);
+    CHECK(fleet.hosts[7].isRecovered(fleet.now));
+    CHECK(fleet.hosts[7].mayLend(fleet.now));
+    CHECK(fleet.hosts[7].recoveryCause() == RestartRecovery::RecoveryCause::ShutdownNotice);
     CHECK(fleet.run(20 * kSecond) == 0);
-    CHECK(fleet.largest <= Arrival::kMostBytes);
+    CHECK(fleet.largest <= RestartRecovery::kMaxDatagramBytes);
 }
 
 TEST_CASE("a host that started again before its shutdown notice's time waits for that, and no longer than a lease") {
     for (const Micros until : {500 * kMs, 9 * kSecond}) {
         Joined fleet(40);
         fleet.run(kSecond);
-        fleet.hosts[0].leaving(fleet.now + until, fleet.now);
+        fleet.hosts[0].startShutdown(fleet.now + until, fleet.now);
         fleet.settle();
         const auto at = fleet.now;
         fleet.restart(0);
         fleet.settle();
-        CHECK(!fleet.hosts[0].clear(fleet.now));
+        CHECK(!fleet.hosts[0].isRecovered(fleet.now));
         const auto over = std::min(std::max(at + until, at + kLease), at + kLease);
-        CHECK(!fleet.hosts[0].clear(over - 1));
-        CHECK(fleet.hosts[0].clear(over + 3 * kMs));  // told in whole milliseconds
+        CHECK(!fleet.hosts[0].isRecovered(over - 1));
+        CHECK(fleet.hosts[0].isRecovered(over + 3 * kMs));  // told in whole milliseconds
     }
 }
 
@@ -108,84 +108,84 @@
     CHECK(holders.size() == 3);
     fleet.restart(5);
     fleet.run(100 * kMs);
-    CHECK(fleet.hosts[5].by() == Arrival::By::Everyone);
-    CHECK(fleet.hosts[5].lends(fleet.now));
+    CHECK(fleet.hosts[5].recoveryCause() == RestartRecovery::RecoveryCause::AllPeersReplied);
+    CHECK(fleet.hosts[5].mayLend(fleet.now));
     fleet.dead = {holders[1]};
     fleet.restart(5);
     fleet.run(kLease - 100 * kMs);
-    CHECK(!fleet.hosts[5].clear(fleet.now));
+    CHECK(!fleet.hosts[5].isRecovered(fleet.now));
     fleet.run(200 * kMs);
-    CHECK(fleet.hosts[5].clear(fleet.now));
-    CHECK(!fleet.hosts[5].lends(fleet.now));
+    CHECK(fleet.hosts[5].isRecovered(fleet.now));
+    CHECK(!fleet.hosts[5].mayLend(fleet.now));
     fleet.restart(holders[1]);  // it knows of no shutdown notice, and so can mislead no later life
     fleet.run(600 * kMs);
-    CHECK(fleet.hosts[5].lends(fleet.now));
+    CHECK(fleet.hosts[5].mayLend(fleet.now));
     fleet.dead = {holders[2]};
     fleet.restart(5);
-    fleet.run(Arrival::kNoticeKept + 10 * kMs);
-    CHECK(fleet.hosts[5].lends(fleet.now));  // no shutdown notice from before it counts any more
+    fleet.run(RestartRecovery::kNoticeRetention + 10 * kMs);
+    CHECK(fleet.hosts[5].mayLend(fleet.now));  // no shutdown notice from before it counts any more
 }
 
 TEST_CASE("a shutdown notice is of the life before: not after a crash in between, not when it is old") {
     Joined fleet(3);
     fleet.run(kSecond);
-    fleet.hosts[0].leaving(fleet.now, fleet.now);
+    fleet.hosts[0].startShutdown(fleet.now, fleet.now);
     fleet.settle();
     fleet.now += kLease + kSecond;
     fleet.restart(0);
     fleet.settle();
-    CHECK(fleet.hosts[0].by() == Arrival::By::ShutdownNotice);
+    CHECK(fleet.hosts[0].recoveryCause() == RestartRecovery::RecoveryCause::ShutdownNotice);
     fleet.now += kSecond;
     fleet.dead = {2};  // only one holder answers: all others are not everyone
     fleet.restart(0);
     fleet.settle(), fleet.run(100 * kMs);
-    CHECK(!fleet.hosts[0].clear(fleet.now));
+    CHECK(!fleet.hosts[0].isRecovered(fleet.now));
     fleet.dead.clear();
     fleet.restart(0), fleet.run(100 * kMs);
-    fleet.hosts[0].leaving(fleet.now, fleet.now);
+    fleet.hosts[0].startShutdown(fleet.now, fleet.now);
     fleet.settle();
-    fleet.now += Arrival::kNoticeKept;
+    fleet.now += RestartRecovery::kNoticeRetention;
     fleet.dead = {2};
     fleet.restart(0);
     fleet.settle();
-    CHECK(!fleet.hosts[0].clear(fleet.now));
+    CHECK(!fleet.hosts[0].isRecovered(fleet.now));
 }
 
 TEST_CASE("what an earlier life said late changes nothing, until the clock was set back for long") {
-    Arrival a(terms(0, 3), kStart);
-    CHECK(a.met(1, 100, kStart) == Arrival::Life::Known);
-    CHECK(a.met(1, 200, kStart + 1) == Arrival::Life::Fresh);
-    CHECK(a.met(1, 100, kStart + 2) == Arrival::Life::Stale);
-    CHECK(a.met(1, 200, kStart + 3) == Arrival::Life::Known);
-    CHECK(a.met(1, 100, kStart + 4 + Arrival::kStaleFor) == Arrival::Life::Fresh);
-    CHECK(a.met(1, 0x80000063u, kStart + 5 + Arrival::kStaleFor) ==
-          Arrival::Life::Fresh);  // numbers go round
+    RestartRecovery a(terms(0, 3), kStart);
+    CHECK(a.observeIncarnation(1, 100, kStart) == RestartRecovery::IncarnationStatus::Known);
+    CHECK(a.observeIncarnation(1, 200, kStart + 1) == RestartRecovery::IncarnationStatus::New);
+    CHECK(a.observeIncarnation(1, 100, kStart + 2) == RestartRecovery::IncarnationStatus::Stale);
+    CHECK(a.observeIncarnation(1, 200, kStart + 3) == RestartRecovery::IncarnationStatus::Known);
+    CHECK(a.observeIncarnation(1, 100, kStart + 4 + RestartRecovery::kStaleIncarnationPeriod) == RestartRecovery::IncarnationStatus::New);
+    CHECK(a.observeIncarnation(1, 0x80000063u, kStart + 5 + RestartRecovery::kStaleIncarnationPeriod) ==
+          RestartRecovery::IncarnationStatus::New);  // numbers go round
     CHECK(a.counters().stale == 1);
-    CHECK(a.counters().lives == 3);
+    CHECK(a.counters().newIncarnations == 3);
 }
 
 // Datagrams cut short, longer, with each byte changed, from nobody: dropped and counted, never half believed.
 TEST_CASE("malformed datagrams of the fleet change nothing") {
-    Arrival a(terms(0, 3), kStart), b(terms(1, 3), kStart);
-    const auto hello = b.due(kStart).at(0).bytes;
+    RestartRecovery a(terms(0, 3), kStart), b(terms(1, 3), kStart);
+    const auto hello = b.dueDatagrams(kStart).at(0).bytes;
     for (std::size_t n = 0; n < hello.size(); ++n)
-        CHECK(a.heard(1, hello.substr(0, n), kStart).replies.empty());
-    CHECK(a.heard(1, hello + "x", kStart).replies.empty());
-    for (const int from : {0, -1, 3}) CHECK(a.heard(from, hello, kStart).replies.empty());
+        CHECK(a.handleDatagram(1, hello.substr(0, n), kStart).replies.empty());
+    CHECK(a.handleDatagram(1, hello + "x", kStart).replies.empty());
+    for (const int from : {0, -1, 3}) CHECK(a.handleDatagram(from, hello, kStart).replies.empty());
     for (int tag : {0, 5, 255}) {
         auto wrong = hello;
         wrong[5] = char(tag);
-        CHECK(a.heard(1, wrong, kStart).replies.empty());
+        CHECK(a.handleDatagram(1, wrong, kStart).replies.empty());
     }
     CHECK(a.counters().malformed == hello.size() + 7);
-    CHECK(a.kept() == 0);
-    const auto welcome = a.heard(1, hello, kStart).replies.at(0).bytes;
-    CHECK(welcome.size() < Arrival::kMostBytes);
+    CHECK(a.tableEntries() == 0);
+    const auto welcome = a.handleDatagram(1, hello, kStart).replies.at(0).bytes;
+    CHECK(welcome.size() < RestartRecovery::kMaxDatagramBytes);
     // To another life than this one it says nothing.
-    Arrival later(terms(1, 3), kStart + kSecond);
-    later.heard(0, welcome, kStart + kSecond);
-    later.heard(2, welcome, kStart + kSecond);
-    CHECK(!later.clear(kStart + kSecond));
+    RestartRecovery later(terms(1, 3), kStart + kSecond);
+    later.handleDatagram(0, welcome, kStart + kSecond);
+    later.handleDatagram(2, welcome, kStart + kSecond);
+    CHECK(!later.isRecovered(kStart + kSecond));
 }
 
 namespace {
@@ -210,8 +210,8 @@
     Micros now = kStart;
     bool alive = true, leaving = false;
     int starts = 0, leaves = 0, asks = 0;
-    Arrival hosts[3] = {Arrival(terms(0, 3), kStart), Arrival(terms(1, 3), kStart - 20 * kSecond),
-                        Arrival(terms(2, 3), kStart - 20 * kSecond)};
+    RestartRecovery hosts[3] = {RestartRecovery(terms(0, 3), kStart), RestartRecovery(terms(1, 3), kStart - 20 * kSecond),
+                        RestartRecovery(terms(2, 3), kStart - 20 * kSecond)};
     int lentTo = 0;  // by the life that runs
     Micros lentUntil = 0;
     Micros askedAt[3] = {}, heldUntil[3] = {};
@@ -243,7 +243,7 @@
 
     static bool wrong(const World& w) {
         const bool one = w.heldUntil[1] > w.now, two = w.heldUntil[2] > w.now;
-        const bool home = w.alive && w.hosts[0].clear(w.now) && w.lentUntil <= w.now;
+        const bool home = w.alive && w.hosts[0].isRecovered(w.now) && w.lentUntil <= w.now;
         return int(one) + int(two) + int(home) > 1;
     }
     // A message that is told is lost, or there at once, or held for as long as it likes.
@@ -259,7 +259,7 @@
         }
         from = std::move(all);
     }
-    void told(std::vector<World>& from, int who, const std::vector<fleet::Message>& all) const {
+    void told(std::vector<World>& from, int who, const std::vector<fleet::OutgoingDatagram>& all) const {
         for (const auto& m : all)
             if (who == 0 || m.to == 0) told(from, {Kind::Fleet, who, m.to, m.bytes, 0, 0});
     }
@@ -268,28 +268,28 @@
         if (m.to == 0 && !w.alive) return {w};
         auto& to = w.hosts[m.to];
         if (m.kind == Kind::Fleet) {
-            const auto heard = to.heard(m.from, m.bytes, w.now);
-            if (m.to != 0 && heard.life == Arrival::Life::Fresh) w.heldUntil[m.to] = 0;
+            const auto heard = to.handleDatagram(m.from, m.bytes, w.now);
+            if (m.to != 0 && heard.status == RestartRecovery::IncarnationStatus::New) w.heldUntil[m.to] = 0;
             out = {w};
             told(out, m.to, heard.replies);
             return out;
         }
         if (m.kind == Kind::Ask) {
-            const bool own = w.hosts[0].clear(w.now) && w.lentUntil <= w.now;
-            bool lends = w.hosts[0].lends(w.now);
-            if (lendsUnacknowledged && !w.leaving) lends = w.hosts[0].clear(w.now);
-            if (lendsWhileLeaving && w.leaving) lends = w.hosts[0].clear(w.now);
+            const bool own = w.hosts[0].isRecovered(w.now) && w.lentUntil <= w.now;
+            bool mayLend = w.hosts[0].mayLend(w.now);
+            if (lendsUnacknowledged && !w.leaving) mayLend = w.hosts[0].isRecovered(w.now);
+            if (lendsWhileLeaving && w.leaving) mayLend = w.hosts[0].isRecovered(w.now);
             const bool again = w.lentTo == m.from && w.lentUntil > w.now;
             out = {w};
-            if (!(own || again) || !lends) return out;
+            if (!(own || again) || !mayLend) return out;
             out[0].lentTo = m.from;
             out[0].lentUntil = w.now + kLease;
-            told(out, {Kind::Grant, 0, m.from, {}, w.hosts[0].life(), m.askedAt});
+            told(out, {Kind::Grant, 0, m.from, {}, w.hosts[0].incarnation(), m.askedAt});
             return out;
         }
-        const auto life = to.met(0, m.life, w.now);
-        if (life == Arrival::Life::Stale && !believesStale) return {w};
-        if (life == Arrival::Life::Fresh) w.heldUntil[m.to] = 0;
+        const auto life = to.observeIncarnation(0, m.life, w.now);
+        if (life == RestartRecovery::IncarnationStatus::Stale && !believesStale) return {w};
+        if (life == RestartRecovery::IncarnationStatus::New) w.heldUntil[m.to] = 0;
         if (w.askedAt[m.to] == m.askedAt) w.heldUntil[m.to] = std::max(w.heldUntil[m.to], m.askedAt + kLease);
         return {w};
     }
@@ -311,7 +311,7 @@
                 if (later.heldUntil[b] <= later.now) later.heldUntil[b] = 0;
             std::vector<World> out{later};
             if (later.alive) {
-                const auto due = out[0].hosts[0].due(out[0].now);
+                const auto due = out[0].hosts[0].dueDatagrams(out[0].now);
                 told(out, 0, due);
             }
             add(out);
@@ -333,7 +333,7 @@
                 auto leaves = w;
                 leaves.leaving = true;
                 ++leaves.leaves;
-                leaves.hosts[0].leaving(w.now + kSecond, w.now);
+                leaves.hosts[0].startShutdown(w.now + kSecond, w.now);
                 all.push_back(leaves);
             }
         }
@@ -341,9 +341,9 @@
             auto back = w;
             back.alive = true;
             ++back.starts;
-            back.hosts[0] = Arrival(terms(0, 3), w.now + back.starts * kMs);
+            back.hosts[0] = RestartRecovery(terms(0, 3), w.now + back.starts * kMs);
             back.lentTo = 0, back.lentUntil = 0;
-            const auto due = back.hosts[0].due(back.now + back.starts * kMs);
+            const auto due = back.hosts[0].dueDatagrams(back.now + back.starts * kMs);
             std::vector<World> out{back};
             told(out, 0, due);
             add(out);
@@ -354,7 +354,7 @@
         std::unordered_set<std::string> seen;
         std::deque<World> open;
         World first;
-        first.hosts[0] = Arrival(terms(0, 3), kStart - 20 * kSecond);  // it has long been there
+        first.hosts[0] = RestartRecovery(terms(0, 3), kStart - 20 * kSecond);  // it has long been there
         open.push_back(first);
         seen.insert(open.front().key());
         for (; !open.empty() && broken.empty() && seen.size() < most; open.pop_front()) {
--- /dev/null
+++ b/tests/golden/golden_stored_data_test.cpp
@@ -0,0 +1,364 @@
+// What an earlier version left for a later one: files on disk and datagrams of hosts that were not upgraded
+// yet. Each golden file under data/ was written by an earlier version. It is read here and acted on, and the
+// same values must give the same bytes again.
+//
+// How the files are written anew stands in golden_file.h.
+#include <doctest/doctest.h>
+
+#include "support/policy_support.h"
+#include "core/reducer.h"
+#include "fleet/restart_recovery.h"
+#include "golden/golden_file.h"
+#include "hot_restart/snapshot.h"
+#include "policy/peer_message.h"
+
+using namespace wingproxy;
+using namespace wingproxy::test;
+
+namespace {
+
+constexpr int kHosts = 3;
+constexpr Micros kBegin = 100 * kSecond;
+constexpr Micros kHandedOverAt = kBegin + 12 * kSecond;
+
+/// Compares the bytes with a file of one line of hexadecimal digits, or writes it. Returns those of the file.
+std::string golden(const std::string& name, const std::string& bytes) {
+    const std::string path = "data/" + name;
+    CHECK_MESSAGE(differenceFromGoldenFile(path, {hexOf(bytes)}).empty(), path);
+    const std::string text = readGoldenFile(path);
+    return bytesOfHex(text.substr(0, text.find('\n')));
+}
+
+// ---- snapshot and overrides
+
+std::vector<NodeInfo> listedNodes() {
+    return {node("a", 0), node("b", 1), node("c", 1, NodeState::Draining),
+            node("d", 0, NodeState::Ready, kBegin + 9 * kSecond)};
+}
+
+struct RunningState {
+    RunningState() : state(settings(0, kHosts), core::Limits{250 * kMs}, kBegin) {}
+    core::Effects put(Micros now, core::Input input) {
+        auto effects = core::reduce(state, now, std::move(input));
+        for (auto& e : core::reduce(state, now, core::BatchEnded{})) effects.push_back(std::move(e));
+        return effects;
+    }
+    core::State state;
+};
+
+/// Twelve seconds of a host: loans, learnt latencies, a node out by hand, cold sends, requests that are open.
+hot_restart::Snapshot constructedSnapshot() {
+    RunningState host;
+    host.put(kBegin, EndpointListReceived{nodes(listedNodes())});
+    RequestId id = 0;
+    const auto answer = [&](Micros now, const core::Effects& effects) {
+        for (const auto& effect : effects)
+            if (const auto* start = std::get_if<core::StartAttempt>(&effect); start && start->id % 70 != 0)
+                host.put(now, core::AttemptFinished{start->id, start->attempt, Outcome::Ok, 0, 0, {}, false});
+    };
+    for (Micros now = kBegin + 10 * kMs; now < kHandedOverAt; now += 10 * kMs) {
+        answer(now, host.put(now, core::TimerExpired{}));
+        if (now % (40 * kMs) != 0) continue;
+        const int number = static_cast<int>(++id);
+        answer(now, host.put(now, RequestReceived{request(id, number % 4, number % 2, now, 1 + number % 5,
+                                                        number % 2, kHosts)}));
+    }
+    const auto volume = peer::hashOf("vol-limited");
+    std::string message = peer::header(7'001);
+    peer::add(message, {peer::kJoin, 3'000, 80, peer::waitCode(4'000) | 2 << 8});
+    peer::add(message, {peer::kAsk, volume, 2, 20'001});
+    peer::add(message, {peer::kMember, std::uint32_t(volume), 1, 0});
+    host.put(kHandedOverAt, PeerMessageReceived{1, message});
+    host.put(kHandedOverAt, core::AdminOverrideChanged{"b", {true, kHandedOverAt}});
+    hot_restart::Snapshot snapshot;
+    snapshot.front = "front-0";
+    snapshot.takenAt = kHandedOverAt;
+    snapshot.engine.core = core::takeSnapshot(host.state, kHandedOverAt);
+    for (std::uint16_t port = 8'001; snapshot.engine.addresses.size() < snapshot.engine.core.listed.size();
+         ++port)
+        snapshot.engine.addresses.push_back({"10.0.0.1", port});
+    snapshot.engine.listVersion = 42;
+    snapshot.openRequestIds = {"0000000000000001", "00000000000000ff"};
+    return snapshot;
+}
+
+core::AdminOverrides constructedOverrides() {
+    return {{"a", {true, kBegin}}, {"b", {false, kBegin + 1}}, {"node with a long name", {true, kBegin + 2}}};
+}
+
+// ---- datagrams
+
+constexpr std::uint64_t kSenderLife = 90'001;
+constexpr std::uint64_t kKey = 3'000;  // kept by host 0, as it is a multiple of the number of hosts
+constexpr std::uint64_t kAskStamp = 20'001;
+constexpr Micros kLendingFrom = kBegin + 11 * kSecond;  // a host lends without a word of the others
+
+std::uint64_t limitedVolume() { return peer::hashOf("vol-limited"); }
+std::uint64_t cellZero() { return std::uint32_t(peer::hashOf("0")); }
+
+std::string datagram(std::initializer_list<peer::Record> records) {
+    std::string message = peer::header(kSenderLife);
+    for (const auto& record : records) peer::add(message, record);
+    return message;
+}
+
+fleet::RestartRecovery::Options arrivalTerms(int host) { return {host, kHosts, 2 * kSecond, true}; }
+
+std::string messageTo(int to, const std::vector<fleet::OutgoingDatagram>& messages) {
+    for (const auto& message : messages)
+        if (message.to == to) return message.bytes;
+    FAIL("no message to this host");
+    return "";
+}
+
+using Datagrams = std::map<std::string, std::string>;
+
+Datagrams constructedDatagrams() {
+    Datagrams all;
+    const std::uint64_t state = peer::waitCode(30'000) | 3 << 8 | 10 << 16;
+    all["use"] = datagram({{peer::kUse, kKey, 160, state}});
+    all["join"] = datagram({{peer::kJoin, kKey, 160, state}});
+    all["ask"] = datagram({{peer::kAsk, limitedVolume(), 7, kAskStamp}});
+    all["return"] = datagram({{peer::kReturn, limitedVolume(), 0, kAskStamp}});
+    all["grant"] =
+        datagram({{peer::kGrant, limitedVolume(), 5 | 320 << 8, (kLendingFrom + 100 * kMs) / 1000 | 1}});
+    all["others"] =
+        datagram({{peer::kOthers, cellZero(), 400, peer::waitCode(5'000'000) | peer::rateCode(20) << 8}});
+    all["member"] = datagram({{peer::kMember, std::uint32_t(limitedVolume()), 2, 0}});
+    all["old_hello"] = datagram({{peer::kOldHello, 17, 0, 0}});
+    all["old_welcome"] = datagram({{peer::kOldWelcome, 17, 0, 0}});
+    // Host 0 leaves and starts again; host 1 keeps its notice, host 2 does not know of it.
+    fleet::RestartRecovery earlier(arrivalTerms(0), kBegin - 20 * kSecond);
+    fleet::RestartRecovery keeper(arrivalTerms(1), kBegin - 20 * kSecond);
+    fleet::RestartRecovery stranger(arrivalTerms(2), kBegin - 20 * kSecond);
+    earlier.startShutdown(kBegin - 50 * kMs, kBegin - 1'500 * kMs);
+    all["shutdown_notice"] = messageTo(1, earlier.dueDatagrams(kBegin - 1'500 * kMs));
+    keeper.handleDatagram(0, all["shutdown_notice"], kBegin - 1'499 * kMs);
+    fleet::RestartRecovery later(arrivalTerms(0), kBegin);
+    all["hello"] = messageTo(1, later.dueDatagrams(kBegin));
+    all["welcome_after"] = messageTo(0, keeper.handleDatagram(0, all["hello"], kBegin).replies);
+    all["welcome"] = messageTo(0, stranger.handleDatagram(0, all["hello"], kBegin).replies);
+    return all;
+}
+
+/// The datagrams of the golden file, which are those of the version that wrote it.
+Datagrams goldenDatagrams() {
+    std::vector<std::string> lines;
+    for (const auto& [name, bytes] : constructedDatagrams()) lines.push_back(name + " " + hexOf(bytes));
+    const std::string difference = differenceFromGoldenFile("data/datagrams.txt", lines);
+    CHECK_MESSAGE(difference.empty(), difference);
+    Datagrams all;
+    std::istringstream text(readGoldenFile("data/datagrams.txt"));
+    for (std::string name, hex; text >> name >> hex;) all[name] = bytesOfHex(hex);
+    return all;
+}
+
+/// The records that a host tells another one with these actions.
+std::vector<peer::Record> recordsTo(int to, const std::vector<Action>& actions) {
+    std::vector<peer::Record> records;
+    std::uint64_t life = 0;
+    for (const auto& told : only<SendPeerMessage>(actions))
+        if (told.to == to && !fleet::RestartRecovery::isRecoveryDatagram(told.bytes))
+            CHECK(peer::read(told.bytes, life, records));
+    return records;
+}
+
+std::vector<peer::Record> withTag(std::uint8_t tag, const std::vector<peer::Record>& records) {
+    std::vector<peer::Record> found;
+    for (const auto& record : records)
+        if (record.tag == tag) found.push_back(record);
+    return found;
+}
+
+/// A host with many nodes in cell 0, which has run for so long that it lends and borrows.
+struct LongRunningHost : Host {
+    LongRunningHost() : Host(settings(0, kHosts), kBegin) {
+        std::vector<NodeInfo> list;
+        for (int i = 0; i < 30; ++i) list.push_back(node(std::string("n").append(std::to_string(i)), 0));
+        batch({nodes(list)});
+        runTo(kLendingFrom);
+    }
+    std::vector<Action> hear(int from, const std::string& bytes) { return batch({PeerMessageReceived{from, bytes}}); }
+};
+
+}  // namespace
+
+TEST_CASE("golden snapshot: an earlier version's file is read, restored and acted on") {
+    const std::string bytes = golden("snapshot.hex", hot_restart::encode(constructedSnapshot()));
+    const auto read = hot_restart::decode(bytes, "front-0", kHandedOverAt + kSecond);
+    REQUIRE(std::holds_alternative<hot_restart::Snapshot>(read));
+    const auto& snapshot = std::get<hot_restart::Snapshot>(read);
+    CHECK(hot_restart::encode(snapshot) == bytes);
+    CHECK(snapshot.takenAt == kHandedOverAt);
+    CHECK(snapshot.engine.listVersion == 42);
+    CHECK(snapshot.openRequestIds == std::vector<std::string>{"0000000000000001", "00000000000000ff"});
+    REQUIRE(snapshot.engine.core.listed.size() == 4);
+    CHECK(snapshot.engine.core.listed[3].id == "d");
+    CHECK(snapshot.engine.core.listed[3].startedUs == kBegin + 9 * kSecond);
+    CHECK(snapshot.engine.core.listed[2].state == NodeState::Draining);
+    CHECK(snapshot.engine.addresses[3] == config::Endpoint{"10.0.0.1", 8'004});
+    CHECK(snapshot.engine.core.drains.contains("c"));
+    CHECK(snapshot.engine.core.seen.size() <= 4);
+
+    RunningState successor;
+    REQUIRE(core::restore(successor.state, snapshot.engine.core));
+    CHECK(successor.state.recovery().incarnation() == 100'001);
+    CHECK(successor.state.recovery().isRecovered(kHandedOverAt));
+    successor.put(kHandedOverAt, EndpointListReceived{nodes(snapshot.engine.core.listed, EndpointListKind::Cached)});
+    Request fresh = request(9'000, 0, 1, kHandedOverAt, 2, 0, kHosts);
+    fresh.volume = "vol-with-a-full-reserve";
+    const auto effects = successor.put(kHandedOverAt + 10 * kMs, RequestReceived{fresh});
+    std::string sentTo;
+    for (const auto& effect : effects)
+        if (const auto* start = std::get_if<core::StartAttempt>(&effect)) sentTo = start->node;
+    CHECK(sentTo == "a");
+}
+
+TEST_CASE("golden snapshot: the restored module does what the version before did") {
+    const std::string bytes = golden("snapshot.hex", hot_restart::encode(constructedSnapshot()));
+    const auto snapshot = std::get<hot_restart::Snapshot>(hot_restart::decode(bytes, "front-0", kHandedOverAt));
+    Host successor(settings(0, kHosts), kHandedOverAt);
+    REQUIRE(successor.policy.restore(snapshot.engine.core.module));
+    std::vector<std::string> lines;
+    for (RequestId id = 20'000; id < 20'200; ++id) {
+        auto actions = successor.runTo(successor.now + 20 * kMs);
+        const int number = static_cast<int>(id);
+        for (auto& a : successor.batch(
+                 {request(id, number % 4, number % 2, successor.now, 1 + number % 5, number % 2, kHosts)}))
+            actions.push_back(std::move(a));
+        std::string line = std::to_string(id);
+        for (const auto& send : only<ForwardRequest>(actions)) {
+            line += " sent " + std::to_string(send.id) + " " + send.node;
+            if (id % 7 != 0) successor.batch({ended(send.id, 0, send.node, Outcome::Ok)});
+        }
+        for (const auto& refusal : only<RejectRequest>(actions))
+            line += " refused " + std::to_string(refusal.id) + " " + std::to_string(refusal.retryAfterUs);
+        for (const auto& told : only<SendPeerMessage>(actions))
+            line += " told " + std::to_string(told.to) + " " + hexOf(told.bytes);
+        lines.push_back(line);
+    }
+    const std::string difference = differenceFromGoldenFile("data/after_restore.txt", lines);
+    CHECK_MESSAGE(difference.empty(), difference);
+}
+
+TEST_CASE("golden overrides: an earlier version's file is read") {
+    const auto constructed = constructedOverrides();
+    const std::string bytes = golden("overrides.hex", hot_restart::encodeOverrides(constructed));
+    const auto read = hot_restart::decodeOverrides(bytes);
+    REQUIRE(std::holds_alternative<core::AdminOverrides>(read));
+    CHECK(std::get<core::AdminOverrides>(read) == constructed);
+}
+
+TEST_CASE("golden datagrams: use and join are answered with what the others ask, and with the members") {
+    const auto datagrams = goldenDatagrams();
+    LongRunningHost host;
+    const auto others = withTag(peer::kOthers, recordsTo(1, host.hear(1, datagrams.at("use"))));
+    REQUIRE(others.size() == 1);
+    CHECK(others[0].a == kKey);
+    CHECK(others[0].b == 0);  // nobody else asks for it
+    const auto toSecond = recordsTo(2, host.hear(2, datagrams.at("join")));
+    REQUIRE(withTag(peer::kOthers, toSecond).size() == 1);
+    CHECK(withTag(peer::kOthers, toSecond)[0].b == 160);
+    REQUIRE(withTag(peer::kMember, toSecond).size() == 2);  // itself, joined as a member of the key
+    const auto toFirst = recordsTo(2, host.hear(1, datagrams.at("join")));
+    REQUIRE(withTag(peer::kMember, toFirst).size() == 1);
+    CHECK(withTag(peer::kMember, toFirst)[0].b == 1);
+    CHECK(host.policy.recovery().counters().malformed == 0);
+}
+
+TEST_CASE("golden datagrams: an ask is granted, and what is returned is lent again") {
+    const auto datagrams = goldenDatagrams();
+    LongRunningHost host;
+    host.batch({request(1, 0, 0, host.now, 1, 0, kHosts)});
+    const auto granted = withTag(peer::kGrant, recordsTo(1, host.hear(1, datagrams.at("ask"))));
+    REQUIRE(granted.size() == 1);
+    CHECK(granted[0].a == limitedVolume());
+    CHECK(granted[0].c == kAskStamp);
+    CHECK((granted[0].b & 255) >= 4);
+    const auto rest = withTag(peer::kGrant, recordsTo(2, host.hear(2, datagrams.at("ask"))));
+    const auto lentBefore = rest.empty() ? 0 : rest[0].b & 255;
+    host.hear(1, datagrams.at("return"));
+    const auto again = withTag(peer::kGrant, recordsTo(2, host.hear(2, datagrams.at("ask"))));
+    REQUIRE(again.size() == 1);
+    CHECK((again[0].b & 255) > lentBefore);
+}
+
+TEST_CASE("golden datagrams: a member is asked, and its grant lets waiting requests go") {
+    const auto datagrams = goldenDatagrams();
+    const auto sendsAfter = [&](bool heardOfMember, bool heardGrant) {
+        LongRunningHost host;
+        host.batch({request(1, 0, 0, host.now, 1, 0, kHosts)});
+        if (heardOfMember) host.hear(2, datagrams.at("member"));
+        host.runTo(kLendingFrom + 100 * kMs);
+        std::vector<AnyEvent> burst;
+        for (RequestId id = 2; id < 40; ++id) burst.push_back(request(id, 0, 0, host.now, 2, 0, kHosts));
+        const auto actions = host.batch(burst);
+        const auto asks = withTag(peer::kAsk, recordsTo(2, actions));
+        CHECK(asks.size() == (heardOfMember ? 1 : 0));
+        if (heardOfMember) CHECK(asks[0].c == ((kLendingFrom + 100 * kMs) / 1000 | 1));
+        host.now += kMs;
+        return heardGrant ? only<ForwardRequest>(host.hear(2, datagrams.at("grant"))).size() : 0;
+    };
+    CHECK(sendsAfter(false, true) == 0);
+    CHECK(sendsAfter(true, false) == 0);
+    CHECK(sendsAfter(true, true) == 4);
+}
+
+TEST_CASE("golden datagrams: a long wait that the others told keeps requests from a cell") {
+    const auto datagrams = goldenDatagrams();
+    LongRunningHost host;
+    CHECK(only<ForwardRequest>(host.batch({request(1, 0, 1, host.now, 2, 0, kHosts)})).size() == 1);
+    host.hear(1, datagrams.at("others"));
+    const auto actions = host.batch({request(2, 0, 1, host.now, 2, 0, kHosts)});
+    CHECK(only<ForwardRequest>(actions).empty());
+    CHECK(only<RejectRequest>(actions).size() == 1);
+}
+
+TEST_CASE("golden datagrams: records of hosts before the present protocol are accepted and change nothing") {
+    const auto datagrams = goldenDatagrams();
+    for (const char* name : {"old_hello", "old_welcome"}) {
+        LongRunningHost host;
+        CHECK(host.hear(1, datagrams.at(name)).empty());
+        CHECK(host.policy.recovery().counters().malformed == 0);
+        CHECK(host.policy.recovery().tableEntries() == 1);  // its sender is known
+    }
+}
+
+TEST_CASE("golden datagrams: a hello is welcomed, also with the shutdown notice from before it") {
+    const auto datagrams = goldenDatagrams();
+    Host keeper(settings(1, kHosts), kBegin - 20 * kSecond);
+    keeper.batch();
+    keeper.runTo(kBegin - 1'499 * kMs);
+    keeper.batch({PeerMessageReceived{0, datagrams.at("shutdown_notice")}});
+    CHECK(keeper.policy.recovery().counters().storedNotices == 1);
+    keeper.runTo(kBegin);
+    const auto welcomeAfter = only<SendPeerMessage>(keeper.batch({PeerMessageReceived{0, datagrams.at("hello")}}));
+    REQUIRE(!welcomeAfter.empty());
+    CHECK(hexOf(welcomeAfter[0].bytes) == hexOf(datagrams.at("welcome_after")));
+
+    Host stranger(settings(2, kHosts), kBegin - 20 * kSecond);
+    stranger.batch();
+    stranger.runTo(kBegin);
+    const auto welcome = only<SendPeerMessage>(stranger.batch({PeerMessageReceived{0, datagrams.at("hello")}}));
+    REQUIRE(!welcome.empty());
+    CHECK(hexOf(welcome[0].bytes) == hexOf(datagrams.at("welcome")));
+}
+
+TEST_CASE("golden datagrams: welcomes make a host clear sooner than a lease") {
+    const auto datagrams = goldenDatagrams();
+    Host byNotice(settings(0, kHosts), kBegin);
+    const auto hellos = only<SendPeerMessage>(byNotice.batch());
+    REQUIRE(hellos.size() == 2);
+    CHECK(hellos[0].bytes == datagrams.at("hello"));
+    byNotice.batch({PeerMessageReceived{1, datagrams.at("welcome_after")}});
+    CHECK(byNotice.policy.recovery().recoveryCause() == fleet::RestartRecovery::RecoveryCause::ShutdownNotice);
+    CHECK(!byNotice.policy.recovery().isRecovered(kBegin));
+    CHECK(byNotice.policy.recovery().isRecovered(kBegin + 600 * kMs));  // two seconds after the notice
+
+    Host byEveryone(settings(0, kHosts), kBegin);
+    byEveryone.batch({PeerMessageReceived{2, datagrams.at("welcome")}});
+    CHECK(!byEveryone.policy.recovery().isRecovered(kBegin));
+    byEveryone.batch({PeerMessageReceived{1, datagrams.at("welcome_after")}});
+    CHECK(byEveryone.policy.recovery().isRecovered(kBegin));
+    CHECK(byEveryone.policy.recovery().recoveryCause() == fleet::RestartRecovery::RecoveryCause::AllPeersReplied);
+}
--- /dev/null
+++ b/tests/golden/wire_simulation.cpp
@@ -0,0 +1,540 @@
+#include "golden/wire_simulation.h"
+
+#include <algorithm>
+#include <sstream>
+#include <stdexcept>
+
+namespace wingproxy::test {
+namespace {
+
+constexpr Micros kMillisecond = 1'000;
+constexpr Micros kSecond = 1'000'000;
+constexpr Micros kStart = 1'000 * kSecond;
+constexpr int kCells = 3;
+constexpr int kLanes = 4;
+constexpr int kQueueLimit = 12;
+constexpr int kColdQueueLimit = 5;
+constexpr Micros kServiceTime = 9 * kMillisecond;  // of one unit
+constexpr Micros kCrossing = 1 * kMillisecond;
+constexpr Micros kDrainGrace = 1'500 * kMillisecond;
+constexpr Micros kWarmUp = 10 * kSecond;
+constexpr Micros kScriptLength = 40 * kSecond;
+
+struct RequestClass {
+    std::string name;
+    std::string settings;  // key=value, without the index
+    Micros lifetime;
+};
+
+const std::vector<RequestClass>& requestClasses() {
+    static const std::vector<RequestClass> classes{
+        {"read", "aimUs=300000 deadlineUs=1500000 effect=idempotent keyScope=all value=2 lateWorth=0.1",
+         1'500 * kMillisecond},
+        {"write",
+         "aimUs=400000 deadlineUs=3000000 windowUs=1000000 effect=deduplicated keyScope=cell value=3",
+         3 * kSecond},
+        {"append", "aimUs=500000 deadlineUs=2000000 effect=at_most_once keyScope=all value=2.5", 2 * kSecond},
+        {"ordered", "aimUs=600000 deadlineUs=2500000 effect=idempotent keyScope=all value=1.5 fifoByKey=true",
+         2'500 * kMillisecond},
+        {"zoned", "aimUs=400000 deadlineUs=2500000 windowUs=800000 effect=deduplicated keyScope=zone value=1",
+         2'500 * kMillisecond},
+        {"global", "aimUs=400000 deadlineUs=2500000 windowUs=600000 effect=deduplicated keyScope=all value=4",
+         2'500 * kMillisecond},
+        {"bulk", "aimUs=0 deadlineUs=6000000 effect=idempotent keyScope=all value=0.3 stream=true",
+         6 * kSecond},
+        {"ordered_write",
+         "aimUs=500000 deadlineUs=2500000 windowUs=900000 effect=deduplicated keyScope=cell value=2 "
+         "fifoByKey=true",
+         2'500 * kMillisecond}};
+    return classes;
+}
+
+struct Plan {
+    std::string name;
+    std::string settings;
+};
+
+const std::vector<Plan>& plans() {
+    static const std::vector<Plan> all{
+        {"basic", "baseRate=3.3 guaranteed=2 shares=1 valueFactor=1"},
+        {"limited", "baseRate=4 guaranteed=3 shares=1 valueFactor=1.2 limit=40 limitBurst=60 limitSlack=8"},
+        {"gold", "baseRate=20 guaranteed=10 shares=4 valueFactor=3"},
+        {"tight", "baseRate=2 guaranteed=0 shares=0.5 valueFactor=0.5 limit=12 limitBurst=24 limitSlack=4"}};
+    return all;
+}
+
+std::string withPrefix(const std::string& prefix, const std::string& settings) {
+    std::istringstream words(settings);
+    std::string out;
+    for (std::string word; words >> word;) out += " " + prefix + word;
+    return out;
+}
+
+std::string field(const std::string& key, std::int64_t value) {
+    return " " + key + "=" + std::to_string(value);
+}
+std::string field(const std::string& key, const std::string& value) { return " " + key + "=" + value; }
+
+}  // namespace
+
+ReplyLine::ReplyLine(std::string_view text) {
+    std::istringstream words{std::string(text)};
+    words >> name;
+    for (std::string word; words >> word;) {
+        const auto equals = word.find('=');
+        if (equals != std::string::npos) fields[word.substr(0, equals)] = word.substr(equals + 1);
+    }
+}
+
+WireSimulation::WireSimulation(const SimulationSettings& settings)
+    : settings_(settings), random_(settings.seed), now_(kStart), end_(kStart + settings.duration) {
+    hosts_.resize(static_cast<std::size_t>(settings.hosts));
+    const int cellOf[] = {0, 0, 0, 1, 1, 1, 2, 2};
+    for (int i = 0; i < 8; ++i) {
+        Node node;
+        node.id = "10.0.0." + std::to_string(i) + ":8001";
+        node.zone = i % 2 == 0 ? "hall" : "annex";
+        node.cell = cellOf[i];
+        node.laneFreeAt.assign(kLanes, 0);
+        nodes_.push_back(node);
+    }
+    for (int host = 0; host < settings.hosts; ++host)
+        at(kStart + host * 7 * kMillisecond, [this, host] { startHost(host); });
+    for (Micros from = kStart; from < end_; from += kScriptLength) scheduleNodeScript(from);
+    schedulePartition(kStart);
+    at(kStart + 200 * kMillisecond, [this] { scheduleArrival(); });
+}
+
+void WireSimulation::run(const std::function<void(const std::string&)>& onBatch) {
+    while (!agenda_.empty() && agenda_.begin()->first < end_) {
+        now_ = agenda_.begin()->first;
+        batch_.clear();
+        while (!agenda_.empty() && agenda_.begin()->first == now_) {
+            const auto step = std::move(agenda_.begin()->second);
+            agenda_.erase(agenda_.begin());
+            step();
+        }
+        if (batch_.empty()) continue;
+        ++batches_;
+        std::istringstream input("BEGIN_BATCH tsUs=" + std::to_string(now_) +
+                                 " batch=" + std::to_string(batches_) + "\n" + batch_ + "OVER_TO_YOU\n");
+        std::string reply;
+        instances_.serveBatch(input, reply);
+        onBatch(reply);
+        std::istringstream lines(reply);
+        for (std::string line; std::getline(lines, line);) act(ReplyLine(line));
+    }
+}
+
+// Times are whole milliseconds, so that several events share a batch.
+void WireSimulation::at(Micros time, std::function<void()> step) {
+    const Micros rounded = (time + kMillisecond - 1) / kMillisecond * kMillisecond;
+    agenda_.emplace(std::max(rounded, now_ + (batches_ > 0 ? kMillisecond : 0)), std::move(step));
+}
+
+void WireSimulation::say(const std::string& line) {
+    batch_ += line + "\n";
+    ++inputLines_;
+    ++inputKinds_[line.substr(0, line.find(' '))];
+}
+
+void WireSimulation::sayTo(int host, const std::string& name, const std::string& fields) {
+    if (hosts_[static_cast<std::size_t>(host)].up) say(name + " who=" + who(host) + fields);
+}
+
+// ---- hosts
+
+std::string WireSimulation::settingsOf(int host) const {
+    std::string text = field("me", host) + field("replicasOfMe", settings_.hosts);
+    text += field("rngSeed", 100 + host + 10 * hosts_[static_cast<std::size_t>(host)].run);
+    text += field("zone", host % 2 == 0 ? "hall" : "annex");
+    const auto& classes = requestClasses();
+    text += field("classes.count", static_cast<std::int64_t>(classes.size()));
+    for (std::size_t i = 0; i < classes.size(); ++i) {
+        const std::string prefix = "classes." + std::to_string(i) + ".";
+        text += field(prefix + "name", classes[i].name) + withPrefix(prefix, classes[i].settings);
+    }
+    text += field("extra.changesData", "false,true,true,false,true,true,false,true");
+    text += field("serviceLevels.count", static_cast<std::int64_t>(plans().size()));
+    for (std::size_t i = 0; i < plans().size(); ++i) {
+        const std::string prefix = "serviceLevels." + std::to_string(i) + ".";
+        text += field(prefix + "name", plans()[i].name) + withPrefix(prefix, plans()[i].settings);
+    }
+    text += " report.columns=cpu,disk report.how=answer allowed.tryLimit=3 allowed.secondCopies=false";
+    text += field("registryMode", settings_.pollsEndpointList ? "on_request" : "push");
+    text += field("allowed.mayProbe", settings_.mayCheckHealth ? "true" : "false");
+    text += field("allowed.cancel", settings_.mayCancel ? "true" : "false");
+    text += field("allowed.peers", settings_.hosts > 1 ? "true" : "false");
+    text += " allowed.retryAfter=true allowed.maxRetryAfterUs=800000";
+    text += " obligations.answerSlackUs=8000 obligations.askEveryUs=3000000 obligations.keyRestUs=300000";
+    text += field("obligations.drainGraceUs", kDrainGrace);
+    if (settings_.hasRetryBudget)
+        text += " obligations.resendRatio=0.1 obligations.extraFree=3 obligations.resendSpanUs=2000000";
+    text += " obligations.startCapacity=0.25 obligations.fallMultiple=2 obligations.fallUs=2000000";
+    text += field("obligations.warmAfterUs", kWarmUp);
+    text += " extra.coldBears=12 extra.meanUnits=2 extra.maxUnits=6 extra.withinShare=0.3";
+    text += " extra.spareWorth=0.1 extra.meterUs=1000000 roundUs=1000";
+    return text + field("extra.shards", kCells);
+}
+
+void WireSimulation::startHost(int host) {
+    Host& state = hosts_[static_cast<std::size_t>(host)];
+    state.up = true;
+    ++state.run;
+    say("UP who=" + who(host) + settingsOf(host));
+    if (!settings_.pollsEndpointList) sendWholeList(host, host % 2 == 0 ? "warm_copy" : "total");
+    else if (state.run > 1) sendWholeList(host, "warm_copy");
+}
+
+void WireSimulation::stopHost(int host) {
+    hosts_[static_cast<std::size_t>(host)].up = false;
+    say("POWER_OFF who=" + who(host));
+}
+
+// ---- nodes and their list
+
+// Each kind of trouble that the module must notice, one after the other.
+void WireSimulation::scheduleNodeScript(Micros from) {
+    const auto id = [this](int i) { return nodes_[static_cast<std::size_t>(i)].id; };
+    const auto set = [this, from](Micros after, const std::string& name, auto change) {
+        at(from + after, [this, name, change] { change(node(name)); });
+    };
+    const auto drain = [this, from, id](Micros after, int i) {
+        at(from + after, [this, name = id(i)] { changeNode(name, "Terminating"); });
+        at(from + after + kDrainGrace, [this, name = id(i)] { changeNode(name, "Gone"); });
+    };
+    const auto restart = [this, from, id](Micros after, int i) {
+        at(from + after, [this, name = id(i)] { restartNode(name); });
+    };
+    drain(5 * kSecond, 3);  // of a cell with two others
+    restart(8 * kSecond, 3);
+    set(9 * kSecond, id(1), [](Node& n) { n.slowdownPercent = 700; });
+    set(12 * kSecond, id(1), [](Node& n) { n.slowdownPercent = 100; });
+    set(13 * kSecond, id(4), [](Node& n) { n.errorPercent = 100; });
+    set(15 * kSecond, id(4), [](Node& n) { n.errorPercent = 0; });
+    set(15 * kSecond, id(2), [](Node& n) { n.unreachable = true; });
+    set(17 * kSecond, id(2), [](Node& n) { n.unreachable = false; });
+    set(17'500 * kMillisecond, id(0), [this](Node& n) { n.pausedUntil = now_ + 1'200 * kMillisecond; });
+    set(19 * kSecond, id(6), [](Node& n) { n.lossPercent = 15; });
+    set(21 * kSecond, id(6), [](Node& n) { n.lossPercent = 0; });
+    set(10 * kSecond, id(5), [](Node& n) { n.fullPercent = 60; });
+    set(12 * kSecond, id(5), [](Node& n) { n.fullPercent = 0; });
+    // A cell without a ready node: the last one drains, and its successor is listed later.
+    drain(22 * kSecond, 6);
+    drain(22'200 * kMillisecond, 7);
+    restart(25 * kSecond, 7);
+    restart(27 * kSecond, 6);
+    // Two cold nodes at once.
+    drain(29 * kSecond, 4);
+    drain(29 * kSecond, 5);
+    restart(31 * kSecond, 4);
+    restart(31'500 * kMillisecond, 5);
+    // Hosts that stop, and one that starts again without a stop.
+    if (settings_.hosts > 2) {
+        at(from + 20 * kSecond, [this] { stopHost(2); });
+        at(from + 20'700 * kMillisecond, [this] { startHost(2); });
+        at(from + 33 * kSecond, [this] { startHost(1); });
+        at(from + 26 * kSecond, [this] { sendWholeList(0, "total"); });
+    }
+    at(from + 14 * kSecond, [this] {
+        for (int host = 0; host < settings_.hosts; ++host)
+            sayTo(host, "REGISTRY", field("how", "lost") + field("serial", listVersion_));
+    });
+}
+
+// A network that loses all messages for ten seconds: loans run out, and old words are forgotten.
+void WireSimulation::schedulePartition(Micros from) {
+    at(from + 34 * kSecond, [this] { partitioned_ = true; });
+    at(from + 44 * kSecond, [this] { partitioned_ = false; });
+}
+
+WireSimulation::Node& WireSimulation::node(const std::string& id) {
+    const auto it = std::find_if(nodes_.begin(), nodes_.end(), [&](const Node& n) { return n.id == id; });
+    if (it == nodes_.end()) throw std::out_of_range("no node " + id);
+    return *it;
+}
+
+void WireSimulation::changeNode(const std::string& id, const std::string& readiness) {
+    Node& changed = node(id);
+    changed.readiness = readiness;
+    if (readiness == "Terminating") changed.drainsUntil = now_ + kDrainGrace;
+    announce({id});
+}
+
+void WireSimulation::restartNode(const std::string& id) {
+    Node& fresh = node(id);
+    fresh.startedAt = now_;
+    fresh.laneFreeAt.assign(kLanes, now_);
+    changeNode(id, "Ready");
+}
+
+int WireSimulation::putList(const std::vector<const Node*>& nodes) {
+    lastListId_ = (lastListId_ + 1) % 16;
+    say("ROSTER" + field("setId", lastListId_) + field("rowsIn", static_cast<std::int64_t>(nodes.size())));
+    for (const Node* n : nodes)
+        say("ENTRY" + field("cohort", n->cell) + " rating=1" + field("readiness", n->readiness) +
+            field("area", n->zone) + field("launchedUs", n->startedAt) + field("shelf", n->id));
+    return lastListId_;
+}
+
+void WireSimulation::announce(const std::vector<std::string>& changed) {
+    ++listVersion_;
+    if (settings_.pollsEndpointList) return;
+    std::vector<const Node*> entries;
+    for (const auto& id : changed) entries.push_back(&node(id));
+    const int list = putList(entries);
+    for (int host = 0; host < settings_.hosts; ++host) {
+        if (random_.chance(5)) continue;  // the change is missed until the next whole list
+        sayTo(host, "REGISTRY", field("how", "incr") + field("serial", listVersion_) + field("setId", list));
+    }
+}
+
+void WireSimulation::sendWholeList(int host, const std::string& how) {
+    std::vector<const Node*> entries;
+    for (const auto& n : nodes_)
+        if (n.readiness != "Gone") entries.push_back(&n);
+    const int list = putList(entries);
+    sayTo(host, "REGISTRY", field("how", how) + field("serial", listVersion_) + field("setId", list));
+}
+
+void WireSimulation::answerListRequest(int host) {
+    const int run = hosts_[static_cast<std::size_t>(host)].run;
+    const bool lost = random_.chance(25);
+    at(now_ + random_.between(3, 20) * kMillisecond, [this, host, run, lost] {
+        const Host& state = hosts_[static_cast<std::size_t>(host)];
+        if (!state.up || state.run != run) return;
+        if (lost) sayTo(host, "REGISTRY", field("how", "lost") + field("serial", listVersion_));
+        else sendWholeList(host, "total");
+    });
+}
+
+// ---- clients
+
+// Ordinary load, overload, and a calm time, in turn.
+Micros WireSimulation::loadGap() {
+    const Micros phase = (now_ - kStart) % (12 * kSecond);
+    std::int64_t percent = 100;
+    if (phase >= 4 * kSecond && phase < 6 * kSecond) percent = 30;
+    if (phase >= 6 * kSecond && phase < 7 * kSecond) percent = 300;
+    if (phase >= 10 * kSecond && phase < 11 * kSecond) percent = 45;
+    return std::max<Micros>(200, settings_.arrivalGap * percent / 100 * random_.between(1, 200) / 100);
+}
+
+void WireSimulation::scheduleArrival() {
+    arrive();
+    Micros gap = loadGap();
+    while (gap < kMillisecond) {
+        arrive();
+        gap += loadGap();
+    }
+    at(now_ + gap, [this] { scheduleArrival(); });
+}
+
+void WireSimulation::arrive() {
+    const auto& classes = requestClasses();
+    const auto& drawn =
+        classes[static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(classes.size())))];
+    const auto plan = static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(plans().size())));
+    // Half of the requests are for one busy volume of their plan, through a host that changes with time.
+    const bool busy = random_.chance(50);
+    const std::int64_t volume = busy ? 0 : random_.between(1, 8);
+    const std::int64_t busyHost = (now_ - kStart) / (3 * kSecond) % settings_.hosts;
+    const int host = static_cast<int>(busy && random_.chance(70) ? busyHost : random_.below(settings_.hosts));
+    const std::int64_t volumeHosts = volume < 6 ? settings_.hosts : 1;
+    const bool ordered = drawn.name.starts_with("ordered");
+    Request request;
+    request.host = host;
+    request.qos = random_.chance(1) ? "unknown" : drawn.name;
+    request.units = random_.between(1, 6);
+    request.deadline = now_ + (random_.chance(4) ? 15 * kMillisecond : drawn.lifetime);
+    const std::uint64_t id = ++lastRequest_;
+    std::string line =
+        field("qos", request.qos) + field("grade", random_.chance(1) ? "unknown" : plans()[plan].name);
+    line += field("disk", plans()[plan].name + std::to_string(volume));
+    line += field("sizeUnits", request.units) + field("setSize", volumeHosts);
+    line += field("liesIn", random_.chance(30) ? -1 : random_.below(kCells));
+    if (!random_.chance(3)) {
+        const std::int64_t key = ordered ? random_.below(12) : static_cast<std::int64_t>(id);
+        line += field("item", drawn.name + std::to_string(key));
+    }
+    submit(host, id, line, request);
+}
+
+void WireSimulation::submit(int host, std::uint64_t id, const std::string& line, Request request) {
+    const Host& state = hosts_[static_cast<std::size_t>(host)];
+    if (!state.up) return;
+    request.run = state.run;
+    request.line = line;
+    sayTo(host, "INCOMING",
+          field("corr", static_cast<std::int64_t>(id)) + line + field("validUntilUs", request.deadline));
+    requests_[id] = request;
+    if (random_.chance(3)) leaveEarly(id);
+}
+
+void WireSimulation::leaveEarly(std::uint64_t id) {
+    at(now_ + random_.between(1, random_.chance(40) ? 3 : 400) * kMillisecond, [this, id] {
+        Request& request = requests_.at(id);
+        const Host& state = hosts_[static_cast<std::size_t>(request.host)];
+        if (request.over || !state.up || state.run != request.run) return;
+        request.over = true;
+        sayTo(request.host, "ABORTED", field("corr", static_cast<std::int64_t>(id)));
+    });
+}
+
+void WireSimulation::turnedAway(const ReplyLine& action) {
+    Request& request = requests_.at(static_cast<std::uint64_t>(action.integer("corr")));
+    request.over = true;
+    const Micros wait = action.fields.count("coolDownUs") ? action.integer("coolDownUs") : 100 * kMillisecond;
+    const Micros again = now_ + wait + random_.between(1, 50) * kMillisecond;
+    if (!random_.chance(35) || again >= request.deadline) return;
+    Request next;
+    next.host = static_cast<int>(random_.below(settings_.hosts));
+    next.qos = request.qos;
+    next.units = request.units;
+    next.deadline = request.deadline;
+    std::string line = request.line;
+    if (line.find(" retry=1") == std::string::npos) line += " retry=1";
+    at(again, [this, next, line] { submit(next.host, ++lastRequest_, line, next); });
+}
+
+// ---- actions
+
+void WireSimulation::act(const ReplyLine& action) {
+    ++actionKinds_[action.name];
+    if (action.name == "OK") return;
+    if (action.name == "EXCEPTION") throw std::runtime_error("the module threw: " + action.fields.at("text"));
+    const int host = std::stoi(action.fields.at("who").substr(5));
+    if (action.name == "DISPATCH") dispatch(host, action);
+    else if (action.name == "TURN_AWAY") turnedAway(action);
+    else if (action.name == "ERROR")
+        requests_.at(static_cast<std::uint64_t>(action.integer("corr"))).over = true;
+    else if (action.name == "NOTIFY") notify(host, action);
+    else if (action.name == "PROBE") probe(host, action);
+    else if (action.name == "TAIL") answerListRequest(host);
+    else if (action.name == "ABORT_ATTEMPT") {
+        const Attempt attempt{static_cast<std::uint64_t>(action.integer("corr")),
+                              static_cast<int>(action.integer("shot")), "", 0};
+        at(now_ + kMillisecond, [this, attempt] { endAttempt(attempt, "undone"); });
+    } else if (action.name == "TIMER") {
+        const int run = hosts_[static_cast<std::size_t>(host)].run;
+        at(now_ + action.integer("offsetUs"), [this, host, run, label = action.integer("label")] {
+            if (hosts_[static_cast<std::size_t>(host)].run == run)
+                sayTo(host, "ELAPSED", field("label", label));
+        });
+    }
+}
+
+void WireSimulation::dispatch(int host, const ReplyLine& action) {
+    Attempt attempt;
+    attempt.request = static_cast<std::uint64_t>(action.integer("corr"));
+    attempt.node = action.fields.at("shelf");
+    attempt.sentAt = now_;
+    Request& request = requests_.at(attempt.request);
+    if (request.host != host) throw std::runtime_error("a request of another host was dispatched");
+    attempt.number = request.attempts++;
+    request.openAttempts.insert(attempt.number);
+    at(now_ + kCrossing, [this, attempt] { reachNode(attempt); });
+    at(request.deadline, [this, attempt] { endAttempt(attempt, "too_slow"); });
+}
+
+void WireSimulation::reachNode(const Attempt& attempt) {
+    const Request& request = requests_.at(attempt.request);
+    Node& target = node(attempt.node);
+    if (request.over && random_.chance(50)) return endAttempt(attempt, "stale_send");
+    if (target.unreachable || target.readiness == "Gone") return endAttempt(attempt, "no_route");
+    if (target.readiness == "Terminating" && now_ > target.drainsUntil - kDrainGrace / 4)
+        return endAttempt(attempt, "no_room");
+    const bool cold = target.startedAt > 0 && now_ - target.startedAt < kWarmUp;
+    if (target.waiting >= (cold ? kColdQueueLimit : kQueueLimit)) return endAttempt(attempt, "no_room");
+    if (random_.chance(target.fullPercent)) return endAttempt(attempt, "no_room");
+    if (random_.chance(target.errorPercent)) return endAttempt(attempt, "fault");
+    if (random_.chance(1)) return endAttempt(attempt, "cut");
+    serve(attempt, target);
+}
+
+// Each of the lanes serves one request at a time. A cold node needs longer for each.
+void WireSimulation::serve(const Attempt& attempt, Node& target) {
+    const Request& request = requests_.at(attempt.request);
+    std::int64_t percent = target.slowdownPercent;
+    if (target.startedAt > 0 && now_ - target.startedAt < kWarmUp)
+        percent += 300 * (kWarmUp - (now_ - target.startedAt)) / kWarmUp;
+    const Micros service = kServiceTime * request.units * percent / 100 * random_.between(60, 140) / 100;
+    auto lane = std::min_element(target.laneFreeAt.begin(), target.laneFreeAt.end());
+    const Micros begin = std::max({*lane, now_, target.pausedUntil});
+    *lane = begin + service;
+    ++target.waiting;
+    at(*lane, [this, id = attempt.node] { --node(id).waiting; });
+    if (random_.chance(1 + target.lossPercent)) return;  // its answer never arrives
+    const std::string code = random_.chance(1) ? "fault" : "pass";
+    if (request.qos == "bulk" || random_.chance(2))
+        at(begin + service / 2, [this, attempt] { beginAnswer(attempt); });
+    at(*lane + kCrossing, [this, attempt, code] { endAttempt(attempt, code); });
+}
+
+void WireSimulation::beginAnswer(const Attempt& attempt) {
+    const Request& request = requests_.at(attempt.request);
+    const Host& state = hosts_[static_cast<std::size_t>(request.host)];
+    if (state.run != request.run || !request.openAttempts.contains(attempt.number)) return;
+    sayTo(request.host, "HEADERS",
+          field("corr", static_cast<std::int64_t>(attempt.request)) + field("shot", attempt.number) +
+              field("shelf", attempt.node) + field("waitTimeUs", now_ - attempt.sentAt));
+}
+
+void WireSimulation::endAttempt(const Attempt& attempt, const std::string& code) {
+    Request& request = requests_.at(attempt.request);
+    const Host& state = hosts_[static_cast<std::size_t>(request.host)];
+    if (!state.up || state.run != request.run) return;
+    if (request.openAttempts.erase(attempt.number) == 0) return;
+    ++inputKinds_["ENDED code=" + code];
+    const bool closes = code == "pass" || now_ >= request.deadline || (code == "fault" && random_.chance(10));
+    if (closes) request.over = true;
+    sayTo(request.host, "ENDED",
+          field("corr", static_cast<std::int64_t>(attempt.request)) + field("shot", attempt.number) +
+              field("shelf", attempt.node) + field("code", code) +
+              field("waitTimeUs", attempt.sentAt > 0 ? now_ - attempt.sentAt : 0) +
+              field("closed", closes ? 1 : 0) + field("usePct", random_.below(100)) +
+              " elsewhere=0 metrics=" + std::to_string(random_.below(100)) + "," +
+              std::to_string(random_.below(100)));
+}
+
+// Messages between hosts are late, lost, doubled or damaged.
+void WireSimulation::notify(int host, const ReplyLine& action) {
+    const std::string target = action.fields.at("to");
+    for (int to = 0; to < settings_.hosts; ++to) {
+        if (to == host || (target != "*" && std::stoi(target) != to)) continue;
+        if (partitioned_ || random_.chance(4)) continue;
+        std::string bytes;
+        if (!wire::decodeBase64(action.fields.at("raw"), bytes)) throw std::runtime_error("not base64");
+        if (random_.chance(2) && !bytes.empty()) {
+            const auto place =
+                static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(bytes.size())));
+            if (random_.chance(50)) bytes.resize(place);
+            else bytes[place] = static_cast<char>(random_.below(256));
+        }
+        const int copies = random_.chance(2) ? 2 : 1;
+        for (int copy = 0; copy < copies; ++copy)
+            at(now_ + random_.between(1, 12) * kMillisecond / (random_.chance(5) ? 1 : 4),
+               [this, host, to, bytes] { deliverMessage(host, to, wire::encodeBase64(bytes)); });
+    }
+}
+
+void WireSimulation::deliverMessage(int from, int to, const std::string& base64) {
+    sayTo(to, "HEARD", field("from", from) + field("raw", base64));
+}
+
+void WireSimulation::probe(int host, const ReplyLine& action) {
+    const std::string id = action.fields.at("shelf");
+    const int run = hosts_[static_cast<std::size_t>(host)].run;
+    const Node& target = node(id);
+    const Micros free = *std::min_element(target.laneFreeAt.begin(), target.laneFreeAt.end());
+    const Micros answered = std::max({free, now_, target.pausedUntil}) + 2 * kCrossing;
+    const bool reached = !target.unreachable && target.readiness != "Gone" && !random_.chance(10);
+    at(answered, [this, host, run, id, reached, sentAt = now_] {
+        if (hosts_[static_cast<std::size_t>(host)].run != run) return;
+        sayTo(host, "STATUS_BACK",
+              field("shelf", id) + field("code", reached ? "pass" : "too_slow") +
+                  field("waitTimeUs", now_ - sentAt) + " metrics=1,2");
+    });
+}
+
+}  // namespace wingproxy::test
--- /dev/null
+++ b/tests/golden/wire_simulation.h
@@ -0,0 +1,149 @@
+// A small deterministic cluster that speaks the simulator's text wire: clients, storage nodes, the node list
+// and the network between the hosts. What it sends depends on its seed and on the actions it is given back.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <set>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "golden/golden_file.h"
+#include "instances.h"
+
+namespace wingproxy::test {
+
+/// What differs between the scenarios.
+struct SimulationSettings {
+    std::string name;
+    std::uint64_t seed = 0;
+    int hosts = 4;
+    Micros duration = 0;
+    bool mayCheckHealth = true;
+    bool mayCancel = true;
+    bool hasRetryBudget = true;
+    /// The hosts ask for the node list, in place of being sent each change.
+    bool pollsEndpointList = false;
+    /// Mean time between two requests while the load is ordinary.
+    Micros arrivalGap = 4'000;
+};
+
+/// One line of a reply, split.
+struct ReplyLine {
+    explicit ReplyLine(std::string_view text);
+    std::string name;
+    std::map<std::string, std::string> fields;
+    std::int64_t integer(const std::string& key) const { return std::stoll(fields.at(key)); }
+};
+
+class WireSimulation {
+public:
+    explicit WireSimulation(const SimulationSettings& settings);
+
+    /// Runs to the end. `onBatch` sees the whole reply to each batch.
+    void run(const std::function<void(const std::string& reply)>& onBatch);
+
+    std::uint64_t batches() const { return batches_; }
+    std::uint64_t inputLines() const { return inputLines_; }
+    const std::map<std::string, std::uint64_t>& inputKinds() const { return inputKinds_; }
+    const std::map<std::string, std::uint64_t>& actionKinds() const { return actionKinds_; }
+
+private:
+    struct Host {
+        bool up = false;
+        /// Counts the starts. What was meant for an earlier run of the host is dropped.
+        int run = 0;
+    };
+    struct Node {
+        std::string id;
+        std::string zone;
+        int cell = 0;
+        std::string readiness = "Ready";
+        Micros startedAt = 0;
+        Micros drainsUntil = 0;
+        std::vector<Micros> laneFreeAt;
+        int waiting = 0;
+        std::int64_t slowdownPercent = 100;
+        std::int64_t errorPercent = 0;
+        std::int64_t fullPercent = 0;
+        std::int64_t lossPercent = 0;
+        bool unreachable = false;
+        Micros pausedUntil = 0;
+    };
+    struct Request {
+        int host = 0;
+        int run = 0;
+        std::string qos;
+        Micros deadline = 0;
+        std::int64_t units = 1;
+        std::string line;
+        int attempts = 0;
+        std::set<int> openAttempts;
+        bool over = false;
+    };
+    struct Attempt {
+        std::uint64_t request = 0;
+        int number = 0;
+        std::string node;
+        Micros sentAt = 0;
+    };
+
+    void at(Micros time, std::function<void()> step);
+    void say(const std::string& line);
+    void sayTo(int host, const std::string& name, const std::string& fields);
+    std::string who(int host) const { return "head/" + std::to_string(host); }
+
+    void startHost(int host);
+    void stopHost(int host);
+    std::string settingsOf(int host) const;
+
+    void scheduleNodeScript(Micros from);
+    void schedulePartition(Micros from);
+    Node& node(const std::string& id);
+    void changeNode(const std::string& id, const std::string& readiness);
+    void restartNode(const std::string& id);
+    void announce(const std::vector<std::string>& changed);
+    int putList(const std::vector<const Node*>& nodes);
+    void sendWholeList(int host, const std::string& how);
+    void answerListRequest(int host);
+
+    void scheduleArrival();
+    void arrive();
+    void submit(int host, std::uint64_t id, const std::string& line, Request request);
+    void leaveEarly(std::uint64_t id);
+    Micros loadGap();
+
+    void act(const ReplyLine& action);
+    void dispatch(int host, const ReplyLine& action);
+    void reachNode(const Attempt& attempt);
+    void serve(const Attempt& attempt, Node& node);
+    void beginAnswer(const Attempt& attempt);
+    void endAttempt(const Attempt& attempt, const std::string& code);
+    void turnedAway(const ReplyLine& action);
+    void notify(int host, const ReplyLine& action);
+    void deliverMessage(int from, int to, const std::string& base64);
+    void probe(int host, const ReplyLine& action);
+
+    SimulationSettings settings_;
+    SeededRandom random_;
+    wire::Instances instances_;
+    std::multimap<Micros, std::function<void()>> agenda_;
+    std::vector<Host> hosts_;
+    std::vector<Node> nodes_;
+    std::map<std::uint64_t, Request> requests_;
+    std::string batch_;
+    Micros now_ = 0;
+    Micros end_ = 0;
+    std::uint64_t lastRequest_ = 0;
+    std::int64_t listVersion_ = 0;
+    int lastListId_ = -1;
+    std::uint64_t batches_ = 0;
+    std::uint64_t inputLines_ = 0;
+    bool partitioned_ = false;
+    std::map<std::string, std::uint64_t> inputKinds_;
+    std::map<std::string, std::uint64_t> actionKinds_;
+};
+
+}  // namespace wingproxy::test
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -8,13 +8,13 @@
 
 using namespace wingproxy;
 using namespace wingproxy::test;
-using namespace wingproxy::handover;
+using namespace wingproxy::hot_restart;
 
 namespace {
 
 Snapshot someSnapshot(Rig& rig) {
-    rig.engine.outByHand("s-0", true);
-    return {"n0", rig.engine.now(), rig.engine.handOver(), {"0000000000000001"}};
+    rig.engine.setAdminDrain("s-0", true);
+    return {"n0", rig.engine.now(), rig.engine.takeSnapshot(), {"0000000000000001"}};
 }
 
 }  // namespace
@@ -40,8 +40,8 @@
     CHECK(refused(bytes, "n0", now + kFresh + 1));
     const auto read = std::get<Snapshot>(decode(bytes, "n0", now));
     CHECK(read.engine.core.listed.size() == 3);
-    CHECK(read.engine.addresses[2] == rig.node(2).at());
-    CHECK(read.openIds == snapshot.openIds);
+    CHECK(read.engine.addresses[2] == rig.node(2).address());
+    CHECK(read.openRequestIds == snapshot.openRequestIds);
     // The module's own part is refused by a host of other settings, or where it is cut.
     Policy same(rig.config.settings, now), other(test::settings(0, 2), now);
     CHECK(same.restore(read.engine.core.module));
@@ -50,7 +50,7 @@
         CHECK(!other.restore(read.engine.core.module.substr(0, n)));
     // Nor is one that a version with other fields wrote: its number stands behind the archive's own byte and
     // a length. (Host 1, so that it is that number and not the host's that is looked at.)
-    auto before = Policy(test::settings(1, 3), now).handOver(now);
+    auto before = Policy(test::settings(1, 3), now).takeSnapshot(now);
     const double older = 1;
     std::memcpy(before.data() + 1 + 8, &older, sizeof older);
     CHECK(!Policy(test::settings(1, 3), now).restore(before));
@@ -89,16 +89,16 @@
         const auto passAt = kStart + Micros(draw(3'000)) * kMs;
         for (Micros t = kStart; t < kStart + 6 * kSecond; t += 10 * kMs) {
             if (!fresh && t >= passAt) {
-                const auto bytes = old.policy.handOver(t);
+                const auto bytes = old.policy.takeSnapshot(t);
                 fresh.emplace(settings, t);
                 REQUIRE(fresh->policy.restore(bytes));
-                fresh->batch({nodes({node("a", 0), node("b", 1)}, ListKind::Saved)});
+                fresh->batch({nodes({node("a", 0), node("b", 1)}, EndpointListKind::Cached)});
             }
             for (Host* h : {&old, fresh ? &*fresh : nullptr}) {
                 if (!h || (h == &old && fresh && draw(3) > 0)) continue;
                 auto actions = h->runTo(t);
                 for (auto& a : h->batch({request(++id, 0, 0, t, 2, int(draw(2)))})) actions.push_back(a);
-                for (const auto& s : only<Send>(actions)) {
+                for (const auto& s : only<ForwardRequest>(actions)) {
                     sent += 2;
                     h->batch({ended(s.id, 0, s.node, Outcome::Ok)});
                 }
@@ -119,19 +119,19 @@
     old.batch({nodes({node("a", 0, NodeState::Ready, kStart)})});
     double sent = 0;
     const auto ask = [&](Host& h, RequestId id) {
-        for (const auto& s : only<Send>(h.batch({request(id, 0, 1, h.now)}))) sent += s.id > 0 ? 2 : 0;
+        for (const auto& s : only<ForwardRequest>(h.batch({request(id, 0, 1, h.now)}))) sent += s.id > 0 ? 2 : 0;
     };
     for (RequestId id = 1; id < 4; ++id) ask(old, id);
     const auto before = sent;
     CHECK(before > 0);
-    const auto bytes = old.policy.handOver(kStart);
+    const auto bytes = old.policy.takeSnapshot(kStart);
     for (RequestId id = 10; id < 30; ++id) ask(old, id);
     CHECK(sent == before);
     Host fresh(settings, kStart);
     REQUIRE(fresh.policy.restore(bytes));
-    fresh.batch({nodes({node("a", 0, NodeState::Ready, kStart)}, ListKind::Saved)});
+    fresh.batch({nodes({node("a", 0, NodeState::Ready, kStart)}, EndpointListKind::Cached)});
     for (RequestId id = 40; id < 80; ++id) ask(fresh, id);
-    CHECK(sent <= settings.coldUnits);
+    CHECK(sent <= settings.slowStartUnits);
 }
 
 TEST_CASE("two upgrades in a row under requests: each has its answer, and a node out by hand stays out") {
--- a/tests/http/bodies_test.cpp
+++ b/tests/http/bodies_test.cpp
@@ -91,16 +91,16 @@
     const auto before = mostMemory();
     // Up: the node counts what it gets.
     tcp::socket up(rig.io), down(rig.io);
-    up.connect(net::tcpEndpoint(rig.front.sessionManager().at()));
+    up.connect(net::tcpEndpoint(rig.front.sessionManager().address()));
     const auto uploader = std::make_shared<Pump>(std::move(up));
     const auto head = longPut(fmt::format("Content-Length: {}\r\n", kBytes), "a1a1a1a1a1a1a1a1", 60'000);
     asio::write(uploader->socket, asio::buffer(head));
     // A node that keeps nothing: the stand-in's own reader would hold all of it.
     std::shared_ptr<Pump> taker, giver;
     tcp::acceptor plain(rig.io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
-    auto list = config::HostList{{ListKind::Delta, 2, {{"s-0", "z", 0, 1, NodeState::Ready, 1}}},
+    auto list = config::EndpointListing{{EndpointListKind::Delta, 2, {{"s-0", "z", 0, 1, NodeState::Ready, 1}}},
                                  {{"127.0.0.1", plain.local_endpoint().port()}}};
-    rig.engine.news(std::move(list));
+    rig.engine.endpointListReceived(std::move(list));
     plain.async_accept([&](auto, tcp::socket socket) {
         taker = std::make_shared<Pump>(std::move(socket));
         taker->count();
@@ -110,7 +110,7 @@
     rig.until([&] { return taker != nullptr; });
     uploader->send(kBytes);
     // Down: the same node gives.
-    down.connect(net::tcpEndpoint(rig.front.sessionManager().at()));
+    down.connect(net::tcpEndpoint(rig.front.sessionManager().address()));
     const auto reader = std::make_shared<Pump>(std::move(down));
     asio::write(reader->socket, asio::buffer(Ask{.id = "a2a2a2a2a2a2a2a2"}.text()));
     rig.until([&] { return giver != nullptr; });
@@ -129,7 +129,7 @@
     CHECK(taker->received < kBytes + 1000);
     asio::write(taker->socket, asio::buffer(ok("hecho")));
     uploader->count();
-    rig.until([&] { return uploader->received > 0 && rig.engine.open() == 0; });
+    rig.until([&] { return uploader->received > 0 && rig.engine.openRequests() == 0; });
     CHECK(mostMemory() - before < 24);
     CHECK(rig.engine.bodies().held() == 0);
     CHECK(rig.engine.counters().byClass[1].delivered == 1);
@@ -207,7 +207,7 @@
             c.answer.substr(0, 60).c_str());
         CHECK((c.chunks ? unchunked(client->got) : client->got.substr(client->got.find("\r\n\r\n") + 4)) ==
               kLong);
-        rig.until([&] { return rig.engine.open() == 0; });
+        rig.until([&] { return rig.engine.openRequests() == 0; });
         CHECK(rig.engine.counters().all().delivered == 1);
         if (c.closes) continue;
         client->drop();  // the connection goes on
@@ -223,7 +223,7 @@
     tcp::socket slow(rig.io);
     slow.open(tcp::v4());
     slow.set_option(asio::socket_base::receive_buffer_size(4096));
-    slow.connect(net::tcpEndpoint(rig.front.sessionManager().at()));
+    slow.connect(net::tcpEndpoint(rig.front.sessionManager().address()));
     asio::write(slow, asio::buffer(Ask{}.text()));
     const auto node = rig.nodeHas("Req-Id");
     const auto giver = std::make_shared<Pump>(std::move(node->socket));
@@ -241,10 +241,10 @@
     }
     CHECK(giver->left > kBytes / 2);  // it waits in the node, but for what the system's buffers took
     rig.until([&] { return rig.engine.bodies().held() == 0; });
-    CHECK(rig.engine.open() == 1);
+    CHECK(rig.engine.openRequests() == 1);
     // A client that leaves in the middle takes its node's connection along.
     slow.close();
-    rig.until([&] { return rig.engine.open() == 0 && rig.pool.open() == 1; });  // the other node's is kept
+    rig.until([&] { return rig.engine.openRequests() == 0 && rig.pool.open() == 1; });  // the other node's is kept
     CHECK(rig.engine.counters().disconnected == 1);
 }
 
@@ -288,7 +288,7 @@
         CHECK(client->has("Retry-After: 0.001\r\n") == (i != 2));
     }
     CHECK(rig.engine.counters().attempts == 3);
-    CHECK(rig.engine.avoided() == 0);
+    CHECK(rig.engine.avoidedNodes() == 0);
 }
 
 // The client's time runs from its last byte. Before it is here no deadline ends the request; after it, the
@@ -298,35 +298,35 @@
     Micros now = kStart;
     const auto put = [&](core::Input input) {
         auto all = core::reduce(state, now, std::move(input));
-        for (auto& e : core::reduce(state, now, core::CloseBatch{})) all.push_back(std::move(e));
+        for (auto& e : core::reduce(state, now, core::BatchEnded{})) all.push_back(std::move(e));
         return all;
     };
     const auto count = [](const core::Effects& effects, auto kind) {
         return std::count_if(effects.begin(), effects.end(),
                              [](const auto& e) { return std::holds_alternative<decltype(kind)>(e); });
     };
-    put(core::News{nodes({node("n0", 0)})});
+    put(EndpointListReceived{nodes({node("n0", 0)})});
     auto r = request(1, 1, 1, now);
-    r.filling = true;
-    CHECK(count(put(core::Arrived{r}), core::StartAttempt{}) == 1);
+    r.bodyIncomplete = true;
+    CHECK(count(put(RequestReceived{r}), core::StartAttempt{}) == 1);
     int ends = 0;
     const auto run = [&](Micros until) {
         while (state.nextWake() <= until) {
             now = std::max(now, state.nextWake());
-            const auto effects = put(core::Wake{});
-            ends += int(count(effects, core::StopAttempt{}) + count(effects, core::FailClient{}) +
-                        count(effects, core::RefuseClient{}));
+            const auto effects = put(core::TimerExpired{});
+            ends += int(count(effects, core::StopAttempt{}) + count(effects, core::SendFailure{}) +
+                        count(effects, core::SendRejection{}));
         }
         now = until;
     };
     run(kStart + 10 * kSecond);
     CHECK(ends == 0);
-    CHECK(state.avoided() == 0);  // nothing is expected of the node yet
-    put(core::Filled{1, now + kSecond});
+    CHECK(state.avoidedNodes() == 0);  // nothing is expected of the node yet
+    put(RequestBodyCompleted{1, now + kSecond});
     run(now + 900 * kMs);
     CHECK(ends == 0);
     run(now + 200 * kMs);
     CHECK(ends == 2);  // the attempt stops and the client has its answer; the bytes are gone
-    CHECK(state.open() == 0);
+    CHECK(state.openRequests() == 0);
     CHECK(state.counters().attempts == 1);
 }
--- a/tests/http/endings_test.cpp
+++ b/tests/http/endings_test.cpp
@@ -26,14 +26,14 @@
     }
     static config::Config config() {
         auto config = baseConfig();
-        for (auto& c : config.settings.classes) c.aimUs = 20'000'000;
+        for (auto& c : config.settings.classes) c.latencyObjectiveUs = 20'000'000;
         return config;
     }
     // A connection whose request waits here, with more behind it or half a body.
     std::shared_ptr<tcp::socket> waiting(const std::string& text, std::size_t requests = 1) {
         const auto before = rig.engine.counters().taken;
         const auto socket = std::make_shared<tcp::socket>(rig.io);
-        socket->connect(net::tcpEndpoint(rig.front.sessionManager().at()));
+        socket->connect(net::tcpEndpoint(rig.front.sessionManager().address()));
         asio::write(*socket, asio::buffer(text));
         rig.until([&] { return rig.engine.counters().taken == before + requests; }, "the request waits");
         return socket;
@@ -76,7 +76,7 @@
             fillers.back().async_connect(acceptor.local_endpoint(), [](auto) {});
         }
     }
-    config::Endpoint at() const { return {"127.0.0.1", acceptor.local_endpoint().port()}; }
+    config::Endpoint address() const { return {"127.0.0.1", acceptor.local_endpoint().port()}; }
     tcp::acceptor acceptor;
     std::deque<tcp::socket> fillers;
 };
@@ -118,10 +118,10 @@
         else leaver->close();
         rig.until([&] { return rig.engine.counters().disconnected == 1; }, c.what);
         CHECK(std::chrono::steady_clock::now() - since < kForgotten);
-        CHECK(rig.engine.open() == Busy::kPlaces);
+        CHECK(rig.engine.openRequests() == Busy::kPlaces);
         busy.nothingOf(100);
         CHECK(rig.front.counters().pipelined == (c.text == kFlood ? 1 : 0));
-        CHECK(rig.front.sessionManager().hungUp() == (c.text == kHalfBody ? 1 : 0));
+        CHECK(rig.front.sessionManager().detectHangUp() == (c.text == kHalfBody ? 1 : 0));
     }
 }
 
@@ -132,7 +132,7 @@
         config.settings.drainGraceUs = 0;
         Rig rig(std::move(config));
         Unreachable node(rig.io);
-        rig.engine.news({{ListKind::Delta, 2, {{"s-0", "z", 0, 1, NodeState::Ready, 1}}}, {node.at()}});
+        rig.engine.endpointListReceived({{EndpointListKind::Delta, 2, {{"s-0", "z", 0, 1, NodeState::Ready, 1}}}, {node.address()}});
         const auto client = rig.client();
         client->say(Ask{.deadlineMs = 30'000}.text());
         rig.until([&] { return rig.engine.counters().attempts == 1; });
@@ -168,15 +168,15 @@
     "an idle connection that is ended in order: a request that crosses it is not served and meets no reset") {
     Rig rig;
     tcp::socket client(rig.io);
-    client.connect(net::tcpEndpoint(rig.front.sessionManager().at()));
+    client.connect(net::tcpEndpoint(rig.front.sessionManager().address()));
     rig.until([&] { return rig.front.sessionManager().connections() == 1; });
-    rig.front.sessionManager().retireIdle();
+    rig.front.sessionManager().closeIdleGracefully();
     rig.until([&] { return rig.front.sessionManager().connections() == 0; });
     asio::write(client, asio::buffer(Ask{}.text()));  // on its way when the front ended its side
     boost::system::error_code broken;                 // a reset would meet the next bytes
     asio::write(client, asio::buffer("y mas", 5), broken);
     CHECK(!broken);
-    rig.until([&] { return rig.front.sessionManager().held() == 0; });
+    rig.until([&] { return rig.front.sessionManager().sessionCount() == 0; });
     std::string got;
     CHECK(endOf(client, got) == asio::error::eof);
     CHECK(got.empty());
@@ -191,7 +191,7 @@
     for (const auto& close : closes) {
         Rig rig;
         tcp::socket client(rig.io);
-        client.connect(net::tcpEndpoint(rig.front.sessionManager().at()));
+        client.connect(net::tcpEndpoint(rig.front.sessionManager().address()));
         rig.until([&] { return rig.front.sessionManager().connections() == 1; });
         asio::write(client, asio::buffer(Ask{}.text()));  // in the system, and the loop does not run
         close(rig.front.sessionManager());
@@ -205,10 +205,10 @@
     const auto half = rig.client();
     asio::write(half->socket, asio::buffer("GET /api HTTP/1.1\r\nReq-Id: ", 26));
     rig.until([&] { return rig.front.sessionManager().connections() == 1; });
-    rig.front.drain();
+    rig.front.startDraining();
     rig.until([&] {
         rig.front.sessionManager()
-            .retireIdle();  // as the program does, every 20 ms; it is quiet after a while
+            .closeIdleGracefully();  // as the program does, every 20 ms; it is quiet after a while
         return half->ended;
     });
     CHECK(half->has("HTTP/1.1 503 "));
@@ -250,7 +250,7 @@
                              "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"}) {
         CAPTURE(head);
         auto config = baseConfig();
-        for (auto& c : config.settings.classes) c.aimUs = 20'000'000;  // patience with a pause: 250 ms
+        for (auto& c : config.settings.classes) c.latencyObjectiveUs = 20'000'000;  // patience with a pause: 250 ms
         Rig rig(std::move(config));
         const auto client = rig.client();
         client->say(Ask{.deadlineMs = 30'000}.text());
@@ -291,7 +291,7 @@
 
 core::Effects step(core::State& state, Micros now, core::Input input) {
     auto all = core::reduce(state, now, std::move(input));
-    for (auto& e : core::reduce(state, now, core::CloseBatch{})) all.push_back(std::move(e));
+    for (auto& e : core::reduce(state, now, core::BatchEnded{})) all.push_back(std::move(e));
     return all;
 }
 
@@ -308,27 +308,27 @@
 // The class of a key that is honoured for 1 s: the first attempt breaks just before that.
 TEST_CASE("a repeat whose last byte would come past its class's window is broken off before it") {
     auto settings = test::settings();
-    settings.classes[1].aimUs = 3 * kSecond;  // so that it is still worth a repeat by then
-    const Micros window = settings.classes[1].windowUs;
+    settings.classes[1].latencyObjectiveUs = 3 * kSecond;  // so that it is still worth a repeat by then
+    const Micros window = settings.classes[1].keyWindowUs;
     for (const bool written : {false, true}) {
         core::State state(settings, core::Limits{250 * kMs}, kStart);
-        step(state, kStart, core::News{nodes({node("n0", 0)})});
+        step(state, kStart, EndpointListReceived{nodes({node("n0", 0)})});
         auto asked = request(1, 1, 1, kStart);
         asked.deadlineUs = kStart + 4 * kSecond;
-        const auto first = of<core::StartAttempt>(step(state, kStart, core::Arrived{asked}));
+        const auto first = of<core::StartAttempt>(step(state, kStart, RequestReceived{asked}));
         REQUIRE(first.size() == 1);
         CHECK(first[0].lastByteBy == core::StartAttempt::kNever);
-        step(state, kStart, core::Written{1, 0});
+        step(state, kStart, core::AttemptRequestSent{1, 0});
         const Micros broke = kStart + window - 20 * kMs;
         const auto repeat =
-            of<core::StartAttempt>(step(state, broke, core::Ended{1, 0, Outcome::Reset, 0, 0, {}}));
+            of<core::StartAttempt>(step(state, broke, core::AttemptFinished{1, 0, Outcome::Reset, 0, 0, {}}));
         REQUIRE(repeat.size() == 1);
         CHECK(repeat[0].lastByteBy == kStart + window);
         CHECK(repeat[0].firstByteBy <= kStart + window);
-        if (written) step(state, kStart + window - kMs, core::Written{1, 1});
-        const auto after = step(state, kStart + window, core::Wake{});
+        if (written) step(state, kStart + window - kMs, core::AttemptRequestSent{1, 1});
+        const auto after = step(state, kStart + window, core::TimerExpired{});
         CHECK(of<core::StopAttempt>(after).size() == (written ? 0 : 1));
-        CHECK(of<core::FailClient>(after).size() == (written ? 0 : 1));  // it may have run: no refusal
+        CHECK(of<core::SendFailure>(after).size() == (written ? 0 : 1));  // it may have run: no refusal
         CHECK(state.counters().tooLate == (written ? 0 : 1));
     }
 }
@@ -338,7 +338,7 @@
     const auto message = std::make_shared<http::Message>(boost::beast::http::verb::get, "/api", 11);
     const auto attempt = std::make_shared<http::NodeAttempt>(
         rig.engine, rig.pool,
-        net::AttemptOrder{9, 0, rig.node().at(), rig.engine.now() + 1'000'000, rig.engine.now() + 1'000'000,
+        net::AttemptParams{9, 0, rig.node().address(), rig.engine.now() + 1'000'000, rig.engine.now() + 1'000'000,
                           rig.engine.now() - 1},
         message, std::nullopt, std::weak_ptr<http::Caller>(),
         [](int, http::Answer, net::ByteBudget::Hold) {});
@@ -358,13 +358,13 @@
         net::NodePool pool(io,
                            {8, std::chrono::seconds(1), std::chrono::seconds(15), net::kLeastRing, kRests});
         std::shared_ptr<net::Connection> first, second;
-        auto ticket = pool.acquire(node.at(), [&](auto c) { first = c; });
+        auto ticket = pool.acquire(node.address(), [&](auto c) { first = c; });
         until([&] { return first != nullptr && node.wires.size() == 1; });
         const auto* const was = first.get();
         const auto since = std::chrono::steady_clock::now();
         pool.release(std::exchange(first, nullptr));
         ticket =
-            pool.acquire(node.at(), [&](auto c) { second = c; });  // quiet now; the second answer comes after
+            pool.acquire(node.address(), [&](auto c) { second = c; });  // quiet now; the second answer comes after
         if (twice) asio::write(node.wires[0]->socket, asio::buffer(ok("otra vez")));
         until([&] { return second != nullptr; });
         CHECK(std::chrono::steady_clock::now() - since >= kRests);
@@ -381,15 +381,15 @@
     net::NodePool pool(
         io, {8, std::chrono::seconds(1), std::chrono::seconds(15), net::kLeastRing, milliseconds(100)});
     std::shared_ptr<net::Connection> old, fresh, got;
-    const auto a = pool.acquire(node.at(), [&](auto c) { old = c; });
-    const auto b = pool.acquire(node.at(), [&](auto c) { fresh = c; });
+    const auto a = pool.acquire(node.address(), [&](auto c) { old = c; });
+    const auto b = pool.acquire(node.address(), [&](auto c) { fresh = c; });
     until([&] { return old && fresh; });
     const auto* const rested = old.get();
     pool.release(std::exchange(old, nullptr));
     const auto by = std::chrono::steady_clock::now() + milliseconds(100);
     until([&] { return std::chrono::steady_clock::now() > by; });  // the rest itself
     pool.release(std::exchange(fresh, nullptr));
-    const auto c = pool.acquire(node.at(), [&](auto taken) { got = taken; });
+    const auto c = pool.acquire(node.address(), [&](auto taken) { got = taken; });
     until([&] { return got != nullptr; });
     CHECK(got.get() == rested);
     pool.clear();
@@ -398,7 +398,7 @@
 // What an agent has counts as told at once: a front that does not hear it sends to a node that drains.
 TEST_CASE("pushed lists: an agent that says nothing is asked anew well within the grace of a drain") {
     auto config = baseConfig();
-    config.settings.listOnRequest = false;
+    config.settings.pollsEndpointList = false;
     config.settings.drainGraceUs = 800'000;
     Rig rig(std::move(config));
     const auto since = std::chrono::steady_clock::now();
@@ -418,7 +418,7 @@
     for (const bool failed : {true, false}) {
         CAPTURE(failed);
         auto config = baseConfig();
-        config.settings.listOnRequest = false;
+        config.settings.pollsEndpointList = false;
         config.settings.drainGraceUs = 10'000'000;  // nothing of it passes while the test runs
         Rig rig(std::move(config));
         rig.until([&] {
@@ -528,7 +528,7 @@
     "what the front refuses by itself advises no longer wait than clients honour, and none where none is") {
     for (const bool advice : {true, false}) {
         auto config = baseConfig();
-        config.settings.retryAdvice = advice;
+        config.settings.sendsRetryAfter = advice;
         config.settings.maxRetryAfterUs = 40'000;
         Rig rig(std::move(config), 1, 1);
         const auto half = rig.client();
@@ -546,13 +546,13 @@
     for (const bool onRequest : {true, false}) {
         CAPTURE(onRequest);
         auto config = baseConfig();
-        config.settings.listOnRequest = onRequest;
+        config.settings.pollsEndpointList = onRequest;
         Rig rig(std::move(config));
         rig.until([&] {
             return !rig.discoveryServer.wires.empty() && rig.discoveryServer.wires[0]->has("after=");
         });
         StandIn next(rig.io);
-        rig.discovery.move(next.at());
+        rig.discovery.moveTo(next.address());
         rig.until([&] { return next.wires.size() == 1 && next.wires[0]->has("\r\n\r\n"); });
         next.wires[0]->say(status(503));  // too many callers
         rig.until([&] { return next.wires.back()->has("GET /discovery/hosts HTTP/1.1\r\n"); });
@@ -572,14 +572,14 @@
     net::NodePool pool(io, {2, std::chrono::seconds(1), std::chrono::seconds(15), net::kLeastRing});
     std::shared_ptr<net::Connection> used, spare, got;
     bool refused = false;
-    const auto a = pool.acquire(idle.at(), [&](auto c) { used = c; });
-    const auto b = pool.acquire(idle.at(), [&](auto c) { spare = c; });
+    const auto a = pool.acquire(idle.address(), [&](auto c) { used = c; });
+    const auto b = pool.acquire(idle.address(), [&](auto c) { spare = c; });
     until([&] { return used && spare && idle.wires.size() == 2; });
-    const auto full = pool.acquire(wanted.at(), [&](auto c) { refused = c == nullptr; });
+    const auto full = pool.acquire(wanted.address(), [&](auto c) { refused = c == nullptr; });
     until([&] { return refused; });  // as if the node refused: nobody waits for a place
     pool.release(std::exchange(spare, nullptr));
     idle.wires[1]->say("HTTP/1.1 2");  // half a line, in the moment of the close
-    const auto c = pool.acquire(wanted.at(), [&](auto taken) { got = taken; });
+    const auto c = pool.acquire(wanted.address(), [&](auto taken) { got = taken; });
     until([&] { return got != nullptr && idle.wires[1]->ended; });
     CHECK(!idle.wires[0]->ended);
     CHECK(pool.open() == 2);
--- a/tests/http/front_test.cpp
+++ b/tests/http/front_test.cpp
@@ -153,7 +153,7 @@
     first->say("GET /up HTTP/1.1\r\n\r\n");
     rig.until([&] { return first->has(" 200 ") && first->ended; });
     CHECK(first->has("Connection: close\r\n"));
-    rig.front.answerBy(rig.engine.now() + 1'000'000);
+    rig.front.setResponseDeadline(rig.engine.now() + 1'000'000);
     const auto fourth = rig.client();
     rig.until([&] { return rig.front.sessionManager().connections() >= 3; });
     second->say("GET /up HTTP/1.1\r\n\r\n");
@@ -164,12 +164,12 @@
 // Clients that find every connection busy where no new one comes take the front for dead.
 TEST_CASE("a stopping front keeps connections free: what only waits is refused, what is at a node is not") {
     auto config = baseConfig();
-    for (auto& c : config.settings.classes) c.aimUs = 20'000'000;
+    for (auto& c : config.settings.classes) c.latencyObjectiveUs = 20'000'000;
     Rig rig(std::move(config));
     std::vector<WirePtr> clients;
     for (int i = 0; i < 6; ++i) clients.push_back(rig.client());
     rig.until([&] { return rig.front.sessionManager().connections() == 6; });
-    rig.front.noMoreClients();
+    rig.front.expectNoNewConnections();
     for (int i = 0; i < 4; ++i) {  // the last has no place at the node
         clients[i]->say(Ask{.id = fmt::format("{:016x}", i), .deadlineMs = 30'000}.text());
         rig.until([&] { return rig.front.counters().requests == std::uint64_t(i + 1); });
@@ -177,7 +177,7 @@
     rig.until([&] { return clients[3]->has("HTTP/1.1 503 ") && clients[3]->has("Retry-After: "); });
     CHECK(!clients[3]->has("Connection: close"));
     CHECK(rig.front.counters().crowded >= 1);
-    CHECK(rig.engine.open() == 3);
+    CHECK(rig.engine.openRequests() == 3);
     rig.nodeHas(fmt::format("{:016x}", 0))->say(ok("hecho"));
     rig.until([&] { return clients[0]->has("hecho"); });
 }
@@ -198,7 +198,7 @@
 TEST_CASE("a client that goes on sending a body that is too long still gets its answer") {
     Rig rig;
     tcp::socket client(rig.io);
-    client.connect(net::tcpEndpoint(rig.front.sessionManager().at()));
+    client.connect(net::tcpEndpoint(rig.front.sessionManager().address()));
     const std::string head = "PUT /api HTTP/1.1\r\nContent-Length: 80000000\r\n\r\n", piece(64 * 1024, 'x');
     asio::write(client, asio::buffer(head));
     asio::steady_timer pace(rig.io);
@@ -274,7 +274,7 @@
     node->say(status(503, "Srv-Declined: 1\r\n"));
     rig.nodeHas("Req-Id")->say(ok("al fin"));
     rig.until([&] { return client->has("al fin"); });
-    CHECK(rig.outcomes(Outcome::Full) == 1);
+    CHECK(rig.outcomes(Outcome::Rejected) == 1);
 }
 
 TEST_CASE("a connection that breaks after the last byte is a reset, and a read is tried again on a new one") {
@@ -343,7 +343,7 @@
 TEST_CASE(
     "where aims are short, an answer that stops half way is a reset sooner, and the next one is served") {
     auto config = baseConfig();
-    for (auto& c : config.settings.classes) c.aimUs = 100'000;
+    for (auto& c : config.settings.classes) c.latencyObjectiveUs = 100'000;
     Rig rig(std::move(config));
     const auto client = rig.client();
     client->say(Ask{}.text());
@@ -360,7 +360,7 @@
 TEST_CASE("an answer whose next part waits in the system is not taken for one that stopped") {
     Rig rig;
     std::shared_ptr<net::Connection> connection;
-    const auto ticket = rig.pool.acquire(rig.node().at(), [&](auto c) { connection = c; });
+    const auto ticket = rig.pool.acquire(rig.node().address(), [&](auto c) { connection = c; });
     rig.until([&] { return connection && !rig.node().wires.empty(); });
     std::optional<net::Exchange::Result> result;
     const auto exchange = std::make_shared<net::Exchange>(
@@ -400,7 +400,7 @@
     rig.until([&] { return client->has("dos"); });
     // Between the choice of an idle connection and the first byte on it something came: another one is used.
     std::shared_ptr<net::Connection> got;
-    const auto ticket = rig.pool.acquire(rig.node().at(), [&](auto connection) { got = connection; });
+    const auto ticket = rig.pool.acquire(rig.node().address(), [&](auto connection) { got = connection; });
     boost::asio::write(second->socket, boost::asio::buffer(ok("dos")));
     rig.until([&] { return got != nullptr; });
     CHECK(rig.pool.opened() == 3);
@@ -459,7 +459,7 @@
     const auto node = rig.nodeHas("Req-Id");
     client->close();
     rig.until([&] { return rig.engine.counters().disconnected == 1; });
-    CHECK(rig.engine.open() == 0);
+    CHECK(rig.engine.openRequests() == 0);
     node->say(ok("para nadie"));
     rig.until([&] { return rig.outcomes(Outcome::Ok) == 1; });
 }
@@ -487,7 +487,7 @@
     // Its time is over already when the connection is up: the node may be draining by now.
     const auto attempt = std::make_shared<http::NodeAttempt>(
         rig.engine, rig.pool,
-        net::AttemptOrder{9, 0, rig.node().at(), rig.engine.now() - 1, rig.engine.now() + 1'000'000}, message,
+        net::AttemptParams{9, 0, rig.node().address(), rig.engine.now() - 1, rig.engine.now() + 1'000'000}, message,
         std::nullopt, std::weak_ptr<http::Caller>(), [](int, http::Answer, net::ByteBudget::Hold) {});
     attempt->start();
     rig.until([&] { return rig.engine.counters().late == 1 && rig.node().wires.size() == 1; });
@@ -529,7 +529,7 @@
     busy->say(Ask{}.text());
     const auto node = rig.nodeHas("Req-Id");
     rig.until([&] { return rig.front.sessionManager().connections() == 2; });
-    rig.front.drain();
+    rig.front.startDraining();
     const auto late = rig.client();  // accepted by the system, not yet by the program
     late->say(Ask{.id = "00000000000000b2"}.text());
     rig.front.sessionManager().closeListener();
@@ -537,10 +537,10 @@
     const auto second = rig.nodeHas("00000000000000b2");
     second->say(ok("tambien"));
     rig.until([&] { return busy->has("hecho") && late->has("tambien") && busy->ended; });
-    rig.front.sessionManager().retireIdle();
+    rig.front.sessionManager().closeIdleGracefully();
     rig.until([&] { return idle->ended; });
     CHECK(busy->has("Connection: close"));
-    rig.until([&] { return rig.front.sessionManager().connections() == 0 && rig.engine.open() == 0; });
+    rig.until([&] { return rig.front.sessionManager().connections() == 0 && rig.engine.openRequests() == 0; });
 }
 
 TEST_CASE("discovery: the next watch follows the answer, and bad lists are counted and dropped") {
@@ -585,7 +585,7 @@
     client->say(Ask{}.text());
     const auto node = rig.nodeHas("Req-Id");
     StandIn next(rig.io);
-    rig.discovery.move(next.at());
+    rig.discovery.moveTo(next.address());
     rig.until([&] { return rig.discoveryServer.wires[0]->ended && next.wires.size() == 1; });
     rig.until([&] { return next.wires[0]->has("GET /discovery/hosts HTTP/1.1\r\n"); });
     CHECK(rig.discovery.counters().failed == 0);
@@ -609,8 +609,8 @@
     own.close();
     config.peerListen = {"127.0.0.1", port};
     config.peers = {config.peerListen, {"127.0.0.1", peer.local_endpoint().port()}};
-    config.settings.hosts = 2;
-    config.settings.mayTellPeers = true;
+    config.settings.hostCount = 2;
+    config.settings.mayGossip = true;
     Rig rig(std::move(config));
     const asio::ip::udp::endpoint to{asio::ip::make_address_v4("127.0.0.1"), port};
     peer.send_to(asio::buffer(std::string(200, 'a')), to);  // not a message of the module's: it ignores it
@@ -620,7 +620,7 @@
         const auto& c = rig.peers.counters();
         return c.received == 1 && c.oversize == 1 && c.unknown == 1;
     });
-    CHECK(rig.engine.arrival().counters().malformed == 1);  // the one that was received
+    CHECK(rig.engine.recovery().counters().malformed == 1);  // the one that was received
     rig.until(
         [&] { return rig.peers.counters().sent > 0; });  // the module's own words, from the same address
     std::array<char, 512> bytes{};
@@ -628,13 +628,13 @@
     CHECK(peer.receive_from(asio::buffer(bytes), from) <= 256);
     CHECK(from == to);
     const auto unsent = rig.peers.counters().unsent;
-    rig.peers.tell(1, std::string(257, 'b'));
+    rig.peers.send(1, std::string(257, 'b'));
     CHECK(rig.peers.counters().unsent == unsent + 1);
 }
 
 TEST_CASE("where the settings push the list, the front watches by itself and again after a failure") {
     auto config = baseConfig();
-    config.settings.listOnRequest = false;
+    config.settings.pollsEndpointList = false;
     Rig rig(std::move(config));
     rig.until([&] { return rig.discoveryServer.wires.size() == 1; });
     rig.discoveryServer.wires[0]->reset();
@@ -648,13 +648,13 @@
     const auto ask = [&] { return report; };
     const auto agent = health::agentServer(rig.io, {"127.0.0.1", 0}, ask);
     const auto http = health::httpServer(rig.io, {"127.0.0.1", 0}, ask);
-    const auto up = rig.connect(agent->at()), ready = rig.connect(http->at());
+    const auto up = rig.connect(agent->address()), ready = rig.connect(http->address());
     ready->say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
     rig.until([&] { return up->ended && ready->ended; });
     CHECK(up->got == "ready up 50%\n");
     CHECK(ready->has("HTTP/1.1 200 OK\r\n"));
     report.draining = true;
-    const auto drain = rig.connect(agent->at()), not_ready = rig.connect(http->at());
+    const auto drain = rig.connect(agent->address()), not_ready = rig.connect(http->address());
     not_ready->say("GET /ready HTTP/1.1\r\n\r\n");
     rig.until([&] { return drain->ended && not_ready->ended; });
     CHECK(drain->got == "drain\n");
--- a/tests/http/platform_test.cpp
+++ b/tests/http/platform_test.cpp
@@ -67,8 +67,8 @@
         unsigned status;
         bool declined;
         Outcome outcome;
-    } cases[] = {{200, false, Outcome::Ok},   {500, false, Outcome::Error}, {503, true, Outcome::Full},
-                 {504, true, Outcome::Full},  {503, false, Outcome::Error}, {500, true, Outcome::Error},
+    } cases[] = {{200, false, Outcome::Ok},   {500, false, Outcome::Error}, {503, true, Outcome::Rejected},
+                 {504, true, Outcome::Rejected},  {503, false, Outcome::Error}, {500, true, Outcome::Error},
                  {404, false, Outcome::Error}};
     for (const auto& c : cases) {
         http::Answer a;
@@ -77,13 +77,13 @@
         CHECK(http::readAnswer(a, settings).outcome == c.outcome);
     }
     http::Answer a;
-    CHECK(http::readAnswer(a, settings).usePercent == 0);  // no header: none
+    CHECK(http::readAnswer(a, settings).loadPercent == 0);  // no header: none
     a.set("Volume-Load", "85");
     a.set("Other-Hosts", "3.5");
     a.set("Srv-Load", "queue=7");
-    CHECK(http::readAnswer(a, settings).usePercent == 86);  // the simulator's figure is one more
-    CHECK(http::readAnswer(a, settings).elsewhere == 3.5);
-    CHECK(http::readAnswer(a, settings).report == std::vector<double>{7});
+    CHECK(http::readAnswer(a, settings).loadPercent == 86);  // the simulator's figure is one more
+    CHECK(http::readAnswer(a, settings).loadElsewhere == 3.5);
+    CHECK(http::readAnswer(a, settings).loadReport == std::vector<double>{7});
     for (const char* load : {"", "queue", "queue=", "queue=x", "inflight=3"})
         CHECK(http::readLoad(load, settings).empty());
     CHECK(http::readLoad("inflight=1, depth=4", settings) == std::vector<double>{4});
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -22,18 +22,18 @@
             give(i, {nodes({node("a", 0), node("b", 1)})});
         }
     }
-    std::vector<Send> give(int i, std::vector<Event> events) {
+    std::vector<ForwardRequest> give(int i, std::vector<AnyEvent> events) {
         hosts[std::size_t(i)]->now = now;
         return take(i, hosts[std::size_t(i)]->batch(std::move(events)));
     }
-    std::vector<Send> take(int i, const std::vector<Action>& actions) {
-        for (const auto& tell : only<TellPeer>(actions)) {
+    std::vector<ForwardRequest> take(int i, const std::vector<Action>& actions) {
+        for (const auto& tell : only<SendPeerMessage>(actions)) {
             bytes += tell.bytes.size() * std::size_t(tell.to < 0 ? kHosts - 1 : 1);
             largest = std::max(largest, tell.bytes.size());
             if (joined) wire.push_back({now + kDelay, i, tell});
         }
-        refused += only<Refuse>(actions).size();
-        return only<Send>(actions);
+        refused += only<RejectRequest>(actions).size();
+        return only<ForwardRequest>(actions);
     }
     void runTo(Micros until) {
         while (now < until) {
@@ -43,19 +43,19 @@
             for (const auto& m : due)
                 for (int to = 0; to < kHosts; ++to)
                     if (to != m.from && (m.tell.to == to || m.tell.to < 0))
-                        sentLater += give(to, {PeerMessage{m.from, m.tell.bytes}}).size();
+                        sentLater += give(to, {PeerMessageReceived{m.from, m.tell.bytes}}).size();
             for (int i = 0; i < kHosts; ++i)
                 for (const auto& s : take(i, hosts[std::size_t(i)]->runTo(now))) later.emplace_back(i, s), ++sentLater;
         }
     }
-    struct Message { Micros at; int from; TellPeer tell; };
+    struct Message { Micros at; int from; SendPeerMessage tell; };
     bool joined;
     Micros now = kStart;
     std::size_t bytes = 0, largest = 0, refused = 0, sentLater = 0;
     RequestId lastId = 0;
     std::vector<std::unique_ptr<Host>> hosts;
     std::vector<Message> wire;
-    std::vector<std::pair<int, Send>> later;    // sent while time passed
+    std::vector<std::pair<int, ForwardRequest>> later;    // sent while time passed
 };
 
 TEST(FleetOfAHundred, BytesAreTiedToRequestsAndNotToHosts) {
@@ -83,7 +83,7 @@
 std::size_t sentInto(bool joined) {
     Fleet f(joined);
     f.runTo(kStart + 100 * kMs);
-    std::vector<std::pair<int, Send>> out;
+    std::vector<std::pair<int, ForwardRequest>> out;
     for (int round = 0; round < 4; ++round) {
         out.clear();
         for (int i = 0; i < 40; ++i)
@@ -114,7 +114,7 @@
         f.runTo(f.now + 10 * kMs);
     }
     for (int i = 0; i < kHosts; ++i)
-        f.give(i, {nodes({node("a", 0, NodeState::Ready, f.now - kMs)}, ListKind::Delta)});
+        f.give(i, {nodes({node("a", 0, NodeState::Ready, f.now - kMs)}, EndpointListKind::Delta)});
     std::size_t sent = 0;
     for (int step = 0; step < 2 * kHosts; ++step) {
         const auto before = f.sentLater;
@@ -129,7 +129,7 @@
 TEST(FleetOfAHundred, AColdNodeIsNotPushedOverAndNotLeftIdleByTheBusiest) {  // rule 4; found by hunt --rules
     const auto s = settings(0, kHosts);
     const double pushed = pushedToCold(true);
-    EXPECT_LE(pushed, 2 * s.coldUnits * s.coldMultiple);     // two spans
+    EXPECT_LE(pushed, 2 * s.slowStartUnits * s.slowStartOverloadFactor);     // two spans
     EXPECT_GT(pushed, 0);
 }
 
@@ -138,14 +138,14 @@
     Fleet f;
     f.runTo(kStart + 100 * kMs);
     for (int round = 0; round < 20; ++round) {
-        std::vector<std::pair<int, Send>> out;
+        std::vector<std::pair<int, ForwardRequest>> out;
         for (int i = 0; i < 10; ++i)
             for (const auto& s : f.give(i, {request(++f.lastId, 0, 1, f.now)})) out.emplace_back(i, s);
         f.runTo(f.now + 30 * kMs);
         for (const auto& [i, s] : out) f.give(i, {ended(s.id, 0, s.node, Outcome::Ok, 30 * kMs)});
         f.runTo(f.now + 20 * kMs);
     }
-    std::vector<Send> paused;
+    std::vector<ForwardRequest> paused;
     for (int i = 0; i < 40; ++i)
         for (const auto& s : f.give(i, {request(++f.lastId, 0, 1, f.now)})) paused.push_back(s);
     ASSERT_EQ(paused.size(), 40u);
@@ -163,17 +163,17 @@
     Fleet f;
     const auto s = settings(0, kHosts);
     const auto capacity = [&](Micros age) {     // units in a span
-        return times * s.coldUnits * (1 + 3 * std::min(1.0, double(age) / double(s.warmAfterUs)));
+        return times * s.slowStartUnits * (1 + 3 * std::min(1.0, double(age) / double(s.slowStartDurationUs)));
     };
-    struct Work { Micros sent, done; int host; Send send; };
+    struct Work { Micros sent, done; int host; ForwardRequest send; };
     std::vector<Work> work;
     std::vector<Micros> sentAt;
     const Micros begun = f.now, restarted = begun + usedFor;
     Micros freeAt = 0;
-    for (int step = 0; f.now < restarted + s.warmAfterUs; ++step) {
+    for (int step = 0; f.now < restarted + s.slowStartDurationUs; ++step) {
         if (f.now == restarted)
             for (int i = 0; i < kHosts; ++i)
-                f.give(i, {nodes({node("a", 0, NodeState::Ready, restarted)}, ListKind::Delta)});
+                f.give(i, {nodes({node("a", 0, NodeState::Ready, restarted)}, EndpointListKind::Delta)});
         if (step % 5 == 0)      // twenty requests a second, each host in its turn
             for (const auto& send : f.give(step / 5 % kHosts, {request(++f.lastId, 0, 1, f.now)}))
                 f.later.emplace_back(step / 5 % kHosts, send);
@@ -189,8 +189,8 @@
         f.runTo(f.now + 10 * kMs);
     }
     for (std::size_t first = 0, last = 0; last < sentAt.size(); ++last) {       // every window that ends with a send
-        while (sentAt[last] - sentAt[first] > s.coldSpanUs) ++first;
-        EXPECT_LE(2.0 * double(last - first + 1), s.coldMultiple * capacity(sentAt[first] - restarted));
+        while (sentAt[last] - sentAt[first] > s.slowStartWindowUs) ++first;
+        EXPECT_LE(2.0 * double(last - first + 1), s.slowStartOverloadFactor * capacity(sentAt[first] - restarted));
     }
     return 2.0 * double(sentAt.size());
 }
@@ -210,12 +210,12 @@
     Fleet f;
     const auto s = settings(0, kHosts);
     f.runTo(kStart + 100 * kMs);
-    std::vector<std::pair<int, Send>> out;
+    std::vector<std::pair<int, ForwardRequest>> out;
     for (int i = 0; i < kHosts; ++i)
         for (const auto& send : f.give(i, {request(++f.lastId, 2, 1, f.now)})) out.emplace_back(i, send);
     f.runTo(f.now + 50 * kMs);
     for (int i = 0; i < kHosts; ++i)
-        f.give(i, {nodes({node("a", 0, NodeState::Draining), node("c", 0, NodeState::Ready, f.now)}, ListKind::Delta)});
+        f.give(i, {nodes({node("a", 0, NodeState::Draining), node("c", 0, NodeState::Ready, f.now)}, EndpointListKind::Delta)});
     f.runTo(f.now + 100 * kMs);
     for (const auto& [i, send] : out) f.give(i, {ended(send.id, 0, "a", Outcome::Ok, 150 * kMs)});
     EXPECT_GE(out.size(), 50u);
@@ -226,8 +226,8 @@
         f.runTo(f.now + 10 * kMs);
         sent += f.sentLater - before;
     }
-    const double grown = 1 + (1 / s.coldStart - 1) * double(s.coldSpanUs) / double(s.warmAfterUs);
-    EXPECT_LE(2.0 * double(sent), s.coldUnits * s.coldMultiple * grown);    // of the weakest node, over one span
+    const double grown = 1 + (1 / s.slowStartCapacity - 1) * double(s.slowStartWindowUs) / double(s.slowStartDurationUs);
+    EXPECT_LE(2.0 * double(sent), s.slowStartUnits * s.slowStartOverloadFactor * grown);    // of the weakest node, over one span
 }
 
 TEST(FleetOfAHundred, AHostThatHasNotHeardOfTheOthersDoesNotTakeAllAColdNodeBears) {    // rule 4
@@ -245,7 +245,7 @@
         const int tag = 1 + int(random() % 9);
         m += char(tag);
         for (int i = 0; i < kBytes[tag]; ++i) m += char(random() % 3 ? random() : 255);
-        f.give(3, {PeerMessage{int(random() % 104) - 2, m}});
+        f.give(3, {PeerMessageReceived{int(random() % 104) - 2, m}});
     }
     f.now += 3 * kSecond;
     EXPECT_EQ(f.give(3, {request(1, 0, 1, f.now)}).size(), 1u);
--- a/tests/policy/lease_test.cpp
+++ b/tests/policy/lease_test.cpp
@@ -25,19 +25,19 @@
         hosts[i] = std::make_unique<Host>(s, now);
         deliver(i, {nodes({node("a", 0), node("b", 1)})});
     }
-    void deliver(int i, std::vector<Event> events) {
+    void deliver(int i, std::vector<AnyEvent> events) {
         hosts[i]->now = now;
         take(i, hosts[i]->batch(std::move(events)));
     }
     void take(int i, const std::vector<Action>& actions) {
-        for (const auto& tell : only<TellPeer>(actions))
+        for (const auto& tell : only<SendPeerMessage>(actions))
             for (auto& [other, host] : hosts) {
                 if (other == i || (tell.to >= 0 && tell.to != other)) continue;
                 if (cut || cuts.count({i, other}) || (lossPercent > 0 && int(random() % 100) < lossPercent)) continue;
                 const Micros delay = minDelay + Micros(random() % std::uint64_t(maxDelay - minDelay + 1));
                 wire.push_back({now + delay, i, other, tell.bytes});
             }
-        for (const auto& send : only<Send>(actions)) {
+        for (const auto& send : only<ForwardRequest>(actions)) {
             if (paid.insert(send.id).second) spend(units[send.id], i);
             answers.emplace_back(now + 5 * kMs, i, send);
         }
@@ -56,7 +56,7 @@
                 if (wire[k].at > now) { ++k; continue; }
                 const auto m = wire[k];
                 wire.erase(wire.begin() + static_cast<std::ptrdiff_t>(k));
-                if (hosts.count(m.to)) deliver(m.to, {PeerMessage{m.from, m.bytes}});
+                if (hosts.count(m.to)) deliver(m.to, {PeerMessageReceived{m.from, m.bytes}});
             }
             while (!answers.empty() && std::get<0>(answers.front()) <= now) {
                 const auto [at, i, send] = answers.front();
@@ -88,16 +88,16 @@
     std::map<RequestId, double> units;
     std::set<RequestId> paid;
     std::vector<Message> wire;
-    std::deque<std::tuple<Micros, int, Send>> answers;
+    std::deque<std::tuple<Micros, int, ForwardRequest>> answers;
 };
 
 TEST(Leases, AVolumeOfOneHostHasTheWholeLimit) {
     Host h(settings(), kStart);
     h.batch({nodes({node("a", 0)})});
     h.runTo(h.now + 4 * kSecond);
-    std::vector<Event> events;
+    std::vector<AnyEvent> events;
     for (RequestId id = 1; id <= 3; ++id) events.emplace_back(request(id, 0, 0, h.now, 6));
-    EXPECT_EQ(only<Send>(h.batch(events)).size(), 3u);
+    EXPECT_EQ(only<ForwardRequest>(h.batch(events)).size(), 3u);
 }
 
 TEST(Leases, WithoutPeersAHostSpendsNoMoreThanItsPart) {
@@ -161,7 +161,7 @@
         f.run(10 * kSecond, {{0, 60}, {1, 2}, {2, 2}});
         EXPECT_GT(f.sent[0], 20.0 / 3 * 10 * 1.6) << round;
         f.run(70 * kSecond, {});
-        EXPECT_LE(f.hosts[0]->policy.kept(), 8u);      // its nodes and cells
+        EXPECT_LE(f.hosts[0]->policy.tableEntries(), 8u);      // its nodes and cells
     }
     EXPECT_GE(f.lowest, 0);
 }
@@ -187,7 +187,7 @@
 // told; messages lost, and late by up to 2 s, shutdown notices among them. Host 0 has borrowed all there is and keeps the
 // store near its end, so that a chunk in two hands shows: with a host that is clear at once the store is overdrawn.
 TEST(Leases, TheSumKeepsTheLimitThroughShutdownNoticesAndDeaths) {
-    std::map<fleet::Arrival::By, int> by;
+    std::map<fleet::RestartRecovery::RecoveryCause, int> by;
     for (std::uint64_t seed = 1; seed <= 120; ++seed) {
         Fleet f(3, seed);
         f.store = f.lowest = 0;     // as the hosts' buckets: no more is due to them than what fills from here on
@@ -198,7 +198,7 @@
         f.lossPercent = int(random() % 3) * 20;
         const int who = 1 + int(random() % 2);
         if (seed % 3 > 0) {
-            f.deliver(who, {Leaving{f.now + Micros(random() % 4'000) * kMs}});
+            f.deliver(who, {ShutdownStarted{f.now + Micros(random() % 4'000) * kMs}});
             f.run(Micros(random() % 3'000) * kMs, {{0, 80}});
         }
         if (seed % 5 > 0) f.cuts = {{who, 0}, {0, who}};    // 0 never hears that its lender began anew
@@ -206,12 +206,12 @@
         f.run(Micros(random() % 3 == 0 ? random() % 2'000 : 1) * kMs, {{0, 80}});
         f.start(who);
         f.run(3 * kSecond, {{0, 80}, {who, 80}});
-        ++by[f.hosts[who]->policy.arrival().by()];
+        ++by[f.hosts[who]->policy.recovery().recoveryCause()];
         EXPECT_GE(f.lowest, 0) << "seed " << seed;
     }
-    EXPECT_GT(by[fleet::Arrival::By::ShutdownNotice], 10);
-    EXPECT_GT(by[fleet::Arrival::By::Everyone], 5);
-    EXPECT_GT(by[fleet::Arrival::By::Lease], 5);
+    EXPECT_GT(by[fleet::RestartRecovery::RecoveryCause::ShutdownNotice], 10);
+    EXPECT_GT(by[fleet::RestartRecovery::RecoveryCause::AllPeersReplied], 5);
+    EXPECT_GT(by[fleet::RestartRecovery::RecoveryCause::LeaseExpired], 5);
 }
 
 TEST(Leases, ARestartedHostWaitsForWordOfItsLoans) {
@@ -236,7 +236,7 @@
         std::string junk(random() % 256, '\0');
         for (auto& c : junk) c = static_cast<char>(random());
         if (i % 2 && !junk.empty()) junk[0] = static_cast<char>(0xA9);
-        f.deliver(0, {PeerMessage{int(random() % 5) - 1, junk}});
+        f.deliver(0, {PeerMessageReceived{int(random() % 5) - 1, junk}});
         f.run(10 * kMs, {{0, 60}});
     }
     EXPECT_GE(f.lowest, 0);
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -16,12 +16,12 @@
 }
 
 std::size_t finals(const std::vector<Action>& actions) {
-    return only<Refuse>(actions).size() + only<Fail>(actions).size();
+    return only<RejectRequest>(actions).size() + only<FailRequest>(actions).size();
 }
 
 TEST(Rules, SendsAtOnceWhileThereIsRoom) {
     Host h = ready();
-    const auto sends = only<Send>(h.batch({request(1, 0, 1, h.now)}));
+    const auto sends = only<ForwardRequest>(h.batch({request(1, 0, 1, h.now)}));
     ASSERT_EQ(sends.size(), 1u);
     EXPECT_EQ(sends[0].node, "a");
 }
@@ -31,7 +31,7 @@
     h.batch();
     h.batch({request(1, 0, 1, h.now), request(2, 2, 1, h.now)});
     const auto actions = h.runTo(h.now + 2 * kSecond);
-    EXPECT_EQ(only<Send>(actions).size(), 0u);
+    EXPECT_EQ(only<ForwardRequest>(actions).size(), 0u);
     EXPECT_LE(finals(actions), 2u);
     Host g(settings(), kStart);
     auto all = g.batch({request(1, 0, 1, g.now)});
@@ -41,7 +41,7 @@
 
 TEST(Rules, ARequestWithMillisecondsToLiveIsAnsweredInItsBatch) {  // rule 1; seen on incident ia3767d
     Host h(settings(), kStart);
-    h.batch({nodes({node("a", 0, NodeState::Gone)})});
+    h.batch({nodes({node("a", 0, NodeState::Removed)})});
     auto last = request(1, 2, 1, h.now);
     last.deadlineUs = h.now + 2 * kMs;
     EXPECT_EQ(finals(h.batch({last})), 1u);
@@ -52,8 +52,8 @@
     h.batch({request(1, 2, 1, h.now)});
     h.now += 2 * kSecond;
     const auto actions = h.batch({ended(1, 0, "a", Outcome::Timeout, 2 * kSecond)});
-    EXPECT_EQ(only<Fail>(actions).size(), 1u);      // unsafe and may have run: never a refusal
-    EXPECT_EQ(only<Refuse>(actions).size(), 0u);
+    EXPECT_EQ(only<FailRequest>(actions).size(), 1u);      // unsafe and may have run: never a refusal
+    EXPECT_EQ(only<RejectRequest>(actions).size(), 0u);
     EXPECT_EQ(finals(h.runTo(h.now + kSecond)), 0u);
 }
 
@@ -61,41 +61,41 @@
     Host h = ready();
     h.batch({request(1, 2, 1, h.now), request(2, 2, 1, h.now)});
     h.now += 20 * kMs;
-    auto actions = h.batch({ended(1, 0, "a", Outcome::Full), ended(2, 0, "a", Outcome::Error)});
+    auto actions = h.batch({ended(1, 0, "a", Outcome::Rejected), ended(2, 0, "a", Outcome::Error)});
     for (auto& a : h.runTo(h.now + kSecond)) actions.push_back(a);
-    const auto sends = only<Send>(actions);
+    const auto sends = only<ForwardRequest>(actions);
     ASSERT_EQ(sends.size(), 1u);
     EXPECT_EQ(sends[0].id, 1u);
-    const auto fails = only<Fail>(actions);
+    const auto fails = only<FailRequest>(actions);
     ASSERT_EQ(fails.size(), 1u);
     EXPECT_EQ(fails[0].id, 2u);
 }
 
 TEST(Rules, KeyedStaysInItsGroupAndItsWindow) {  // rule 2
     Host h = ready();
-    auto first = only<Send>(h.batch({request(1, 1, 1, h.now, 2, -1)}));
+    auto first = only<ForwardRequest>(h.batch({request(1, 1, 1, h.now, 2, -1)}));
     ASSERT_EQ(first.size(), 1u);
     h.now += 30 * kMs;
-    const auto again = only<Send>(h.batch({ended(1, 0, first[0].node, Outcome::Reset)}));
+    const auto again = only<ForwardRequest>(h.batch({ended(1, 0, first[0].node, Outcome::Reset)}));
     ASSERT_EQ(again.size(), 1u);
     EXPECT_EQ(again[0].node, first[0].node);
     h.now += 1100 * kMs;                            // past the window: neither a send nor a refusal
     const auto late = h.batch({ended(1, 1, first[0].node, Outcome::Reset)});
-    EXPECT_EQ(only<Send>(late).size(), 0u);
-    EXPECT_EQ(only<Refuse>(late).size(), 0u);
-    EXPECT_EQ(only<Fail>(late).size(), 1u);
+    EXPECT_EQ(only<ForwardRequest>(late).size(), 0u);
+    EXPECT_EQ(only<RejectRequest>(late).size(), 0u);
+    EXPECT_EQ(only<FailRequest>(late).size(), 1u);
 }
 
 // Its successor is listed a second or two later: without the grace the cell has no node meanwhile.
 TEST(Rules, ADrainingNodeServesOnWithinTheGraceWhereItsCellHasNoOther) {  // rule 3
-    const auto goes = [](Micros after, std::vector<NodeInfo> more = {}, ListKind before = ListKind::Delta,
-                         ListKind kind = ListKind::Delta) {
+    const auto goes = [](Micros after, std::vector<NodeInfo> more = {}, EndpointListKind before = EndpointListKind::Delta,
+                         EndpointListKind kind = EndpointListKind::Delta) {
         Host h = ready();
-        if (before == ListKind::Lost) h.batch({nodes({}, ListKind::Lost)});
+        if (before == EndpointListKind::Unavailable) h.batch({nodes({}, EndpointListKind::Unavailable)});
         more.push_back(node("a", 0, NodeState::Draining));
         h.batch({nodes(more, kind)});
         h.runTo(h.now + after);
-        const auto sends = only<Send>(h.batch({request(1, 0, 1, h.now)}));
+        const auto sends = only<ForwardRequest>(h.batch({request(1, 0, 1, h.now)}));
         return sends.empty() ? std::string() : sends[0].node;
     };
     const Micros grace = settings().drainGraceUs;
@@ -104,23 +104,23 @@
     EXPECT_EQ(goes(grace * 8 / 10), "");
     EXPECT_EQ(goes(0, {node("c", 0)}), "c");
     // Lists that came late may have been told before: after a lost call, or all anew.
-    EXPECT_EQ(goes(0, {}, ListKind::Lost), "");
-    EXPECT_EQ(goes(0, {}, ListKind::Delta, ListKind::Full), "");
+    EXPECT_EQ(goes(0, {}, EndpointListKind::Unavailable), "");
+    EXPECT_EQ(goes(0, {}, EndpointListKind::Delta, EndpointListKind::Full), "");
 }
 
 // While discovery fails now and then the list must not stay old for long; while it is down it isn't pressed.
 TEST(Rules, AFailedCallToDiscoveryIsRepeatedSoonAndThenLater) {
     Settings set = settings();
-    set.listOnRequest = true;
-    set.askEveryUs = 10 * kSecond;
+    set.pollsEndpointList = true;
+    set.pollIntervalUs = 10 * kSecond;
     Host h = ready(set);
-    const auto askedWithin = [&](Micros span) { return only<WatchList>(h.runTo(h.now + span)).size(); };
-    h.batch({nodes({}, ListKind::Lost)});
+    const auto askedWithin = [&](Micros span) { return only<WatchEndpointList>(h.runTo(h.now + span)).size(); };
+    h.batch({nodes({}, EndpointListKind::Unavailable)});
     EXPECT_EQ(askedWithin(150 * kMs), 1u);
-    for (int i = 0; i < 5; ++i) h.batch({nodes({}, ListKind::Lost)});
+    for (int i = 0; i < 5; ++i) h.batch({nodes({}, EndpointListKind::Unavailable)});
     EXPECT_EQ(askedWithin(2 * kSecond), 0u);
     EXPECT_EQ(askedWithin(2 * kSecond), 1u);
-    h.batch({nodes({node("a", 0)}, ListKind::Delta), nodes({}, ListKind::Lost)});   // answered: as at first
+    h.batch({nodes({node("a", 0)}, EndpointListKind::Delta), nodes({}, EndpointListKind::Unavailable)});   // answered: as at first
     EXPECT_EQ(askedWithin(150 * kMs), 1u);
 }
 
@@ -133,19 +133,19 @@
     for (int i = 0; i < kHosts; ++i) {
         Settings set = settings(i, kHosts);
         set.seed = 0x9e3779b97f4a7c15ull * std::uint64_t(i + 1);
-        set.listOnRequest = true;
-        set.askEveryUs = 10 * kSecond;
+        set.pollsEndpointList = true;
+        set.pollIntervalUs = 10 * kSecond;
         Host h(set, kStart);
-        h.batch({nodes({}, ListKind::Saved)});
+        h.batch({nodes({}, EndpointListKind::Cached)});
         const auto called = [&](std::map<Micros, int>& when) {
             const Micros since = h.now;
-            while (only<WatchList>(h.runTo(h.now + 10 * kMs)).empty())
-                ASSERT_LT(h.now - since, set.askEveryUs) << "host " << i;
+            while (only<WatchEndpointList>(h.runTo(h.now + 10 * kMs)).empty())
+                ASSERT_LT(h.now - since, set.pollIntervalUs) << "host " << i;
             ++when[(h.now - kStart) / (100 * kMs)];
         };
         called(first);
         h.runTo(kStart + 12 * kSecond);
-        h.batch({nodes({}, ListKind::Lost)});
+        h.batch({nodes({}, EndpointListKind::Unavailable)});
         called(again);
     }
     const auto most = [](const std::map<Micros, int>& when) {
@@ -159,15 +159,15 @@
 
 TEST(Rules, NothingGoesToADrainingOrGoneNode) {  // rule 3
     Host h = ready();
-    h.batch({nodes({node("a", 0, NodeState::Draining)}, ListKind::Delta)});
+    h.batch({nodes({node("a", 0, NodeState::Draining)}, EndpointListKind::Delta)});
     h.runTo(h.now + settings().drainGraceUs);
-    EXPECT_EQ(only<Send>(h.batch({request(1, 0, 1, h.now)})).size(), 0u);
-    h.batch({nodes({node("c", 0)}, ListKind::Delta)});  // its successor takes the held request
-    const auto sends = only<Send>(h.batch({request(2, 0, 1, h.now)}));
+    EXPECT_EQ(only<ForwardRequest>(h.batch({request(1, 0, 1, h.now)})).size(), 0u);
+    h.batch({nodes({node("c", 0)}, EndpointListKind::Delta)});  // its successor takes the held request
+    const auto sends = only<ForwardRequest>(h.batch({request(2, 0, 1, h.now)}));
     ASSERT_EQ(sends.size(), 1u);
     EXPECT_EQ(sends[0].node, "c");
     h.batch({nodes({node("b", 1)})});               // a full list without c: it has left
-    EXPECT_EQ(only<Send>(h.batch({request(3, 0, 1, h.now)})).size(), 0u);
+    EXPECT_EQ(only<ForwardRequest>(h.batch({request(3, 0, 1, h.now)})).size(), 0u);
 }
 
 // Units sent to a node that has just started, in one second of steady demand.
@@ -176,13 +176,13 @@
     h.batch({nodes({node("a", 0, NodeState::Ready, kStart - kMs)})});
     double units = 0;
     std::map<RequestId, int> attempts;
-    std::vector<Event> due;
+    std::vector<AnyEvent> due;
     for (RequestId id = 1; id <= 100; ++id) {
         h.now += 10 * kMs;
         due.emplace_back(request(id, 2, 1, h.now));
         const auto actions = h.batch(due);
         due.clear();
-        for (const auto& send : only<Send>(actions)) {
+        for (const auto& send : only<ForwardRequest>(actions)) {
             units += 2;
             if (!answers) continue;
             due.emplace_back(ended(send.id, attempts[send.id]++, "a", outcome));
@@ -193,10 +193,10 @@
 
 TEST(Rules, AColdNodeGetsNoMoreThanItHasShownToBear) {  // rule 4
     const auto s = settings(0, 3);
-    const double free = s.coldUnits / s.hosts + s.maxUnits;
+    const double free = s.slowStartUnits / s.hostCount + s.maxUnits;
     EXPECT_LE(sentToCold(s, Outcome::Ok, false), free);     // silent: the hosts' part, then nothing
     EXPECT_GE(sentToCold(s, Outcome::Ok, false), 2);
-    EXPECT_LE(sentToCold(s, Outcome::Full, true), free);    // rejects add to the push: never given back
+    EXPECT_LE(sentToCold(s, Outcome::Rejected, true), free);    // rejects add to the push: never given back
     EXPECT_GT(sentToCold(s, Outcome::Ok, true), 3 * free);  // it answers: as much again
 }
 
@@ -204,15 +204,15 @@
 // customer counts over a longer time. Meanwhile it is off the list, or stays on it.
 std::size_t sentAgainToCold(bool offTheList) {
     auto s = settings(0, 1);
-    s.coldSpanUs = 90 * kSecond;
-    s.warmAfterUs = 900 * kSecond;
+    s.slowStartWindowUs = 90 * kSecond;
+    s.slowStartDurationUs = 900 * kSecond;
     Host h(s, kStart);
     const auto listed = nodes({node("a", 0, NodeState::Ready, kStart)});
     RequestId id = 0;
     const auto push = [&] {
         std::size_t sent = 0;
         for (int i = 0; i < 40; ++i, h.now += 10 * kMs) {
-            if (only<Send>(h.batch({request(++id, 2, 1, h.now)})).empty()) continue;
+            if (only<ForwardRequest>(h.batch({request(++id, 2, 1, h.now)})).empty()) continue;
             h.batch({ended(id, 0, "a", Outcome::Cancelled)});  // which says nothing of the node
             ++sent;
         }
@@ -237,16 +237,16 @@
     h.batch({nodes({node("a", 0), node("b", 1, NodeState::Ready, kStart)})});
     for (RequestId id = 1; id <= 4; ++id) {
         h.now += 100 * kMs;
-        const auto sends = only<Send>(h.batch({request(id, 0, 1, h.now)}));
+        const auto sends = only<ForwardRequest>(h.batch({request(id, 0, 1, h.now)}));
         ASSERT_EQ(sends.size(), 1u);
         h.batch({ended(id, 0, "a", Outcome::Ok)});
     }
     auto told = peer::header(1);
     peer::add(told, {peer::kOthers, std::uint32_t(peer::hashOf("1")), 16, 8});      // a wait of one millisecond
-    h.batch({request(5, 0, 1, h.now, 2, 1), PeerMessage{1, told}});     // it has been asked for the cell once
+    h.batch({request(5, 0, 1, h.now, 2, 1), PeerMessageReceived{1, told}});     // it has been asked for the cell once
     h.runTo(h.now + kSecond);
     for (RequestId id = 10; id < 20; ++id) {
-        const auto sends = only<Send>(h.batch({request(id, 2, 1, h.now, 2, -1)}));
+        const auto sends = only<ForwardRequest>(h.batch({request(id, 2, 1, h.now, 2, -1)}));
         ASSERT_EQ(sends.size(), 1u);
         EXPECT_EQ(sends[0].node, "a");
         h.batch({ended(id, 0, "a", Outcome::Ok)});
@@ -262,11 +262,11 @@
     peer::add(told, {peer::kOthers, std::uint32_t(peer::hashOf("0")), 16 * 100, 0});
     h.batch({request(1, 0, 1, h.now)});
     h.now += took;
-    h.batch({ended(1, 0, "a", Outcome::Ok, took), PeerMessage{1, told}});
+    h.batch({ended(1, 0, "a", Outcome::Ok, took), PeerMessageReceived{1, told}});
     h.now += 10 * kMs;
-    std::vector<Event> run;
+    std::vector<AnyEvent> run;
     for (RequestId id = 2; id <= 6; ++id) run.emplace_back(request(id, 0, 1, h.now));
-    return only<Send>(h.batch(run)).size();
+    return only<ForwardRequest>(h.batch(run)).size();
 }
 
 TEST(Rules, AHostWithASmallPartHasTwoOutAtACalmNodeAndOneAtABusyOne) {
@@ -279,7 +279,7 @@
     h.batch({nodes({node("a", 0, NodeState::Ready, kStart), node("b", 1, NodeState::Ready, kStart)})});
     std::set<std::string> used;
     for (RequestId id = 1; id <= 3; ++id)
-        for (const auto& s : only<Send>(h.batch({request(id, 2, 1, h.now, 2, -1)}))) used.insert(s.node);
+        for (const auto& s : only<ForwardRequest>(h.batch({request(id, 2, 1, h.now, 2, -1)}))) used.insert(s.node);
     EXPECT_EQ(used.size(), 2u);
 }
 
@@ -287,34 +287,34 @@
     Host h = ready();
     auto one = request(1, 3, 1, h.now), two = request(2, 3, 1, h.now);
     one.key = two.key = "same";
-    auto sends = only<Send>(h.batch({one, two}));
+    auto sends = only<ForwardRequest>(h.batch({one, two}));
     ASSERT_EQ(sends.size(), 1u);
     EXPECT_EQ(sends[0].id, 1u);
     h.now += 20 * kMs;
-    sends = only<Send>(h.batch({ended(1, 0, "a", Outcome::Ok)}));
+    sends = only<ForwardRequest>(h.batch({ended(1, 0, "a", Outcome::Ok)}));
     ASSERT_EQ(sends.size(), 1u);
     EXPECT_EQ(sends[0].id, 2u);
     auto three = request(3, 3, 1, h.now);
     three.key = "same";
-    h.batch({three, RequestGone{2}});               // 2 ended, its attempt still out
-    EXPECT_EQ(only<Send>(h.runTo(h.now + 50 * kMs)).size(), 0u);
+    h.batch({three, RequestCancelled{2}});               // 2 ended, its attempt still out
+    EXPECT_EQ(only<ForwardRequest>(h.runTo(h.now + 50 * kMs)).size(), 0u);
     h.batch({ended(2, 0, "a", Outcome::Timeout)});
-    EXPECT_EQ(only<Send>(h.runTo(h.now + 200 * kMs)).size(), 0u);   // the key rests for 300 ms
-    EXPECT_EQ(only<Send>(h.runTo(h.now + 150 * kMs)).size(), 1u);
+    EXPECT_EQ(only<ForwardRequest>(h.runTo(h.now + 200 * kMs)).size(), 0u);   // the key rests for 300 ms
+    EXPECT_EQ(only<ForwardRequest>(h.runTo(h.now + 150 * kMs)).size(), 1u);
 }
 
 TEST(Rules, FurtherAttemptsKeepTheirBudget) {  // rule 7
     auto s = settings();
-    s.retryFree = 1;
-    s.retryShare = 0.1;
-    s.retrySpanUs = 5 * kSecond;
+    s.retryAllowance = 1;
+    s.retryRatio = 0.1;
+    s.retryWindowUs = 5 * kSecond;
     Host h = ready(s);
     std::size_t further = 0;
     for (RequestId id = 1; id <= 5; ++id) {
-        auto sent = only<Send>(h.batch({request(id, 0, 1, h.now)}));
+        auto sent = only<ForwardRequest>(h.batch({request(id, 0, 1, h.now)}));
         h.now += 5 * kMs;
-        if (!sent.empty()) further += only<Send>(h.batch({ended(id, 0, "a", Outcome::Reset)})).size();
-        further += only<Send>(h.runTo(h.now + 30 * kMs)).size();
+        if (!sent.empty()) further += only<ForwardRequest>(h.batch({ended(id, 0, "a", Outcome::Reset)})).size();
+        further += only<ForwardRequest>(h.runTo(h.now + 30 * kMs)).size();
     }
     EXPECT_EQ(further, 1u);
 }
@@ -323,11 +323,11 @@
     Host h = ready();
     h.batch({request(1, 0, 1, h.now)});
     h.now += 5 * kMs;
-    const auto once = only<Send>(h.batch({ended(1, 0, "a", Outcome::Full, 5 * kMs)})).size();
+    const auto once = only<ForwardRequest>(h.batch({ended(1, 0, "a", Outcome::Rejected, 5 * kMs)})).size();
     EXPECT_LE(once, 1u);                            // a suspect's one trickle
     h.now += 5 * kMs;
-    EXPECT_EQ(only<Send>(h.batch({ended(1, 1, "a", Outcome::Full, 5 * kMs)})).size(), 0u);
-    EXPECT_EQ(only<Send>(h.runTo(h.now + 200 * kMs)).size(), 0u);
+    EXPECT_EQ(only<ForwardRequest>(h.batch({ended(1, 1, "a", Outcome::Rejected, 5 * kMs)})).size(), 0u);
+    EXPECT_EQ(only<ForwardRequest>(h.runTo(h.now + 200 * kMs)).size(), 0u);
 }
 
 // Requests that a head sends at once after an attempt that nothing came back from.
@@ -340,9 +340,9 @@
     if (overtaken) h.batch({ended(2, 0, "a", Outcome::Ok, 30 * kMs)});
     h.now += 200 * kMs;
     auto late = ended(1, 0, "a", Outcome::Timeout, 330 * kMs);
-    late.closed = true;
+    late.requestClosed = true;
     h.batch({late});
-    return only<Send>(h.batch({request(3, 0, 1, h.now), request(4, 0, 1, h.now)})).size();
+    return only<ForwardRequest>(h.batch({request(3, 0, 1, h.now), request(4, 0, 1, h.now)})).size();
 }
 
 TEST(Health, ALostAnswerIsToldFromANodeThatChokes) {
@@ -352,35 +352,35 @@
 
 TEST(Order, HeldRequestsLeaveEarliestDueFirst) {
     auto s = settings();
-    s.classes[0].aimUs = 400 * kMs;
-    s.classes[2].aimUs = 300 * kMs;
+    s.classes[0].latencyObjectiveUs = 400 * kMs;
+    s.classes[2].latencyObjectiveUs = 300 * kMs;
     Host h = ready(s);
-    std::vector<Event> events;
+    std::vector<AnyEvent> events;
     for (RequestId id = 1; id <= 3; ++id) events.emplace_back(request(id, 0, 1, h.now));
-    ASSERT_EQ(only<Send>(h.batch(events)).size(), 3u);       // the first bound
+    ASSERT_EQ(only<ForwardRequest>(h.batch(events)).size(), 3u);       // the first bound
     h.batch({request(10, 0, 1, h.now), request(11, 2, 1, h.now)});
     h.now += 20 * kMs;
-    const auto sends = only<Send>(h.batch({ended(1, 0, "a", Outcome::Ok)}));
+    const auto sends = only<ForwardRequest>(h.batch({ended(1, 0, "a", Outcome::Ok)}));
     ASSERT_FALSE(sends.empty());
     EXPECT_EQ(sends[0].id, 11u);
 }
 
 TEST(Order, TheLeastWorthIsShedAndAnsweredAtOnceWithAdvice) {
     Host h = ready();
-    std::vector<Event> events;
+    std::vector<AnyEvent> events;
     for (RequestId id = 1; id <= 200; ++id) events.emplace_back(request(id, 0, id % 2 ? 1 : 0, h.now));
     const auto actions = h.batch(events);
-    const auto refused = only<Refuse>(actions);
+    const auto refused = only<RejectRequest>(actions);
     ASSERT_GT(refused.size(), 0u);
     for (const auto& r : refused) EXPECT_GT(r.retryAfterUs, 0);
-    EXPECT_LE(only<Send>(actions).size(), 16u);
+    EXPECT_LE(only<ForwardRequest>(actions).size(), 16u);
 }
 
 TEST(Events, AboutWhatIsOverAreIgnored) {
     Host h = ready();
     h.batch({request(1, 0, 1, h.now)});
     h.batch({ended(1, 0, "a", Outcome::Ok)});
-    EXPECT_EQ(h.batch({ended(1, 0, "a", Outcome::Ok), ended(9, 0, "a", Outcome::Reset), RequestGone{1}}).size(), 0u);
+    EXPECT_EQ(h.batch({ended(1, 0, "a", Outcome::Ok), ended(9, 0, "a", Outcome::Reset), RequestCancelled{1}}).size(), 0u);
 }
 
 TEST(Events, TheSameEventsGiveTheSameActions) {
@@ -389,7 +389,7 @@
         std::string trace;
         for (RequestId id = 1; id <= 60; ++id) {
             h.now += 3 * kMs;
-            for (const auto& s : only<Send>(h.batch({request(id * 7919, 0, 1, h.now, 2, -1)})))
+            for (const auto& s : only<ForwardRequest>(h.batch({request(id * 7919, 0, 1, h.now, 2, -1)})))
                 trace += std::to_string(s.id) + s.node + ";";
         }
         return trace;
@@ -407,7 +407,7 @@
         host.batch({nodes({node("a", 0)})});
         for (RequestId id = 1; id <= 2; ++id) host.batch({request(id, 2, 1, host.now)});
         for (RequestId id = 1; id <= RequestId(resets); ++id) host.batch({ended(id, 0, "a", Outcome::Reset)});
-        const auto sent = only<Send>(host.batch({request(11, 0, 1, host.now), request(12, 0, 1, host.now)}));
+        const auto sent = only<ForwardRequest>(host.batch({request(11, 0, 1, host.now), request(12, 0, 1, host.now)}));
         EXPECT_EQ(sent.size(), resets == 1 ? 2u : 1u);
     }
 }
@@ -419,19 +419,19 @@
     for (const int cls : {0, 2}) {  // safe; never to be repeated
         Host host(s, kStart);
         host.batch({nodes({node("a", 0)})});
-        ASSERT_EQ(only<Send>(host.batch({request(1, cls, 1, host.now)})).size(), 1u);
+        ASSERT_EQ(only<ForwardRequest>(host.batch({request(1, cls, 1, host.now)})).size(), 1u);
         std::vector<Action> all;
         for (RequestId id = 2; id <= 14; ++id) {    // each is answered after 20 ms
             host.batch({request(id, 0, 1, host.now)});
             for (auto& a : host.runTo(host.now + 20 * kMs)) all.push_back(a);
             for (auto& a : host.batch({ended(id, 0, "a", Outcome::Ok)})) all.push_back(a);
-            if (id <= 6) { EXPECT_TRUE(only<Cancel>(all).empty()); }    // by 100 ms: it may be a slow one
+            if (id <= 6) { EXPECT_TRUE(only<CancelAttempt>(all).empty()); }    // by 100 ms: it may be a slow one
         }
-        const auto cancels = only<Cancel>(all);
+        const auto cancels = only<CancelAttempt>(all);
         ASSERT_EQ(cancels.empty(), cls == 2);
         for (const auto& c : cancels) EXPECT_EQ(c.id, 1u);
         if (cls == 2) continue;
-        const auto again = only<Send>(host.batch({ended(1, 0, "a", Outcome::Cancelled)}));
+        const auto again = only<ForwardRequest>(host.batch({ended(1, 0, "a", Outcome::Cancelled)}));
         ASSERT_EQ(again.size(), 1u);
         EXPECT_EQ(again[0].id, 1u);
     }
@@ -443,14 +443,14 @@
     for (RequestId id = 1; id <= 5; ++id) {
         auto r = request(id, 0, 1, h.now, 6);
         if (id <= 3) r.volume = "another";      // takes the three places of the first bound
-        ASSERT_EQ(only<Send>(h.batch({r})).size(), id <= 3 ? 1u : 0u);
+        ASSERT_EQ(only<ForwardRequest>(h.batch({r})).size(), id <= 3 ? 1u : 0u);
     }
-    const auto first = only<Refuse>(h.batch({Crowded{1}}));
+    const auto first = only<RejectRequest>(h.batch({CapacityNeeded{1}}));
     ASSERT_EQ(first.size(), 1u);
     EXPECT_EQ(first[0].id, 5u);     // 4 lies inside its volume's reserve
     EXPECT_GT(first[0].retryAfterUs, 0);
-    EXPECT_EQ(finals(h.batch({Crowded{9}})), 1u);
-    EXPECT_EQ(finals(h.batch({Crowded{1}})), 0u);
+    EXPECT_EQ(finals(h.batch({CapacityNeeded{9}})), 1u);
+    EXPECT_EQ(finals(h.batch({CapacityNeeded{1}})), 0u);
 }
 
 // While a release leaves a cell without a node, nothing is crowded there: its level fell to nothing all the same,
@@ -458,14 +458,14 @@
 TEST(Shares, ACellThatWasWithoutANodeServesAllItsWorkOnceItHasOne) {
     Host h = ready();
     RequestId id = 0;
-    h.batch({nodes({node("a", 0, NodeState::Gone)}, ListKind::Delta)});
+    h.batch({nodes({node("a", 0, NodeState::Removed)}, EndpointListKind::Delta)});
     for (int i = 0; i < 30; ++i) {
         h.batch({request(++id, 0, 1, h.now, 6)});
         h.runTo(h.now + 100 * kMs);
     }
-    h.batch({nodes({node("c", 0)}, ListKind::Delta)});
+    h.batch({nodes({node("c", 0)}, EndpointListKind::Delta)});
     for (int i = 0; i < 20; ++i) {      // each is answered before the next one comes
-        ASSERT_EQ(only<Send>(h.batch({request(++id, 0, 1, h.now, 6)})).size(), 1u) << i;
+        ASSERT_EQ(only<ForwardRequest>(h.batch({request(++id, 0, 1, h.now, 6)})).size(), 1u) << i;
         h.runTo(h.now + 20 * kMs);
         h.batch({ended(id, 0, "c", Outcome::Ok)});
     }
@@ -476,7 +476,7 @@
     auto s = settings();
     s.mayCancel = true;
     const Micros aim = 80 * kMs;
-    for (auto& c : s.classes) c.aimUs = aim;
+    for (auto& c : s.classes) c.latencyObjectiveUs = aim;
     Host host(s, kStart);
     host.batch({nodes({node("a", 0)})});
     host.batch({request(1, 0, 1, host.now)});
@@ -486,7 +486,7 @@
         for (auto& a : host.runTo(host.now + 5 * kMs)) all.push_back(a);
         host.batch({ended(id, 0, "a", Outcome::Ok, 5 * kMs)});
     }
-    const auto cancels = only<Cancel>(all);
+    const auto cancels = only<CancelAttempt>(all);
     ASSERT_FALSE(cancels.empty());
     EXPECT_EQ(cancels[0].id, 1u);
 }
@@ -495,15 +495,15 @@
 TEST(Health, ANodeThatGotNothingLaterIsProbedOnceAndItsAnswerCountsAsALaterOne) {
     for (const auto outcome : {Outcome::Ok, Outcome::Timeout}) {
         auto s = settings();
-        s.mayCancel = s.mayProbe = true;
+        s.mayCancel = s.mayCheckHealth = true;
         Host host(s, kStart);
         host.batch({nodes({node("a", 0)})});
         host.batch({request(1, 0, 1, host.now)});
         const auto actions = host.runTo(host.now + 1500 * kMs);
-        EXPECT_EQ(only<ProbeNode>(actions).size(), 1u);
-        EXPECT_TRUE(only<Cancel>(actions).empty());     // it may be slow
-        host.batch({ProbeAnswered{"a", outcome, 2 * kMs, {}}});
-        EXPECT_EQ(only<Cancel>(host.runTo(host.now + 50 * kMs)).empty(), outcome != Outcome::Ok);
+        EXPECT_EQ(only<StartHealthCheck>(actions).size(), 1u);
+        EXPECT_TRUE(only<CancelAttempt>(actions).empty());     // it may be slow
+        host.batch({HealthCheckCompleted{"a", outcome, 2 * kMs, {}}});
+        EXPECT_EQ(only<CancelAttempt>(host.runTo(host.now + 50 * kMs)).empty(), outcome != Outcome::Ok);
     }
 }
 
@@ -517,7 +517,7 @@
             host.batch({cell == 0 ? ended(id, 0, "a", Outcome::Error, kMs) : ended(id, 0, "b", Outcome::Ok)});
         }
     for (int i = 0; i < 6; ++i) {
-        const auto sent = only<Send>(host.batch({request(++id, 1, 1, host.now, 2, -1)}));
+        const auto sent = only<ForwardRequest>(host.batch({request(++id, 1, 1, host.now, 2, -1)}));
         ASSERT_EQ(sent.size(), 1u);
         EXPECT_EQ(sent[0].node, "b");
         host.batch({ended(id, 0, "b", Outcome::Ok)});
--- a/tests/rsync/rsync_test.cpp
+++ b/tests/rsync/rsync_test.cpp
@@ -92,7 +92,7 @@
                       rsync::frame(0, kDelta.substr(25) + kPhases + kTotals);
     node->say(rest);
     t.saw(t.client, rest);
-    CHECK(rig.engine.open() == 1);  // the goodbye is still to come
+    CHECK(rig.engine.openRequests() == 1);  // the goodbye is still to come
     t.client->say(kPhases + int32(-1));
     rig.until([&] { return node->has(kPhases + int32(-1)) && t.client->ended; });
     CHECK(rig.rsync.counters().completed == 1);
@@ -138,7 +138,7 @@
     CHECK(rig.node().wires.size() == 1);  // answer bytes were out: no resend
     CHECK(rig.rsync.counters().failed == 1);
     CHECK(rig.rsync.counters().refused == 1);
-    CHECK(rig.engine.open() == 0);
+    CHECK(rig.engine.openRequests() == 0);
 }
 
 TEST_CASE(
@@ -159,7 +159,7 @@
 
 TEST_CASE("a push that may have run is not resent once its window is over") {
     auto config = baseConfig();
-    config.settings.classes[1].windowUs = 1;
+    config.settings.classes[1].keyWindowUs = 1;
     Rig rig(std::move(config));
     Transfer t(rig, "manuales", false);
     t.accept()->reset();
@@ -174,7 +174,7 @@
     rig.until([&] { return rig.node().wires.size() == 1; });
     rig.node().wires[0]->say("@RSYNCD: 30.0\n@ERROR: max connections (4) reached -- try again later\n");
     t.accept(1);
-    CHECK(rig.outcomes(Outcome::Full) == 1);
+    CHECK(rig.outcomes(Outcome::Rejected) == 1);
     CHECK(rig.outcomes(Outcome::Reset) == 0);
 }
 
@@ -188,7 +188,7 @@
     CHECK(rig.outcomes(Outcome::Timeout) == 2);
     CHECK(waiting->has("@ERROR: "));
     CHECK(!streaming->has("@ERROR: "));  // mid-stream the cut itself says it
-    CHECK(rig.engine.open() == 0);
+    CHECK(rig.engine.openRequests() == 0);
 }
 
 TEST_CASE("broken frames and streams end the transfer and are not passed on") {
@@ -222,7 +222,7 @@
     t.client->close();
     rig.until([&] { return node->ended; });
     CHECK(rig.rsync.counters().disconnected == 1);
-    CHECK(rig.engine.open() == 0);
+    CHECK(rig.engine.openRequests() == 0);
     CHECK(rig.node().wires.size() == 1);
 }
 
--- a/tests/support/fleet_support.h
+++ b/tests/support/fleet_support.h
@@ -134,7 +134,7 @@
         put(R"("instances":[])",
             fmt::format(
                 R"("instances":[{{"instanceId":"s-0","hostPort":"127.0.0.1:{}","zone":"z","cell":0,"lifecycle":"up","weight":1.0,"startedAtMs":0}}])",
-                rig.node().at().port));
+                rig.node().address().port));
         put(R"("peers":[])", fmt::format(R"("peer_listen":"{}","peers":[{}])", text(relay->at(i, i)), peers));
         put(R"("peers":false)", R"("peers":true)");
         put(R"("me":0,"replicasOfMe":1)", fmt::format(R"("me":{},"replicasOfMe":{})", i, n));
