--- a/tests/support/net_support.h
+++ b/tests/support/net_support.h
@@ -79,7 +79,7 @@
             accept();
         });
     }
-    config::Endpoint at() const {
+    config::Endpoint address() const {
         const auto bound = acceptor.local_endpoint();
         return {bound.address().to_string(), bound.port()};
     }
@@ -117,8 +117,8 @@
           peers(engine, config),
           front(engine, pool, config.listen, mostClients, ring),
           rsync(engine, rsyncPool, rsyncConfig(), 16) {
-        engine.connect({[this](int to, const std::string& bytes) { peers.tell(to, bytes); },
-                        [this](bool on) { discovery.watch(on); },
+        engine.setEffectHandlers({[this](int to, const std::string& bytes) { peers.send(to, bytes); },
+                        [this](bool on) { discovery.setWatching(on); },
                         [this](const std::string& id, const config::Endpoint& at) {
                             http::probe(engine, pool, id, at);
                         }});
@@ -140,8 +140,8 @@
         wire->start();
         return wire;
     }
-    WirePtr client() { return connect(front.sessionManager().at()); }
-    WirePtr rsyncClient() { return connect(rsync.sessionManager().at()); }
+    WirePtr client() { return connect(front.sessionManager().address()); }
+    WirePtr rsyncClient() { return connect(rsync.sessionManager().address()); }
     StandIn& node(std::size_t i = 0) { return *nodes.at(i); }
     // The connection on which a node got this text, once it has.
     WirePtr nodeHas(std::string_view text, std::size_t i = 0) {
@@ -159,7 +159,7 @@
             [&] { return !discoveryServer.wires.empty() && discoveryServer.wires.back()->has("\r\n\r\n"); });
         const auto& wire = discoveryServer.wires.back();
         wire->drop();
-        const auto& at = nodes.at(std::size_t(id.back() - '0'))->at();
+        const auto& at = nodes.at(std::size_t(id.back() - '0'))->address();
         const auto body = fmt::format(
             R"({{"generation":{},"reset":false,"instances":[{{"instanceId":"{}","hostPort":"{}:{}","zone":"z","cell":{},"lifecycle":"{}","weight":1.0,"startedAtMs":0}}]}})",
             ++generation, id, at.host, at.port, id.back() - '0', state);
@@ -170,11 +170,11 @@
     std::uint64_t outcomes(Outcome o) const { return engine.counters().outcomes[std::size_t(o)]; }
 
     config::Config prepare(config::Config c, std::size_t nodeCount) {
-        c.discovery = discoveryServer.at();
+        c.discovery = discoveryServer.address();
         for (std::size_t i = 0; i < nodeCount; ++i) {
             nodes.push_back(std::make_unique<StandIn>(io));
-            c.known.list.nodes.push_back({fmt::format("s-{}", i), "z", int(i), 1, NodeState::Ready, 0});
-            c.known.addresses.push_back(nodes.back()->at());
+            c.cachedEndpoints.list.nodes.push_back({fmt::format("s-{}", i), "z", int(i), 1, NodeState::Ready, 0});
+            c.cachedEndpoints.addresses.push_back(nodes.back()->address());
         }
         return c;
     }
--- a/tests/support/policy_support.h
+++ b/tests/support/policy_support.h
@@ -15,36 +15,36 @@
 inline Settings settings(int host = 0, int hosts = 1) {
     Settings s;
     s.seed = 77 + static_cast<std::uint64_t>(host);
-    s.host = host;
-    s.hosts = hosts;
+    s.hostIndex = host;
+    s.hostCount = hosts;
     ClassInfo safe{"safe", 500 * kMs, 2 * kSecond, 5 * kSecond, 2, 0.1};
-    ClassInfo keyed{"keyed", 500 * kMs, 4 * kSecond, kSecond, 2, 0.1, Effect::Deduplicated, Scope::Cell};
-    ClassInfo unsafe{"unsafe", 500 * kMs, 2 * kSecond, 5 * kSecond, 2, 0.1, Effect::AtMostOnce};
+    ClassInfo keyed{"keyed", 500 * kMs, 4 * kSecond, kSecond, 2, 0.1, RetrySafety::IdempotentWithKey, KeyScope::Cell};
+    ClassInfo unsafe{"unsafe", 500 * kMs, 2 * kSecond, 5 * kSecond, 2, 0.1, RetrySafety::NotIdempotent};
     ClassInfo ordered{"ordered", 500 * kMs, 2 * kSecond, 5 * kSecond, 2, 0.1};
     ordered.fifoByKey = true;
     s.classes = {safe, keyed, unsafe, ordered};
     s.plans = {{"limited", 4, 1, 1, 1, 20, 48, 8}, {"open", 4, 4, 1, 1, 0, 0, 0}};
     s.maxAttempts = 3;
-    s.mayTellPeers = hosts > 1;
-    s.retryAdvice = true;
+    s.mayGossip = hosts > 1;
+    s.sendsRetryAfter = true;
     s.maxRetryAfterUs = 500 * kMs;
-    s.answerSlackUs = 8 * kMs;
+    s.responseSlackUs = 8 * kMs;
     s.drainGraceUs = 500 * kMs;
-    s.coldStart = 0.25;
-    s.coldMultiple = 2;
-    s.coldUnits = 12;
-    s.coldSpanUs = 2 * kSecond;
-    s.warmAfterUs = 10 * kSecond;
+    s.slowStartCapacity = 0.25;
+    s.slowStartOverloadFactor = 2;
+    s.slowStartUnits = 12;
+    s.slowStartWindowUs = 2 * kSecond;
+    s.slowStartDurationUs = 10 * kSecond;
     s.meanUnits = 2;
     s.maxUnits = 6;
-    s.shareWorth = 0.3;
-    s.spareWorth = 0.1;
-    s.cells = 2;
-    s.keyRestUs = 300 * kMs;
+    s.shareWeight = 0.3;
+    s.spareWeight = 0.1;
+    s.cellCount = 2;
+    s.keyCooldownUs = 300 * kMs;
     return s;
 }
 
-inline NodeList nodes(std::vector<NodeInfo> list, ListKind kind = ListKind::Full) { return {kind, 1, std::move(list)}; }
+inline EndpointList nodes(std::vector<NodeInfo> list, EndpointListKind kind = EndpointListKind::Full) { return {kind, 1, std::move(list)}; }
 inline NodeInfo node(std::string id, int cell, NodeState state = NodeState::Ready, Micros started = 0) {
     return {std::move(id), "hall", cell, 1, state, started};
 }
@@ -63,18 +63,31 @@
     return r;
 }
 
-inline AttemptEnded ended(RequestId id, int attempt, const std::string& node, Outcome outcome, Micros took = 20 * kMs) {
+inline AttemptOutcome ended(RequestId id, int attempt, const std::string& node, Outcome outcome, Micros took = 20 * kMs) {
     return {id, attempt, node, outcome, took, outcome == Outcome::Ok, 0, 0, {}};
 }
 
+// Any event of the policy, written without the wrappers of requests and endpoint lists.
+struct AnyEvent {
+    template <typename T>
+    AnyEvent(T value) : event(wrap(std::move(value))) {}  // implicit, so that a batch is a plain list
+    static Event wrap(Request request) { return RequestReceived{std::move(request)}; }
+    static Event wrap(EndpointList list) { return EndpointListReceived{std::move(list)}; }
+    template <typename T>
+    static Event wrap(T value) {
+        return Event(std::move(value));
+    }
+    Event event;
+};
+
 // One host under test: a policy, its clock and its due timers.
 struct Host {
     Host(const Settings& s, Micros at) : policy(s, at), now(at) {}
-    std::vector<Action> batch(std::vector<Event> events = {}) {
-        for (const auto& e : events) policy.on(now, e);
+    std::vector<Action> batch(std::vector<AnyEvent> events = {}) {
+        for (const auto& e : events) policy.on(now, e.event);
         auto actions = policy.finish(now);
         for (const auto& a : actions)
-            if (const auto* t = std::get_if<SetTimer>(&a)) timers.emplace(now + t->inUs, t->token);
+            if (const auto* t = std::get_if<SetTimer>(&a)) timers.emplace(now + t->delayUs, t->token);
         return actions;
     }
     // Runs to `until`, firing timers, and gathers all actions on the way.
--- a/tests/support/process_support.h
+++ b/tests/support/process_support.h
@@ -90,7 +90,7 @@
         put(R"("instances":[])",
             fmt::format(
                 R"("instances":[{{"instanceId":"s-0","hostPort":"{}:{}","zone":"z","cell":0,"lifecycle":"up","weight":1.0,"startedAtMs":0}}])",
-                rig.node().at().host, rig.node().at().port));
+                rig.node().address().host, rig.node().address().port));
         put(R"("sockets":1024)", fmt::format(R"("sockets":{})", sockets));
         put(R"("127.0.0.1:0")", fmt::format(R"("127.0.0.1:{}")", listening.local_endpoint().port()));
         for (const auto& [from, to] : changes) put(from, to);
