--- a/adapter/instances.cpp
+++ b/adapter/instances.cpp
@@ -32,11 +32,12 @@
 
 void Instances::deliver(const Line& line, Micros now) {
     const auto name = line.name();
-    static constexpr std::array<std::string_view, 10> kKnown{
-        "UP", "POWER_OFF", "REGISTRY", "INCOMING", "ENDED", "HEADERS", "ABORTED", "ELAPSED", "HEARD",
-        "STATUS_BACK"};
+    static constexpr std::array<std::string_view, 10> kKnown{"UP",    "POWER_OFF",  "REGISTRY", "INCOMING",
+                                                             "ENDED", "HEADERS",    "ABORTED",  "ELAPSED",
+                                                             "HEARD", "STATUS_BACK"};
     bool known = false;
-    for (const auto k : kKnown) known = known || k == name;
+    for (const auto k : kKnown)
+        known = known || k == name;
     if (!known) return;  // a later message: ignored
     Instance& instance = instanceOf(line);
     if (name == "UP") {
@@ -54,23 +55,34 @@
     }
     if (!instance.settings) line.bad("who", "instance has not started");
     std::optional<Event> event;
-    if (name == "INCOMING") event = RequestReceived{parseRequest(line, *instance.settings)};
-    else if (name == "ENDED") event = parseEnded(line);
-    else if (name == "HEARD") event = parseMessage(line);
-    else if (name == "STATUS_BACK") event = parseProbe(line);
-    else if (name == "ABORTED") event = RequestCancelled{line.natural("corr")};
-    else if (name == "ELAPSED") event = TimerFired{line.natural("label")};
+    if (name == "INCOMING")
+        event = RequestReceived{parseRequest(line, *instance.settings)};
+    else if (name == "ENDED")
+        event = parseEnded(line);
+    else if (name == "HEARD")
+        event = parseMessage(line);
+    else if (name == "STATUS_BACK")
+        event = parseProbe(line);
+    else if (name == "ABORTED")
+        event = RequestCancelled{line.natural("corr")};
+    else if (name == "ELAPSED")
+        event = TimerFired{line.natural("label")};
     else if (name == "HEADERS")
         event = ResponseStarted{line.natural("corr"), static_cast<int>(line.integer("shot", 0)),
-                              std::string(line.text("shelf", "")), line.integer("waitTimeUs", 0)};
+                                std::string(line.text("shelf", "")), line.integer("waitTimeUs", 0)};
     else {
         EndpointList list;
         const auto how = line.text("how");
-        if (how == "incr") list.kind = EndpointListKind::Delta;
-        else if (how == "total") list.kind = EndpointListKind::Full;
-        else if (how == "warm_copy") list.kind = EndpointListKind::Cached;
-        else if (how == "lost") list.kind = EndpointListKind::Unavailable;
-        else line.bad("how", "unknown kind of news");
+        if (how == "incr")
+            list.kind = EndpointListKind::Delta;
+        else if (how == "total")
+            list.kind = EndpointListKind::Full;
+        else if (how == "warm_copy")
+            list.kind = EndpointListKind::Cached;
+        else if (how == "lost")
+            list.kind = EndpointListKind::Unavailable;
+        else
+            line.bad("how", "unknown kind of news");
         list.version = line.integer("serial", 0);
         if (list.kind != EndpointListKind::Unavailable) {
             const auto id = line.integer("setId");
@@ -119,7 +131,8 @@
             out.append("EXCEPTION who=").append(*who).append(" text=").append(instance->fault).append("\n");
             continue;
         }
-        for (const auto& action : actions) format(action, *who, out);
+        for (const auto& action : actions)
+            format(action, *who, out);
     }
     out.append("OK batch=").append(std::to_string(number)).append("\n");
     return true;
--- a/adapter/instances.h
+++ b/adapter/instances.h
@@ -21,10 +21,10 @@
 
 private:
     struct Instance {
-        std::optional<Settings> settings;   // empty: not started, or killed
+        std::optional<Settings> settings;  // empty: not started, or killed
         std::optional<Policy> policy;
-        std::string fault;                  // text of an exception out of the module
-        std::size_t batch = 0;              // the last one that brought it an event
+        std::string fault;      // text of an exception out of the module
+        std::size_t batch = 0;  // the last one that brought it an event
     };
     bool nextLine(std::istream& in);
     void guarded(Instance& instance, const std::function<void()>& call);
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -14,10 +14,15 @@
 }
 
 Outcome parseOutcome(const Line& line) {
-    static constexpr std::array<std::pair<std::string_view, Outcome>, 8> kNames{{
-        {"pass", Outcome::Ok}, {"fault", Outcome::Error}, {"no_room", Outcome::Rejected},
-        {"too_slow", Outcome::Timeout}, {"no_route", Outcome::ConnectFailed}, {"cut", Outcome::Reset},
-        {"undone", Outcome::Cancelled}, {"stale_send", Outcome::NotStarted}}};
+    static constexpr std::array<std::pair<std::string_view, Outcome>, 8> kNames{
+        {{"pass", Outcome::Ok},
+         {"fault", Outcome::Error},
+         {"no_room", Outcome::Rejected},
+         {"too_slow", Outcome::Timeout},
+         {"no_route", Outcome::ConnectFailed},
+         {"cut", Outcome::Reset},
+         {"undone", Outcome::Cancelled},
+         {"stale_send", Outcome::NotStarted}}};
     const auto code = line.text("code");
     for (const auto& [name, outcome] : kNames)
         if (name == code) return outcome;
@@ -41,7 +46,8 @@
 class Paths {
 public:
     explicit Paths(const Line& line) : line_(line) {
-        for (const auto& [key, value] : line.pairs()) values_[std::string(key)] = value;
+        for (const auto& [key, value] : line.pairs())
+            values_[std::string(key)] = value;
     }
     template <typename T>
     void number(const std::string& path, T& into) const {
@@ -57,9 +63,12 @@
     void flag(const std::string& path, bool& into) const {
         const auto it = values_.find(path);
         if (it == values_.end()) return;
-        if (it->second == "true" || it->second == "1") into = true;
-        else if (it->second == "false" || it->second == "0") into = false;
-        else line_.bad(path, "not true or false");
+        if (it->second == "true" || it->second == "1")
+            into = true;
+        else if (it->second == "false" || it->second == "0")
+            into = false;
+        else
+            line_.bad(path, "not true or false");
     }
     std::vector<std::string> list(const std::string& path) const {
         std::vector<std::string> items;
@@ -97,14 +106,22 @@
     paths.text(at + "keyScope", scope);
     paths.flag(at + "stream", c.stream);
     paths.flag(at + "fifoByKey", c.fifoByKey);
-    if (effect == "idempotent") c.retrySafety = RetrySafety::Idempotent;
-    else if (effect == "deduplicated") c.retrySafety = RetrySafety::IdempotentWithKey;
-    else if (effect == "at_most_once") c.retrySafety = RetrySafety::NotIdempotent;
-    else line.bad(at + "effect", "unknown effect");
-    if (scope == "all") c.keyScope = KeyScope::Global;
-    else if (scope == "zone") c.keyScope = KeyScope::Zone;
-    else if (scope == "cell") c.keyScope = KeyScope::Cell;
-    else line.bad(at + "keyScope", "unknown scope");
+    if (effect == "idempotent")
+        c.retrySafety = RetrySafety::Idempotent;
+    else if (effect == "deduplicated")
+        c.retrySafety = RetrySafety::IdempotentWithKey;
+    else if (effect == "at_most_once")
+        c.retrySafety = RetrySafety::NotIdempotent;
+    else
+        line.bad(at + "effect", "unknown effect");
+    if (scope == "all")
+        c.keyScope = KeyScope::Global;
+    else if (scope == "zone")
+        c.keyScope = KeyScope::Zone;
+    else if (scope == "cell")
+        c.keyScope = KeyScope::Cell;
+    else
+        line.bad(at + "keyScope", "unknown scope");
     return c;
 }
 
@@ -221,7 +238,8 @@
             pads += pad ? 1 : 0;
             group = group << 6 | (pad ? 0u : static_cast<std::uint32_t>(digit));
         }
-        for (std::size_t i = 0; i + pads < 3; ++i) bytes += static_cast<char>(group >> (16 - 8 * i) & 255);
+        for (std::size_t i = 0; i + pads < 3; ++i)
+            bytes += static_cast<char>(group >> (16 - 8 * i) & 255);
     }
     return true;
 }
@@ -284,10 +302,14 @@
     node.rating = line.number("rating", 1);
     node.startedUs = line.integer("launchedUs", 0);
     const auto state = line.text("readiness");
-    if (state == "Ready") node.state = NodeState::Ready;
-    else if (state == "Terminating") node.state = NodeState::Draining;
-    else if (state == "Gone") node.state = NodeState::Removed;
-    else line.bad("readiness", "unknown state");
+    if (state == "Ready")
+        node.state = NodeState::Ready;
+    else if (state == "Terminating")
+        node.state = NodeState::Draining;
+    else if (state == "Gone")
+        node.state = NodeState::Removed;
+    else
+        line.bad("readiness", "unknown state");
     return node;
 }
 
@@ -344,28 +366,41 @@
         out.append(" ").append(key).append("=").append(value);
     };
     if (const auto* send = std::get_if<ForwardRequest>(&action)) {
-        begin("DISPATCH"); add("corr", send->id); addText("shelf", send->node);
+        begin("DISPATCH");
+        add("corr", send->id);
+        addText("shelf", send->node);
         if (send->timeoutUs != 0) add("tryForUs", send->timeoutUs);
     } else if (const auto* refuse = std::get_if<RejectRequest>(&action)) {
-        begin("TURN_AWAY"); add("corr", refuse->id);
+        begin("TURN_AWAY");
+        add("corr", refuse->id);
         if (refuse->retryAfterUs > 0) add("coolDownUs", refuse->retryAfterUs);
     } else if (const auto* fail = std::get_if<FailRequest>(&action)) {
-        begin("ERROR"); add("corr", fail->id);
+        begin("ERROR");
+        add("corr", fail->id);
     } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
-        begin("ABORT_ATTEMPT"); add("corr", cancel->id); add("shot", cancel->attempt);
+        begin("ABORT_ATTEMPT");
+        add("corr", cancel->id);
+        add("shot", cancel->attempt);
     } else if (const auto* probe = std::get_if<StartHealthCheck>(&action)) {
-        begin("PROBE"); addText("shelf", probe->node);
+        begin("PROBE");
+        addText("shelf", probe->node);
     } else if (const auto* tell = std::get_if<SendPeerMessage>(&action)) {
         begin("NOTIFY");
-        if (tell->to < 0) addText("to", "*");
-        else add("to", tell->to);
+        if (tell->to < 0)
+            addText("to", "*");
+        else
+            add("to", tell->to);
         addText("raw", encodeBase64(tell->bytes));
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-        begin("TIMER"); add("offsetUs", timer->delayUs); add("label", timer->token);
+        begin("TIMER");
+        add("offsetUs", timer->delayUs);
+        add("label", timer->token);
     } else if (const auto* watch = std::get_if<WatchEndpointList>(&action)) {
-        begin("TAIL"); add("on", watch->enabled ? 1 : 0);
+        begin("TAIL");
+        add("on", watch->enabled ? 1 : 0);
     } else if (const auto* note = std::get_if<LogLine>(&action)) {
-        begin("PRINT"); addText("text", note->text);
+        begin("PRINT");
+        addText("text", note->text);
     }
     out += '\n';
 }
--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -23,13 +23,13 @@
     Line(std::string_view text, std::size_t number);
     std::string_view name() const { return name_; }
     bool has(std::string_view key) const;
-    std::string_view text(std::string_view key) const;                          // required
+    std::string_view text(std::string_view key) const;  // required
     std::string_view text(std::string_view key, std::string_view absent) const;
-    std::int64_t integer(std::string_view key) const;                           // required
+    std::int64_t integer(std::string_view key) const;  // required
     std::int64_t integer(std::string_view key, std::int64_t absent) const;
-    std::uint64_t natural(std::string_view key) const;                          // required
+    std::uint64_t natural(std::string_view key) const;  // required
     double number(std::string_view key, double absent) const;
-    bool flag(std::string_view key) const;                                      // absent: false
+    bool flag(std::string_view key) const;  // absent: false
     const std::vector<std::pair<std::string_view, std::string_view>>& pairs() const { return pairs_; }
     [[noreturn]] void bad(std::string_view field, const std::string& why) const;
 
@@ -40,7 +40,7 @@
     std::size_t number_;
 };
 
-std::string encodeBase64(std::string_view bytes);                               // "-" if empty
+std::string encodeBase64(std::string_view bytes);  // "-" if empty
 bool decodeBase64(std::string_view text, std::string& bytes);
 
 Settings parseSettings(const Line& up);
@@ -50,6 +50,6 @@
 HealthCheckCompleted parseProbe(const Line& line);
 PeerMessageReceived parseMessage(const Line& line);
 
-void format(const Action& action, std::string_view who, std::string& out);      // appends one line
+void format(const Action& action, std::string_view who, std::string& out);  // appends one line
 
 }  // namespace wingproxy::wire
--- a/include/wingproxy/policy.h
+++ b/include/wingproxy/policy.h
@@ -1,10 +1,10 @@
 /// \file
 /// The interface of the decision module (src/policy): typed events in, typed actions out.
 ///
-/// A `Policy` is the scheduler of one host, that is of one front of the tier. Its caller feeds it the events of a
-/// batch with `on()` and then takes the actions of that batch with `finish()`. Time is whatever the caller says it
-/// is: microseconds since the Unix epoch that never fall. The module has no clock, no threads and no randomness
-/// beyond `Settings::seed`, so that the same events always give the same actions.
+/// A `Policy` is the scheduler of one host, that is of one front of the tier. Its caller feeds it the events
+/// of a batch with `on()` and then takes the actions of that batch with `finish()`. Time is whatever the
+/// caller says it is: microseconds since the Unix epoch that never fall. The module has no clock, no threads
+/// and no randomness beyond `Settings::seed`, so that the same events always give the same actions.
 ///
 /// Not thread-safe: one thread, or one event loop, owns a `Policy`.
 #pragma once
@@ -196,10 +196,10 @@
     int attempt = 0;  ///< counts the attempts of its request, from 0
     std::string node;
     Outcome outcome = Outcome::Ok;
-    Micros elapsedUs = 0;  ///< since the attempt started
+    Micros elapsedUs = 0;        ///< since the attempt started
     bool requestClosed = false;  ///< the request has its final answer
-    double loadPercent = 0;    ///< how busy the node says it is
-    double loadElsewhere = 0;  ///< units a second that other hosts send it, by its own word
+    double loadPercent = 0;      ///< how busy the node says it is
+    double loadElsewhere = 0;    ///< units a second that other hosts send it, by its own word
     std::vector<double> loadReport;
     bool requestSpent = false;  ///< no further attempt is possible: the body is gone, or the request is over
 };
@@ -237,9 +237,9 @@
     Micros elapsedUs = 0;
     std::vector<double> loadReport;
 };
-using Event = std::variant<EndpointListReceived, RequestReceived, RequestBodyCompleted, AttemptOutcome, ResponseStarted,
-                           RequestCancelled, ShutdownStarted, CapacityNeeded, TimerFired, PeerMessageReceived,
-                           HealthCheckCompleted>;
+using Event = std::variant<EndpointListReceived, RequestReceived, RequestBodyCompleted, AttemptOutcome,
+                           ResponseStarted, RequestCancelled, ShutdownStarted, CapacityNeeded, TimerFired,
+                           PeerMessageReceived, HealthCheckCompleted>;
 
 // ------------------------------------------------------------------------------------------------ actions
 
@@ -281,8 +281,8 @@
 struct LogLine {
     std::string text;
 };
-using Action = std::variant<ForwardRequest, RejectRequest, FailRequest, CancelAttempt, StartHealthCheck, SendPeerMessage,
-                            SetTimer, WatchEndpointList, LogLine>;
+using Action = std::variant<ForwardRequest, RejectRequest, FailRequest, CancelAttempt, StartHealthCheck,
+                            SendPeerMessage, SetTimer, WatchEndpointList, LogLine>;
 
 // ------------------------------------------------------------------------------------------------ policy
 
@@ -307,8 +307,8 @@
     /// What this host may spend and lend of its limits after its start.
     const fleet::RestartRecovery& recovery() const;
 
-    /// Serializes what this host knows for a successor process, which has all rights from then on. Requests that are
-    /// open here are finished with the tokens that were kept for them.
+    /// Serializes what this host knows for a successor process, which has all rights from then on. Requests
+    /// that are open here are finished with the tokens that were kept for them.
     std::string takeSnapshot(Micros now);
     /// Takes over a snapshot; to be called before the first event.
     /// \return false: the snapshot belongs to other settings or is damaged; nothing has changed
--- a/src/admin/admin_client.cpp
+++ b/src/admin/admin_client.cpp
@@ -70,7 +70,8 @@
     return {};
 }
 
-AdminResult sendAdminRequest(const config::Endpoint& front, const AdminRequest& call, std::chrono::milliseconds wait) {
+AdminResult sendAdminRequest(const config::Endpoint& front, const AdminRequest& call,
+                             std::chrono::milliseconds wait) {
     asio::io_context io;
     Caller caller(io, call, front);
     caller.start({asio::ip::make_address_v4(front.host), front.port});
@@ -87,4 +88,4 @@
     return {AdminResponse{int(answer.result_int()), std::move(answer.body()), ""}, ""};
 }
 
-}  // namespace wingproxy::operation
+}  // namespace wingproxy::admin
--- a/src/admin/admin_client.h
+++ b/src/admin/admin_client.h
@@ -5,8 +5,8 @@
 #include <optional>
 #include <string>
 
-#include "config/config.h"
 #include "admin/admin_request.h"
+#include "config/config.h"
 
 namespace wingproxy::admin {
 
@@ -15,9 +15,10 @@
 
 struct AdminResult {
     std::optional<AdminResponse> reply;  // none: the front could not be reached, or did not answer in time
-    std::string why;             // in that case
+    std::string why;                     // in that case
 };
-AdminResult sendAdminRequest(const config::Endpoint& front, const AdminRequest& call, std::chrono::milliseconds wait = kAskFor);
+AdminResult sendAdminRequest(const config::Endpoint& front, const AdminRequest& call,
+                             std::chrono::milliseconds wait = kAskFor);
 
 // The request line and body of a call: the other direction of readCall.
 struct HttpRequestParts {
@@ -25,4 +26,4 @@
 };
 HttpRequestParts encodeAdminRequest(const AdminRequest& call);
 
-}  // namespace wingproxy::operation
+}  // namespace wingproxy::admin
--- a/src/admin/admin_request.cpp
+++ b/src/admin/admin_request.cpp
@@ -26,15 +26,17 @@
 
 }  // namespace
 
-std::variant<AdminRequest, AdminResponse> parseAdminRequest(std::string_view method, std::string_view target, std::string_view body) {
+std::variant<AdminRequest, AdminResponse> parseAdminRequest(std::string_view method, std::string_view target,
+                                                            std::string_view body) {
     const auto path = target.substr(0, target.find('?'));
     const auto known =
         std::find_if(std::begin(kPaths), std::end(kPaths), [&](const Path& p) { return p.path == path; });
     if (known == std::end(kPaths)) return AdminResponse{404, fmt::format("{}: no such call\n", path), ""};
     if (known->method != method)
         return AdminResponse{405, fmt::format("{}: {} only\n", path, known->method),
-                     fmt::format("Allow: {}\r\n", known->method)};
-    const bool ofNode = known->kind == AdminRequest::Kind::Detach || known->kind == AdminRequest::Kind::Attach;
+                             fmt::format("Allow: {}\r\n", known->method)};
+    const bool ofNode =
+        known->kind == AdminRequest::Kind::Detach || known->kind == AdminRequest::Kind::Attach;
     const auto node = trim(body);
     if (ofNode && node.empty()) return AdminResponse{400, "the body names no chunk server\n", ""};
     if (body.size() > kMostBody) return AdminResponse{413, "the body is too long\n", ""};
@@ -62,7 +64,8 @@
 AdminResponse handleAdminRequest(const AdminRequest& call, const AdminHandler& handler) {
     switch (call.kind) {
         case AdminRequest::Kind::Ready:
-            return handler.ready() ? AdminResponse{200, "ready\n", ""} : AdminResponse{503, "not ready\n", ""};
+            return handler.ready() ? AdminResponse{200, "ready\n", ""}
+                                   : AdminResponse{503, "not ready\n", ""};
         case AdminRequest::Kind::Vars:
             return {200, renderVars(handler.metrics()), "Content-Type: application/json\r\n"};
         case AdminRequest::Kind::Detach:
@@ -75,4 +78,4 @@
     return {200, fmt::format("{}: {}\n", call.node, out ? "out until it is attached" : "back"), ""};
 }
 
-}  // namespace wingproxy::operation
+}  // namespace wingproxy::admin
--- a/src/admin/admin_request.h
+++ b/src/admin/admin_request.h
@@ -25,7 +25,8 @@
 };
 
 // A call, or why it is none: 400 without a node, 404 for a path that does not exist, 405 for another method.
-std::variant<AdminRequest, AdminResponse> parseAdminRequest(std::string_view method, std::string_view target, std::string_view body);
+std::variant<AdminRequest, AdminResponse> parseAdminRequest(std::string_view method, std::string_view target,
+                                                            std::string_view body);
 
 // What the metrics are made of, all of it the reducer's own.
 struct AdminMetrics {
@@ -43,4 +44,4 @@
 };
 AdminResponse handleAdminRequest(const AdminRequest& call, const AdminHandler& handler);
 
-}  // namespace wingproxy::operation
+}  // namespace wingproxy::admin
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -48,7 +48,10 @@
         if (error) {
             const bool head = error == http::error::header_limit, body = error == http::error::body_limit;
             ++server_.counters_.malformed;
-            return encodeAdminRequest({head ? 431 : body ? 413 : 400, fmt::format("{}\n", error.message()), ""});
+            return encodeAdminRequest({head   ? 431
+                                       : body ? 413
+                                              : 400,
+                                       fmt::format("{}\n", error.message()), ""});
         }
         if (!parser_.is_done()) return;
         const auto& m = parser_.get();
@@ -85,4 +88,4 @@
           },
           net::kLeastRing) {}
 
-}  // namespace wingproxy::operation
+}  // namespace wingproxy::admin
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -4,8 +4,8 @@
 #include <cstdint>
 #include <memory>
 
-#include "net/session.h"
 #include "admin/admin_request.h"
+#include "net/session.h"
 
 namespace wingproxy::admin {
 
@@ -29,4 +29,4 @@
     net::SessionManager sessionManager_;
 };
 
-}  // namespace wingproxy::operation
+}  // namespace wingproxy::admin
--- a/src/cli/command.cpp
+++ b/src/cli/command.cpp
@@ -16,7 +16,8 @@
     Files files;
     app.add_option("--config", files.config, "the configuration, JSON")->envname("PROXY_CONFIG");
     app.add_option("--operator", files.operators, "the operator's file, JSON")->envname("WINGPROXY_OPERATOR");
-    app.add_option("--mgmt", files.adminListen, "where operators call, ADDRESS:PORT, if the configuration has none")
+    app.add_option("--mgmt", files.adminListen,
+                   "where operators call, ADDRESS:PORT, if the configuration has none")
         ->envname("PROXY_MGMT");
     app.add_option("--log", files.logLevel, "debug, info, warn or error")
         ->envname("WINGPROXY_LOG")
@@ -40,7 +41,9 @@
                            call("attach", "put a chunk server back", Kind::Attach)};
     try {
         app.parse(argc, argv);
-    } catch (const CLI::ParseError& said) { return ExitCommand{app.exit(said) == 0 ? kExitOk : kExitUsage}; }
+    } catch (const CLI::ParseError& said) {
+        return ExitCommand{app.exit(said) == 0 ? kExitOk : kExitUsage};
+    }
     if (const char* inherited = std::getenv("PROXY_FD")) files.descriptor = inherited;
     if (check->parsed()) return CheckCommand{files};
     for (const auto& named : calls)
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -20,11 +20,11 @@
     at.flag("stream", c.stream);
     at.flag("fifoByKey", c.fifoByKey);
     c.retrySafety = choice(at, "effect", RetrySafety::Idempotent,
-                      {{"idempotent", RetrySafety::Idempotent},
-                       {"deduplicated", RetrySafety::IdempotentWithKey},
-                       {"at_most_once", RetrySafety::NotIdempotent}});
+                           {{"idempotent", RetrySafety::Idempotent},
+                            {"deduplicated", RetrySafety::IdempotentWithKey},
+                            {"at_most_once", RetrySafety::NotIdempotent}});
     c.keyScope = choice(at, "keyScope", KeyScope::Global,
-                     {{"all", KeyScope::Global}, {"zone", KeyScope::Zone}, {"cell", KeyScope::Cell}});
+                        {{"all", KeyScope::Global}, {"zone", KeyScope::Zone}, {"cell", KeyScope::Cell}});
     return c;
 }
 
@@ -46,8 +46,10 @@
     at.number("me", s.hostIndex);
     at.number("replicasOfMe", s.hostCount);
     at.text("zone", s.zone);
-    for (const auto& c : at.objects("classes")) s.classes.push_back(classFrom(c));
-    for (const auto& p : at.objects("serviceLevels")) s.plans.push_back(planFrom(p));
+    for (const auto& c : at.objects("classes"))
+        s.classes.push_back(classFrom(c));
+    for (const auto& p : at.objects("serviceLevels"))
+        s.plans.push_back(planFrom(p));
     if (s.classes.empty()) at.bad("classes", "empty");
     if (s.plans.empty()) at.bad("serviceLevels", "empty");
     if (at.has("report")) {
@@ -174,7 +176,8 @@
     if (error != std::errc() || end != seed.data() + seed.size())
         root.bad("seed", "not a hexadecimal number");
     if (root.has("peers"))
-        for (const auto& peer : root.texts("peers")) c.peers.push_back(parseEndpoint(peer, "peers"));
+        for (const auto& peer : root.texts("peers"))
+            c.peers.push_back(parseEndpoint(peer, "peers"));
     if (root.has("peer_listen")) c.peerListen = endpoint("peer_listen");
     if (root.has("peers_all")) c.peersAll = endpoint("peers_all");
     if (root.has("mgmt")) c.adminListen = endpoint("mgmt");
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -35,11 +35,11 @@
     std::string name;
     Endpoint listen, discovery;
     Settings settings;
-    EndpointListing cachedEndpoints;                 // kind Cached
-    std::vector<Endpoint> peers;    // by host number, this one included
-    Endpoint peerListen, peersAll;  // port 0: none
-    Endpoint adminListen;                  // where operators call; port 0: nowhere
-    int inheritedListenerFd = -1;             // the descriptor that listens for clients already; -1: none
+    EndpointListing cachedEndpoints;  // kind Cached
+    std::vector<Endpoint> peers;      // by host number, this one included
+    Endpoint peerListen, peersAll;    // port 0: none
+    Endpoint adminListen;             // where operators call; port 0: nowhere
+    int inheritedListenerFd = -1;     // the descriptor that listens for clients already; -1: none
     int maxDescriptors = 1024, memoryMb = 192;
     Micros connectTimeoutUs = 250'000, connIdleUs = 30'000'000;
 };
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -33,7 +33,8 @@
     m.plan = indexOf(settings.plans, plan);
     if (m.plan < 0) at.bad("plan", fmt::format("unknown plan '{}'", plan));
     m.cell = int(at.real("cell"));
-    if (m.cell < 0 || (settings.cellCount > 0 && m.cell >= settings.cellCount)) at.bad("cell", "no such cell");
+    if (m.cell < 0 || (settings.cellCount > 0 && m.cell >= settings.cellCount))
+        at.bad("cell", "no such cell");
     at.number("hosts", m.hosts);
     if (m.hosts < 1) at.bad("hosts", "below 1");
     at.number("units", m.units);
@@ -66,7 +67,8 @@
         if (port < 0 || port > 65535) at.bad("node_port", "not a port");
         r.nodePort = static_cast<std::uint16_t>(port);
         at.text("motd", r.motd);
-        for (const auto& module : at.objects("modules")) r.modules.push_back(moduleFrom(module, settings));
+        for (const auto& module : at.objects("modules"))
+            r.modules.push_back(moduleFrom(module, settings));
         for (std::size_t i = 0; i < r.modules.size(); ++i)
             for (std::size_t j = 0; j < i; ++j)
                 if (r.modules[i].name == r.modules[j].name)
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -1,6 +1,6 @@
 /// \file
-/// The effects of the reducer: what is to be done outside. Those that the policy orders and the reducer passes on are
-/// the policy's own action types.
+/// The effects of the reducer: what is to be done outside. Those that the policy orders and the reducer
+/// passes on are the policy's own action types.
 #pragma once
 
 #include <cstdint>
@@ -18,9 +18,10 @@
     RequestId id = 0;
     int attempt = 0;
     std::string node;
-    Micros firstByteBy = 0;      ///< after this time no byte may be written
-    Micros timeoutAt = 0;        ///< kept by the reducer
-    Micros lastByteBy = kNever;  ///< after this time the last byte may not be written; kept by the reducer too
+    Micros firstByteBy = 0;  ///< after this time no byte may be written
+    Micros timeoutAt = 0;    ///< kept by the reducer
+    Micros lastByteBy =
+        kNever;  ///< after this time the last byte may not be written; kept by the reducer too
 };
 
 /// Closes the attempt's connection; the attempt reports nothing more.
@@ -46,8 +47,8 @@
     RequestId id = 0;
 };
 
-using Effect = std::variant<StartAttempt, StopAttempt, DeliverResponse, SendRejection, SendFailure, SendPeerMessage,
-                            WatchEndpointList, StartHealthCheck, LogLine>;
+using Effect = std::variant<StartAttempt, StopAttempt, DeliverResponse, SendRejection, SendFailure,
+                            SendPeerMessage, WatchEndpointList, StartHealthCheck, LogLine>;
 using Effects = std::vector<Effect>;
 
 }  // namespace wingproxy::core
--- a/src/core/events.h
+++ b/src/core/events.h
@@ -1,5 +1,6 @@
 /// \file
-/// The inputs of the reducer: what happened outside. Those that concern the policy alone are its own event types.
+/// The inputs of the reducer: what happened outside. Those that concern the policy alone are its own event
+/// types.
 #pragma once
 
 #include <functional>
@@ -66,8 +67,8 @@
 struct BatchEnded {};
 
 using Input = std::variant<RequestReceived, RequestBodyCompleted, AttemptFinished, AttemptRequestSent,
-                           ResponseHeadReceived, ResponseForwardingStarted, ClientDisconnected, ShutdownStarted,
-                           CapacityNeeded, EndpointListReceived, AdminOverrideChanged, PeerMessageReceived,
-                           HealthCheckCompleted, TimerExpired, BatchEnded>;
+                           ResponseHeadReceived, ResponseForwardingStarted, ClientDisconnected,
+                           ShutdownStarted, CapacityNeeded, EndpointListReceived, AdminOverrideChanged,
+                           PeerMessageReceived, HealthCheckCompleted, TimerExpired, BatchEnded>;
 
 }  // namespace wingproxy::core
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -90,7 +90,7 @@
     const auto attempt = it->second.out.find(in.attempt);
     if (attempt == it->second.out.end()) return;
     tell(ResponseStarted{in.id, in.attempt, attempt->second.node, now_ - attempt->second.startedAt, true,
-                       false});
+                         false});
 }
 
 void State::take(const ResponseForwardingStarted& in) {
@@ -104,8 +104,8 @@
         quiet({it->second.deadlineUs, Due::Overdue, in.id, 0});
         quiet({attempt->second.timeoutAt, Due::AttemptTimeout, in.id, in.attempt});
     }
-    tell(ResponseStarted{in.id, in.attempt, attempt->second.node, now_ - attempt->second.startedAt, in.unbounded,
-                       true});
+    tell(ResponseStarted{in.id, in.attempt, attempt->second.node, now_ - attempt->second.startedAt,
+                         in.unbounded, true});
 }
 
 void State::take(const ClientDisconnected& in) {
@@ -123,7 +123,8 @@
         counters_.withdrawn += !attempt.written;
     }
     if (ends.empty()) return forget(it);
-    for (const int attempt : ends) stop(it, attempt, Outcome::Cancelled);  // the last forgets the request
+    for (const int attempt : ends)
+        stop(it, attempt, Outcome::Cancelled);  // the last forgets the request
 }
 
 void State::take(const ShutdownStarted& in) { tell(ShutdownStarted{in.servesUntilUs}); }
@@ -132,29 +133,37 @@
 NodeInfo State::asTold(NodeInfo listed) const {
     const auto entry = overrides_.find(listed.id);
     if (entry == overrides_.end()) return listed;
-    if (!entry->second.drained) listed.startedUs = std::max(listed.startedUs, entry->second.at);
-    else if (listed.state == NodeState::Ready) listed.state = NodeState::Draining;
+    if (!entry->second.drained)
+        listed.startedUs = std::max(listed.startedUs, entry->second.at);
+    else if (listed.state == NodeState::Ready)
+        listed.state = NodeState::Draining;
     return listed;
 }
 
 void State::noteDrain(const NodeInfo& told) {
-    if (told.state == NodeState::Draining) drains_.try_emplace(told.id, now_);
-    else drains_.erase(told.id);
+    if (told.state == NodeState::Draining)
+        drains_.try_emplace(told.id, now_);
+    else
+        drains_.erase(told.id);
 }
 
 void State::take(EndpointListReceived in) {
     if (in.list.kind == EndpointListKind::Full || in.list.kind == EndpointListKind::Cached) listed_.clear();
     for (auto& node : in.list.nodes) {
-        if (node.state == NodeState::Removed) listed_.erase(node.id);
-        else listed_[node.id] = node;
+        if (node.state == NodeState::Removed)
+            listed_.erase(node.id);
+        else
+            listed_[node.id] = node;
         if (node.state != NodeState::Removed && seen_.insert(node.id).second) seenOrder_.push_back(node.id);
         node = asTold(std::move(node));
         noteDrain(node);
     }
-    for (; seenOrder_.size() > kMostSeen; seenOrder_.pop_front()) seen_.erase(seenOrder_.front());
+    for (; seenOrder_.size() > kMostSeen; seenOrder_.pop_front())
+        seen_.erase(seenOrder_.front());
     std::erase_if(drains_, [&](const auto& node) { return !listed_.contains(node.first); });
     std::erase_if(overrides_, [&](const auto& entry) {
-        return !entry.second.drained && now_ - entry.second.at > settings_.slowStartDurationUs + kOverrideKept;
+        return !entry.second.drained &&
+               now_ - entry.second.at > settings_.slowStartDurationUs + kOverrideKept;
     });
     tell(in);
 }
@@ -213,19 +222,20 @@
     while (touched_) {
         touched_ = false;
         ++counters_.batches;
-        for (const auto& action : policy_.finish(now_)) std::visit([this](const auto& a) { act(a); }, action);
+        for (const auto& action : policy_.finish(now_))
+            std::visit([this](const auto& a) { act(a); }, action);
         for (auto& ended : std::exchange(moot_, {})) {
             const auto it = requests_.find(ended.id);
             ++counters_.outcomes[static_cast<std::size_t>(Outcome::NotStarted)];
             tell(AttemptOutcome{ended.id,
-                              ended.attempt,
-                              {},
-                              Outcome::NotStarted,
-                              0,
-                              it == requests_.end() || it->second.done,
-                              0,
-                              0,
-                              {}});
+                                ended.attempt,
+                                {},
+                                Outcome::NotStarted,
+                                0,
+                                it == requests_.end() || it->second.done,
+                                0,
+                                0,
+                                {}});
         }
     }
 }
@@ -255,8 +265,8 @@
         finish(live);
         effects_.push_back(SendFailure{how.id});
     }
-    tell(AttemptOutcome{how.id, attempt, was.node, how.outcome, now_ - was.startedAt, live.done, how.loadPercent,
-                      how.loadElsewhere, std::move(how.loadReport), how.requestSpent});
+    tell(AttemptOutcome{how.id, attempt, was.node, how.outcome, now_ - was.startedAt, live.done,
+                        how.loadPercent, how.loadElsewhere, std::move(how.loadReport), how.requestSpent});
     forget(it);
 }
 
@@ -325,7 +335,9 @@
     forget(it);
 }
 
-void State::act(const RejectRequest& a) { answer(a.id, &Answers::refused, SendRejection{a.id, a.retryAfterUs}); }
+void State::act(const RejectRequest& a) {
+    answer(a.id, &Answers::refused, SendRejection{a.id, a.retryAfterUs});
+}
 void State::act(const FailRequest& a) { answer(a.id, &Answers::failed, SendFailure{a.id}); }
 
 void State::act(const CancelAttempt& a) {
@@ -346,7 +358,8 @@
 StateSnapshot takeSnapshot(State& state, Micros now) {
     state.now_ = std::max(state.now_, now);
     StateSnapshot snapshot;
-    for (const auto& [id, node] : state.listed_) snapshot.listed.push_back(node);
+    for (const auto& [id, node] : state.listed_)
+        snapshot.listed.push_back(node);
     snapshot.drains = state.drains_;
     snapshot.seen.assign(state.seenOrder_.begin(), state.seenOrder_.end());
     snapshot.module = state.policy_.takeSnapshot(state.now_);
@@ -354,7 +367,8 @@
 }
 
 bool restore(State& state, const StateSnapshot& snapshot) {
-    for (const auto& [id, since] : snapshot.drains) state.drains_.insert_or_assign(id, since);
+    for (const auto& [id, since] : snapshot.drains)
+        state.drains_.insert_or_assign(id, since);
     for (const auto& id : snapshot.seen)
         if (state.seen_.insert(id).second) state.seenOrder_.push_back(id);
     return state.policy_.restore(snapshot.module);
--- a/src/fleet/restart_recovery.cpp
+++ b/src/fleet/restart_recovery.cpp
@@ -24,14 +24,16 @@
 };
 
 void put(std::string& to, std::uint32_t value) {
-    for (int i = 0; i < 4; ++i) to += char(value >> (8 * i) & 255);
+    for (int i = 0; i < 4; ++i)
+        to += char(value >> (8 * i) & 255);
 }
 
 std::string write(const Datagram& d) {
     std::string bytes(1, kFormat);
     put(bytes, d.life);
     bytes += char(d.tag);
-    for (std::size_t i = 0; i < kFields[d.tag]; ++i) put(bytes, d.fields[i]);
+    for (std::size_t i = 0; i < kFields[d.tag]; ++i)
+        put(bytes, d.fields[i]);
     return bytes;
 }
 
@@ -49,7 +51,8 @@
     const auto tag = static_cast<unsigned char>(bytes[5]);
     if (tag < kHello || tag > kWelcomeAfter || bytes.size() != 6 + 4 * kFields[tag]) return {};
     d.tag = Tag(tag);
-    for (std::size_t i = 0; i < kFields[tag]; ++i) d.fields[i] = get(6 + 4 * i);
+    for (std::size_t i = 0; i < kFields[tag]; ++i)
+        d.fields[i] = get(6 + 4 * i);
     return d;
 }
 
@@ -69,7 +72,9 @@
       askAll_(terms.hosts <= kSmallFleet),
       by_(terms.hosts > 1 ? RecoveryCause::LeaseExpired : RecoveryCause::AllPeersReplied) {}
 
-bool RestartRecovery::isRecoveryDatagram(const std::string& bytes) { return !bytes.empty() && bytes[0] == kFormat; }
+bool RestartRecovery::isRecoveryDatagram(const std::string& bytes) {
+    return !bytes.empty() && bytes[0] == kFormat;
+}
 
 std::vector<int> RestartRecovery::holders() const {
     std::vector<int> all;
@@ -97,7 +102,8 @@
     by_ = by;
 }
 
-RestartRecovery::IncarnationStatus RestartRecovery::observeIncarnation(int from, std::uint32_t life, Micros now) {
+RestartRecovery::IncarnationStatus RestartRecovery::observeIncarnation(int from, std::uint32_t life,
+                                                                       Micros now) {
     const auto [known, first] = peers_.try_emplace(from, Peer{life, now});
     Peer& peer = known->second;
     if (peer.life != life && before(life, peer.life) && now - peer.at < kStaleIncarnationPeriod) {
@@ -108,15 +114,18 @@
     const bool anew = peer.life != life;
     peer.life = life;
     if (const auto f = notices_.find(from); f != notices_.end() && f->second.life != life) {
-        if (f->second.next == 0) f->second.next = life;
-        else if (f->second.next != life) notices_.erase(f);  // of a life before the last: it says nothing
+        if (f->second.next == 0)
+            f->second.next = life;
+        else if (f->second.next != life)
+            notices_.erase(f);  // of a life before the last: it says nothing
     }
     if (!anew) return IncarnationStatus::Known;
     ++counters_.newIncarnations;
     return IncarnationStatus::New;
 }
 
-RestartRecovery::DatagramResult RestartRecovery::handleDatagram(int from, const std::string& bytes, Micros now) {
+RestartRecovery::DatagramResult RestartRecovery::handleDatagram(int from, const std::string& bytes,
+                                                                Micros now) {
     const auto d = read(bytes);
     if (!d || from == terms_.host || from < 0 || from >= terms_.hosts) {
         ++counters_.malformed;
@@ -150,7 +159,8 @@
         const auto age = std::int32_t(msOf(now) - sentMs), left = std::int32_t(overMs - msOf(now));
         if (life != 0 && age >= 0 && Micros(age) * 1000 < kNoticeRetention)
             clearBy(RecoveryCause::ShutdownNotice, now + std::max(0, left) * Micros(1000));
-        else if (holder) askAll_ = true;  // it knows of none: they are all asked
+        else if (holder)
+            askAll_ = true;  // it knows of none: they are all asked
     }
     return heard;
 }
@@ -168,8 +178,8 @@
     }
     // All, where no holder can help; holders until they know of this life, as no later one may go by an older
     // shutdown notice.
-    const bool anyone =
-        !isRecovered(now) && by_ != RecoveryCause::ShutdownNotice && (askAll_ || now - startedAt_ >= kHoldersOnlyPeriod);
+    const bool anyone = !isRecovered(now) && by_ != RecoveryCause::ShutdownNotice &&
+                        (askAll_ || now - startedAt_ >= kHoldersOnlyPeriod);
     const bool toAll = anyone && now - lastToAll_ >= kQueryInterval;
     const bool toHolders = !holdersKnow(now) && now - lastHello_ >= kQueryInterval;
     if (!toAll && !toHolders) return out;  // as at nearly every look
--- a/src/fleet/restart_recovery.h
+++ b/src/fleet/restart_recovery.h
@@ -28,11 +28,14 @@
     // Until a shutdown notice is this old a new life may go by it; so long a host whose holders have not
     // answered lends nothing, as a later life might go by a shutdown notice from before it.
     static constexpr Micros kNoticeRetention = 10'000'000;
-    static constexpr Micros kQueryInterval = 500'000;  // between two hellos, or shutdown notices, to the same host
-    static constexpr Micros kHoldersOnlyPeriod = 50'000;  // then all are asked: a crossing of the network and more
-    static constexpr int kSmallFleet = 8;                   // of so many hosts all are asked at once
-    static constexpr Micros kStaleIncarnationPeriod = 10'000'000;  // a life before the newest is not believed for so long
-    static constexpr std::size_t kMaxDatagramBytes = 22;    // of a datagram
+    static constexpr Micros kQueryInterval =
+        500'000;  // between two hellos, or shutdown notices, to the same host
+    static constexpr Micros kHoldersOnlyPeriod =
+        50'000;                            // then all are asked: a crossing of the network and more
+    static constexpr int kSmallFleet = 8;  // of so many hosts all are asked at once
+    static constexpr Micros kStaleIncarnationPeriod =
+        10'000'000;  // a life before the newest is not believed for so long
+    static constexpr std::size_t kMaxDatagramBytes = 22;  // of a datagram
 
     struct Options {
         int host = 0, hosts = 1;
@@ -41,29 +44,36 @@
     };
     struct Counters {
         std::uint64_t stale = 0, malformed = 0;  // datagrams that changed nothing
-        std::uint64_t newIncarnations = 0;                 // of peers that began anew
-        std::uint64_t storedNotices = 0;               // kept here for others
+        std::uint64_t newIncarnations = 0;       // of peers that began anew
+        std::uint64_t storedNotices = 0;         // kept here for others
     };
     enum class IncarnationStatus { Known, New, Stale };
-    enum class RecoveryCause { NotRecovered, ShutdownNotice, AllPeersReplied, LeaseExpired };  // what made it clear
+    enum class RecoveryCause {
+        NotRecovered,
+        ShutdownNotice,
+        AllPeersReplied,
+        LeaseExpired
+    };  // what made it clear
 
     RestartRecovery() = default;
     RestartRecovery(const Options& terms, Micros startedAt);
 
     // Names this life: a later one has a higher number, for as long as the machine's clock is not set back.
     std::uint32_t incarnation() const { return life_; }
-    void countMalformed() { ++counters_.malformed; }   // a datagram in neither of the front's forms
+    void countMalformed() { ++counters_.malformed; }           // a datagram in neither of the front's forms
     static bool isRecoveryDatagram(const std::string& bytes);  // a datagram for heard()
     struct DatagramResult {
-        IncarnationStatus status = IncarnationStatus::Stale;  // Fresh: whatever that host lent in its earlier life is over
+        IncarnationStatus status =
+            IncarnationStatus::Stale;  // Fresh: whatever that host lent in its earlier life is over
         std::vector<OutgoingDatagram> replies;
     };
     DatagramResult handleDatagram(int from, const std::string& bytes, Micros now);
     IncarnationStatus observeIncarnation(int from, std::uint32_t life, Micros now);  // in whatever it says
-    std::vector<OutgoingDatagram> dueDatagrams(Micros now);  // hellos and shutdown notices; to be asked a few times a second
+    std::vector<OutgoingDatagram> dueDatagrams(
+        Micros now);  // hellos and shutdown notices; to be asked a few times a second
 
     bool isRecovered(Micros now) const { return now >= clearAt_; }  // may spend all of its own chunks
-    bool mayLend(Micros now) const;                             // may lend them for a whole lease
+    bool mayLend(Micros now) const;                                 // may lend them for a whole lease
     RecoveryCause recoveryCause() const { return by_; }
     // It ends in order: nothing is lent beyond then, or beyond what is lent already, and the holders are
     // told.
--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -115,4 +115,4 @@
     return all;
 }
 
-}  // namespace wingproxy::handover
+}  // namespace wingproxy::hot_restart
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -47,4 +47,4 @@
     Counters counters_;
 };
 
-}  // namespace wingproxy::handover
+}  // namespace wingproxy::hot_restart
--- a/src/hot_restart/shared_files.cpp
+++ b/src/hot_restart/shared_files.cpp
@@ -16,7 +16,8 @@
     const int fd = ::open(path_.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
     if (fd < 0) return false;
     int failed = 0;
-    do failed = ::flock(fd, how);
+    do
+        failed = ::flock(fd, how);
     while (failed != 0 && errno == EINTR);
     if (failed != 0) {
         ::close(fd);
@@ -53,4 +54,4 @@
     return std::string(std::istreambuf_iterator<char>(in), {});
 }
 
-}  // namespace wingproxy::handover
+}  // namespace wingproxy::hot_restart
--- a/src/hot_restart/shared_files.h
+++ b/src/hot_restart/shared_files.h
@@ -30,4 +30,4 @@
 bool writeFile(const std::string& path, std::string_view bytes);
 std::optional<std::string> readFile(const std::string& path, std::size_t most);  // empty: there is none
 
-}  // namespace wingproxy::handover
+}  // namespace wingproxy::hot_restart
--- a/src/hot_restart/snapshot.cpp
+++ b/src/hot_restart/snapshot.cpp
@@ -80,7 +80,9 @@
         cereal::PortableBinaryInputArchive archive(in);
         archive(value);
         return value;
-    } catch (const std::exception& error) { return Refused{fmt::format("not readable, {}", error.what())}; }
+    } catch (const std::exception& error) {
+        return Refused{fmt::format("not readable, {}", error.what())};
+    }
 }
 
 }  // namespace
@@ -112,5 +114,5 @@
     return a;
 }
 
-}  // namespace handover
+}  // namespace hot_restart
 }  // namespace wingproxy
--- a/src/hot_restart/snapshot.h
+++ b/src/hot_restart/snapshot.h
@@ -34,4 +34,4 @@
     core::AdminOverrides a,
     const core::AdminOverrides& b);  // of each node the newer one; the same in any order
 
-}  // namespace wingproxy::handover
+}  // namespace wingproxy::hot_restart
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -51,7 +51,8 @@
 // What a refusal advises, where the settings allow it, and at most what clients honour.
 std::string retryField(const Settings& settings, Micros us) {
     const auto advice = std::min(us, settings.maxRetryAfterUs);
-    return settings.sendsRetryAfter && advice > 0 ? fmt::format("Retry-After: {}\r\n", retryAfter(advice)) : "";
+    return settings.sendsRetryAfter && advice > 0 ? fmt::format("Retry-After: {}\r\n", retryAfter(advice))
+                                                  : "";
 }
 
 }  // namespace
@@ -108,7 +109,8 @@
     using Clock = std::chrono::steady_clock;
     enum class State { Reading, Waiting, ResponseHeadReceived };
     bool over(std::size_t part) const {
-        return front_.answerBy_ == INT64_MAX && sessionManager_.connections() * part > sessionManager_.capacity();
+        return front_.answerBy_ == INT64_MAX &&
+               sessionManager_.connections() * part > sessionManager_.capacity();
     }
     bool begun() const { return in_.size() > 0 || reader_->gotSome(); }
     Clock::duration age() const { return Clock::now() - since_; }
@@ -214,8 +216,10 @@
         return;
     }
     if (drained_) emptyAt_ = front_.engine_.now();
-    if (state_ == State::ResponseHeadReceived) in_.clear();  // the answer did not wait for it
-    else if (more_) std::exchange(more_, nullptr)();
+    if (state_ == State::ResponseHeadReceived)
+        in_.clear();  // the answer did not wait for it
+    else if (more_)
+        std::exchange(more_, nullptr)();
 }
 
 void Front::Client::parse() {
@@ -421,8 +425,10 @@
     untilClose_ = !answer.length && oldClient_;
     if (front_.draining_ || over(kFull) || untilClose_) keepAlive_ = false;
     auto fields = answer.type.empty() ? "" : fmt::format("Content-Type: {}\r\n", answer.type);
-    if (answer.length) fields += fmt::format("Content-Length: {}\r\n", *answer.length);
-    else if (chunked_) fields += "Transfer-Encoding: chunked\r\n";
+    if (answer.length)
+        fields += fmt::format("Content-Length: {}\r\n", *answer.length);
+    else if (chunked_)
+        fields += "Transfer-Encoding: chunked\r\n";
     send(headForClient(200, fields, keepAlive_));
     feed([this, take = std::move(take)](net::RingBuffer& out) {
         char piece[16 * 1024];
@@ -447,8 +453,10 @@
     if (!open()) return;
     passing_ = false;
     ++front_.counters_.failed;
-    if (untilClose_) reset();
-    else close();
+    if (untilClose_)
+        reset();
+    else
+        close();
 }
 
 void Front::Client::answer(int status, std::string_view fields, std::string_view body,
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -20,7 +20,7 @@
     };
     Front(net::Engine& engine, net::NodePool& pool, const config::Endpoint& listen, std::size_t mostClients,
           std::size_t ring = net::kMostRing, int inherited = -1);
-    void startDraining() { draining_ = true; }                // answers end their connections from now on
+    void startDraining() { draining_ = true; }                   // answers end their connections from now on
     void setResponseDeadline(Micros when) { answerBy_ = when; }  // whatever a client allows
     // From now on clients have only the connections that are open: some are kept free for other requests.
     void expectNoNewConnections() { lastClients_ = true; }
--- a/src/http/node_client.cpp
+++ b/src/http/node_client.cpp
@@ -95,8 +95,10 @@
             self->writing_ = false;
             if (self->over_) return;
             self->connection_->out.consume(n);
-            if (error) self->broke();
-            else self->write();
+            if (error)
+                self->broke();
+            else
+                self->write();
         });
 }
 
--- a/src/http/platform.cpp
+++ b/src/http/platform.cpp
@@ -20,8 +20,10 @@
 std::string_view sv(beast::string_view text) { return {text.data(), text.size()}; }
 
 std::string_view trim(std::string_view text) {
-    while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
-    while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
+    while (!text.empty() && (text.front() == ' ' || text.front() == '\t'))
+        text.remove_prefix(1);
+    while (!text.empty() && (text.back() == ' ' || text.back() == '\t'))
+        text.remove_suffix(1);
     return text;
 }
 
@@ -140,9 +142,12 @@
     core::AttemptFinished ended;
     const auto status = answer.result_int();
     const bool declined = trim(sv(answer["Srv-Declined"])) == "1";
-    if (status == 200) ended.outcome = Outcome::Ok;
-    else if ((status == 503 || status == 504) && declined) ended.outcome = Outcome::Rejected;
-    else ended.outcome = Outcome::Error;
+    if (status == 200)
+        ended.outcome = Outcome::Ok;
+    else if ((status == 503 || status == 504) && declined)
+        ended.outcome = Outcome::Rejected;
+    else
+        ended.outcome = Outcome::Error;
     // With 504 it is the request that is over, or not this node's: another attempt would hear the same.
     ended.requestSpent = status == 504 && declined;
     // The simulator's figure is one more than the header's, so that 0 means none.
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -8,7 +8,8 @@
     static constexpr std::string_view kNames[] = {"debug", "info", "warn", "error"};
     std::string line = fmt::format("{}: ", kNames[static_cast<int>(level)]);
     // What came from outside may hold line breaks: one call stays one line.
-    for (const char c : text) line += static_cast<unsigned char>(c) < 0x20 ? ' ' : c;
+    for (const char c : text)
+        line += static_cast<unsigned char>(c) < 0x20 ? ' ' : c;
     line += '\n';
     std::fwrite(line.data(), 1, line.size(), to_);
     std::fflush(to_);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -8,17 +8,17 @@
 #include <cstdlib>
 #include <functional>
 
+#include "admin/admin_client.h"
+#include "admin/admin_server.h"
 #include "cli/command.h"
 #include "config/config.h"
 #include "config/operator.h"
 #include "fleet/restart_recovery.h"
-#include "hot_restart/hot_restart.h"
 #include "health/health.h"
+#include "hot_restart/hot_restart.h"
 #include "http/front.h"
 #include "net/discovery.h"
 #include "net/peers.h"
-#include "admin/admin_server.h"
-#include "admin/admin_client.h"
 #include "rsync/front.h"
 
 namespace {
@@ -88,10 +88,10 @@
           looking_(io_) {
         signals_.add(SIGHUP);
         engine_.setEffectHandlers({[this](int to, const std::string& bytes) { peers_.send(to, bytes); },
-                         [this](bool on) { discovery_.setWatching(on); },
-                         [this](const std::string& id, const config::Endpoint& at) {
-                             http::probe(engine_, pool_, id, at);
-                         }});
+                                   [this](bool on) { discovery_.setWatching(on); },
+                                   [this](const std::string& id, const config::Endpoint& at) {
+                                       http::probe(engine_, pool_, id, at);
+                                   }});
         if (extra.rsync) {
             rsync_ = std::make_unique<rsync::Front>(engine_, rsyncPool_, *extra.rsync, budget_.rsyncClients,
                                                     budget_.ring);
@@ -156,7 +156,8 @@
         engine_.start();
         if (snapshot)
             logger_.info("handover: taken over after {} us, {} nodes, {} requests open there",
-                         engine_.now() - snapshot->takenAt, engine_.nodeCount(), snapshot->openRequestIds.size());
+                         engine_.now() - snapshot->takenAt, engine_.nodeCount(),
+                         snapshot->openRequestIds.size());
         if (config_.inheritedListenerFd >= 0) front_.sessionManager().open();
         said(config_.name, front_.sessionManager().address());
     }
@@ -185,15 +186,20 @@
     }
     Micros longestDeadline() const {
         Micros longest = 0;
-        for (const auto& c : config_.settings.classes) longest = std::max(longest, c.deadlineUs);
+        for (const auto& c : config_.settings.classes)
+            longest = std::max(longest, c.deadlineUs);
         return longest;
     }
     admin::AdminHandler adminHandler() {
         return {[this] { return !leaving_; },
                 [this] {
-                    admin::AdminMetrics metrics{
-                        {}, engine_.counters(), engine_.openRequests(), engine_.nodeCount(), engine_.avoidedNodes()};
-                    for (const auto& c : engine_.settings().classes) metrics.classes.push_back(c.name);
+                    admin::AdminMetrics metrics{{},
+                                                engine_.counters(),
+                                                engine_.openRequests(),
+                                                engine_.nodeCount(),
+                                                engine_.avoidedNodes()};
+                    for (const auto& c : engine_.settings().classes)
+                        metrics.classes.push_back(c.name);
                     return metrics;
                 },
                 [this](const std::string& node, bool out) {
@@ -208,9 +214,12 @@
     void awaitSignal() {
         signals_.async_wait([this](const boost::system::error_code& error, int signal) {
             if (error) return;
-            if (signal == SIGUSR1) report();
-            else if (signal == SIGHUP) reload();
-            else if (!leaving_) leave();
+            if (signal == SIGUSR1)
+                report();
+            else if (signal == SIGHUP)
+                reload();
+            else if (!leaving_)
+                leave();
             awaitSignal();
         });
     }
@@ -241,8 +250,10 @@
         takenBefore_ = engine_.counters().taken;
         logger_.info("stopping: {} requests open", engine_.openRequests());
         if (hotRestart_ && hotRestart_->role() == hot_restart::HotRestart::Role::Successor) return end();
-        if (hotRestart_ && hotRestart_->successorWaits()) giveUpService();
-        else engine_.shutdownStarted(engine_.now() + (kill_ - kStopServing).count());
+        if (hotRestart_ && hotRestart_->successorWaits())
+            giveUpService();
+        else
+            engine_.shutdownStarted(engine_.now() + (kill_ - kStopServing).count());
         front_.setResponseDeadline(engine_.now() + (kill_ - kAnswerBy).count());
         serveOn();
     }
@@ -252,7 +263,8 @@
     }
     void serveOn() {
         const auto since = std::chrono::steady_clock::now() - leavingSince_;
-        const bool given = hotRestart_ && hotRestart_->role() == hot_restart::HotRestart::Role::ShutdownStarted;
+        const bool given =
+            hotRestart_ && hotRestart_->role() == hot_restart::HotRestart::Role::ShutdownStarted;
         if (since >= kNewClients && !given) front_.expectNoNewConnections();
         const bool alone = front_.sessionManager().connections() == 0;
         if ((since < kKeepAccepting && !given) || (!alone && since < kill_ - kStopServing)) {
@@ -347,8 +359,9 @@
         constexpr const char* kBy[] = {"nothing", "shutdown_notice", "everyone", "lease"};
         logger_.info(
             "counters fleet: clear_by={} lends={} lives={} shutdown_notices={} stale={} malformed={}",
-            a.isRecovered(engine_.now()) ? kBy[int(a.recoveryCause())] : "nothing", a.mayLend(engine_.now()), a.counters().newIncarnations,
-            a.counters().storedNotices, a.counters().stale, a.counters().malformed);
+            a.isRecovered(engine_.now()) ? kBy[int(a.recoveryCause())] : "nothing", a.mayLend(engine_.now()),
+            a.counters().newIncarnations, a.counters().storedNotices, a.counters().stale,
+            a.counters().malformed);
         logger_.info("counters reloads: done={} bad={}", reloads_, badReloads_);
         logger_.info("counters peers: sent={} received={} unsent={} unknown={} oversize={}", p.sent,
                      p.received, p.unsent, p.unknown, p.oversize);
@@ -370,7 +383,7 @@
     std::unique_ptr<rsync::Front> rsync_;  // these three only where the operator's file has them
     std::unique_ptr<net::SessionManager> health_, agent_;
     std::unique_ptr<hot_restart::HotRestart> hotRestart_;  // where the platform holds the listening socket
-    std::unique_ptr<admin::AdminServer> admin_;     // where the configuration has mgmt
+    std::unique_ptr<admin::AdminServer> admin_;            // where the configuration has mgmt
     asio::signal_set signals_;
     asio::steady_timer closing_, looking_;
     bool leaving_ = false;
@@ -421,7 +434,8 @@
 int run(const cli::CheckCommand& command, log::Logger&) {
     const auto read = readFiles(command.files);
     fmt::print("good: {} at {}:{}, {} peers, {} known nodes{}\n", read.config.name, read.config.listen.host,
-               read.config.listen.port, read.config.peers.size(), read.config.cachedEndpoints.list.nodes.size(),
+               read.config.listen.port, read.config.peers.size(),
+               read.config.cachedEndpoints.list.nodes.size(),
                command.files.operators.empty() ? ", no operator's file" : "");
     return cli::kExitOk;
 }
@@ -446,8 +460,10 @@
     const auto command = cli::parse(argc, argv);
     const auto level = std::visit(
         [](const auto& c) {
-            if constexpr (requires { c.files; }) return c.files.logLevel;
-            else return std::string();
+            if constexpr (requires { c.files; })
+                return c.files.logLevel;
+            else
+                return std::string();
         },
         command);
     log::Logger logger(log::levelFrom(level.empty() ? "info" : level));
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -80,8 +80,10 @@
         if (!error && calling_) fail("no answer in time");
     });
     ticket_ = pool_.acquire(at_, [this](std::shared_ptr<Connection> connection) {
-        if (connection) send(std::move(connection));
-        else fail("no connection");
+        if (connection)
+            send(std::move(connection));
+        else
+            fail("no connection");
     });
 }
 
--- a/src/net/engine.cpp
+++ b/src/net/engine.cpp
@@ -45,8 +45,10 @@
     if (hosts.list.kind != EndpointListKind::Delta) addresses_.clear();
     for (std::size_t i = 0; i < hosts.list.nodes.size(); ++i) {
         const auto& node = hosts.list.nodes[i];
-        if (node.state == NodeState::Removed) addresses_.erase(node.id);
-        else addresses_[node.id] = hosts.addresses[i];
+        if (node.state == NodeState::Removed)
+            addresses_.erase(node.id);
+        else
+            addresses_[node.id] = hosts.addresses[i];
     }
     listVersion_ = hosts.list.version;
     put(EndpointListReceived{std::move(hosts.list)});
@@ -59,12 +61,14 @@
 }
 
 void Engine::applyOverrides(const core::AdminOverrides& overrides) {
-    for (const auto& [node, entry] : overrides) put(core::AdminOverrideChanged{node, entry});
+    for (const auto& [node, entry] : overrides)
+        put(core::AdminOverrideChanged{node, entry});
 }
 
 EngineSnapshot Engine::takeSnapshot() {
     EngineSnapshot snapshot{core::takeSnapshot(state_, clock_.now()), {}, listVersion_};
-    for (const auto& node : snapshot.core.listed) snapshot.addresses.push_back(addresses_[node.id]);
+    for (const auto& node : snapshot.core.listed)
+        snapshot.addresses.push_back(addresses_[node.id]);
     return snapshot;
 }
 
@@ -75,7 +79,9 @@
     return whole;
 }
 
-void Engine::endpointListUnavailable() { put(EndpointListReceived{{EndpointListKind::Unavailable, listVersion_, {}}}); }
+void Engine::endpointListUnavailable() {
+    put(EndpointListReceived{{EndpointListKind::Unavailable, listVersion_, {}}});
+}
 
 // Inputs change the state at once; the module decides when all that was ready together has been put in.
 void Engine::put(core::Input input) {
@@ -113,7 +119,8 @@
 }
 
 void Engine::run(const core::Effects& effects) {
-    for (const auto& effect : effects) std::visit([this](const auto& e) { run(e); }, effect);
+    for (const auto& effect : effects)
+        std::visit([this](const auto& e) { run(e); }, effect);
 }
 
 void Engine::run(const core::StartAttempt& e) {
@@ -171,7 +178,8 @@
 }
 void Engine::run(const StartHealthCheck& e) {
     const auto address = addresses_.find(e.node);
-    if (address != addresses_.end() && effectHandlers_.startHealthCheck) effectHandlers_.startHealthCheck(e.node, address->second);
+    if (address != addresses_.end() && effectHandlers_.startHealthCheck)
+        effectHandlers_.startHealthCheck(e.node, address->second);
 }
 void Engine::run(const LogLine& e) { logger_.info("module: {}", e.text); }
 
--- a/src/net/engine.h
+++ b/src/net/engine.h
@@ -77,7 +77,9 @@
     void attemptFinished(core::AttemptFinished result) { put(std::move(result)); }
     void endpointListReceived(config::EndpointListing listing);
     void endpointListUnavailable();
-    void peerMessageReceived(int from, std::string bytes) { put(PeerMessageReceived{from, std::move(bytes)}); }
+    void peerMessageReceived(int from, std::string bytes) {
+        put(PeerMessageReceived{from, std::move(bytes)});
+    }
     void healthCheckCompleted(HealthCheckCompleted check) { put(std::move(check)); }
 
     /// An operator's order about a node, which stands above the endpoint list.
@@ -88,7 +90,8 @@
 
     /// What a successor starts from. What is open here is finished.
     EngineSnapshot takeSnapshot();
-    /// To be called before start(). \return false: the policy's part did not fit these settings and is left out
+    /// To be called before start(). \return false: the policy's part did not fit these settings and is left
+    /// out
     bool restore(EngineSnapshot snapshot);
 
     boost::asio::io_context& io() { return io_; }
--- a/src/net/exchange.cpp
+++ b/src/net/exchange.cpp
@@ -25,8 +25,10 @@
         out.data(), [self = shared_from_this()](const boost::system::error_code& error, std::size_t n) {
             if (!self->done_) return;
             self->connection_->out.consume(n);
-            if (error) self->finish(Result::NotWritten);
-            else self->write();
+            if (error)
+                self->finish(Result::NotWritten);
+            else
+                self->write();
         });
 }
 
@@ -37,8 +39,10 @@
             if (!self->done_) return;
             self->connection_->in.commit(n);
             self->stall_.cancel();
-            if (error && error != boost::asio::error::eof) self->finish(Result::Broken);
-            else self->parse(bool(error));
+            if (error && error != boost::asio::error::eof)
+                self->finish(Result::Broken);
+            else
+                self->parse(bool(error));
         });
 }
 
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -19,9 +19,9 @@
     // A descriptor that is given is the listening socket, which another process may have as well: it is
     // neither bound nor shut down here.
     Listener(boost::asio::io_context& io, const config::Endpoint& at, Hooks hooks, int inherited = -1);
-    void open();                  // from now on it accepts
-    void close();                 // takes what the system has accepted, then closes
-    void release();                 // closes this process's descriptor; what waits is another's
+    void open();                       // from now on it accepts
+    void close();                      // takes what the system has accepted, then closes
+    void release();                    // closes this process's descriptor; what waits is another's
     config::Endpoint address() const;  // as bound
 
 private:
--- a/src/net/node_attempt.h
+++ b/src/net/node_attempt.h
@@ -17,7 +17,7 @@
     virtual void connected(std::shared_ptr<Connection> connection) = 0;  // in time: bytes may go out
     virtual void late(std::shared_ptr<Connection>) {}                    // up, but no byte may go out
     virtual void drop() = 0;                                             // closes what is open
-    void end(core::AttemptFinished how);                                           // tells the engine, once
+    void end(core::AttemptFinished how);                                 // tells the engine, once
 
     Engine& engine_;
     NodePool& pool_;
--- a/src/net/node_pool.cpp
+++ b/src/net/node_pool.cpp
@@ -46,7 +46,8 @@
         const auto keep = shared_from_this();
         auto connection = std::exchange(connection_, nullptr);
         boost::system::error_code ignored;
-        if (error) connection->socket.close(ignored), connection = nullptr;
+        if (error)
+            connection->socket.close(ignored), connection = nullptr;
         else {
             connection->socket.set_option(tcp::no_delay(true), ignored);
             connection->socket.non_blocking(true, ignored);
@@ -73,8 +74,10 @@
             if (!self) return;
             const auto connection = std::move(self->connection_);
             auto ready = std::exchange(self->ready_, nullptr);
-            if (!connection || quiet(connection->socket)) ready(connection);
-            else self->again_ = self->pool_.acquire(connection->to, std::move(ready));
+            if (!connection || quiet(connection->socket))
+                ready(connection);
+            else
+                self->again_ = self->pool_.acquire(connection->to, std::move(ready));
         });
     }
 
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -48,29 +48,32 @@
                         error);  // a full buffer loses it, as a network may
         ++(error ? counters_.unsent : counters_.sent);
     };
-    if (to >= 0) send(peers_[std::size_t(to)]);
-    else if (all_.port() != 0) send(all_);
+    if (to >= 0)
+        send(peers_[std::size_t(to)]);
+    else if (all_.port() != 0)
+        send(all_);
     else
         for (std::size_t i = 0; i < peers_.size(); ++i)
             if (int(i) != self_) send(peers_[i]);
 }
 
 void Peers::receive() {
-    socket_.async_receive_from(boost::asio::buffer(buffer_), sender_,
-                               [this](const boost::system::error_code& error, std::size_t n) {
-                                   if (error == boost::asio::error::operation_aborted || !socket_.is_open())
-                                       return;
-                                   const auto from = numbers_.find(sender_);
-                                   if (error) ++counters_.unknown;
-                                   else if (n > kMost) ++counters_.oversize;
-                                   else if (from == numbers_.end() || from->second == self_)
-                                       ++counters_.unknown;
-                                   else {
-                                       ++counters_.received;
-                                       engine_.peerMessageReceived(from->second, std::string(buffer_.data(), n));
-                                   }
-                                   receive();
-                               });
+    socket_.async_receive_from(
+        boost::asio::buffer(buffer_), sender_, [this](const boost::system::error_code& error, std::size_t n) {
+            if (error == boost::asio::error::operation_aborted || !socket_.is_open()) return;
+            const auto from = numbers_.find(sender_);
+            if (error)
+                ++counters_.unknown;
+            else if (n > kMost)
+                ++counters_.oversize;
+            else if (from == numbers_.end() || from->second == self_)
+                ++counters_.unknown;
+            else {
+                ++counters_.received;
+                engine_.peerMessageReceived(from->second, std::string(buffer_.data(), n));
+            }
+            receive();
+        });
 }
 
 void Peers::stop() {
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -17,7 +17,7 @@
         std::uint64_t sent = 0, received = 0, unsent = 0, unknown = 0, oversize = 0;
     };
     Peers(Engine& engine, const config::Config& config, bool opened = true);
-    void open();                              // binds; another process of this front must have let go
+    void open();                                  // binds; another process of this front must have let go
     void setPeers(const config::Config& config);  // the peers' addresses, at the start and anew
     void send(int to, const std::string& bytes);
     void stop();
--- a/src/net/session.cpp
+++ b/src/net/session.cpp
@@ -43,8 +43,10 @@
         }
         self->in_.commit(n);
         self->drained_ = n < room;
-        if (self->lingering_) self->in_.clear(), self->lingerOn();
-        else self->received();
+        if (self->lingering_)
+            self->in_.clear(), self->lingerOn();
+        else
+            self->received();
         self->read();
     });
 }
@@ -206,7 +208,8 @@
 bool SessionManager::evictOne() {
     std::shared_ptr<Session> first;
     for (const auto& session : sessions_)
-        if ((!first || session->evictionPriority() < first->evictionPriority()) && session->spare()) first = session;
+        if ((!first || session->evictionPriority() < first->evictionPriority()) && session->spare())
+            first = session;
     if (!first) return false;
     ++closedIdle_;
     first->evict();
@@ -220,7 +223,8 @@
     for (const auto& session : sessions_)
         if (!session->lingering_ && session->idle())
             boost::asio::post(io_, [held = session] {
-                if (held->open_ && !held->lingering_ && held->idle() && held->unread() == 0) held->closeGracefully();
+                if (held->open_ && !held->lingering_ && held->idle() && held->unread() == 0)
+                    held->closeGracefully();
             });
 }
 
--- a/src/net/session.h
+++ b/src/net/session.h
@@ -79,11 +79,11 @@
                    int inherited = -1);  // inherited: see Listener; accepts after open()
     void open() { listener_.open(); }
     void releaseListener() { listener_.release(); }
-    void closeListener();  // first takes the clients that wait
-    void closeIdleGracefully();     // closes gracefully what owes nothing
+    void closeListener();        // first takes the clients that wait
+    void closeIdleGracefully();  // closes gracefully what owes nothing
     void stop();
     std::size_t connections() const { return sessions_.size() - lingering_; }  // that may still ask
-    std::size_t sessionCount() const { return sessions_.size(); }                      // and those that only end
+    std::size_t sessionCount() const { return sessions_.size(); }              // and those that only end
     std::uint64_t accepted() const { return accepted_; }
     std::uint64_t closedIdle() const { return closedIdle_; }
     std::uint64_t detectHangUp() const { return hungUp_; }  // noticed while their bytes were not read
--- a/src/rsync/codec.cpp
+++ b/src/rsync/codec.cpp
@@ -18,7 +18,8 @@
 constexpr int kTagBase = 7;
 
 void putInt(std::string& to, std::uint32_t value) {
-    for (int i = 0; i < 4; ++i) to += static_cast<char>(value >> (8 * i) & 255);
+    for (int i = 0; i < 4; ++i)
+        to += static_cast<char>(value >> (8 * i) & 255);
 }
 
 std::uint32_t getInt(std::string_view from) {
@@ -174,8 +175,10 @@
 
 void SenderStream::name(unsigned flags) {
     if (flags & kLinkData) return broken("a file list with hard links");
-    if (flags & kSameName) want(1, [this, flags] { nameLength(flags); });
-    else nameLength(flags);
+    if (flags & kSameName)
+        want(1, [this, flags] { nameLength(flags); });
+    else
+        nameLength(flags);
 }
 
 void SenderStream::nameLength(unsigned flags) {
@@ -188,8 +191,10 @@
             });
         });
     };
-    if (flags & kLongName) want(4, [this, pass] { pass(int32()); });
-    else want(1, [this, pass] { pass(byte()); });
+    if (flags & kLongName)
+        want(4, [this, pass] { pass(int32()); });
+    else
+        want(1, [this, pass] { pass(byte()); });
 }
 
 void SenderStream::attributes(unsigned flags) {
@@ -262,8 +267,10 @@
 // ---------------------------------------------------------------- the generator's side
 
 GeneratorStream::GeneratorStream(bool filters) {
-    if (filters) filter();
-    else file();
+    if (filters)
+        filter();
+    else
+        file();
 }
 
 void GeneratorStream::filter() {
--- a/src/rsync/front.cpp
+++ b/src/rsync/front.cpp
@@ -35,8 +35,10 @@
 
 protected:
     void received() override {
-        if (stage_ < Stage::Transfer) lines();
-        else if (more_) more_();
+        if (stage_ < Stage::Transfer)
+            lines();
+        else if (more_)
+            more_();
     }
     void disconnected() override;
     void sent() override {
@@ -114,9 +116,12 @@
                 choose(line);
                 break;
             default:
-                if (line.empty()) begin();
-                else if (arguments_.size() == kMostArguments) return sayError("too many arguments");
-                else arguments_.push_back(line);
+                if (line.empty())
+                    begin();
+                else if (arguments_.size() == kMostArguments)
+                    return sayError("too many arguments");
+                else
+                    arguments_.push_back(line);
         }
     }
     if (stage_ < Stage::Transfer && in_.space() == 0) sayError("a line that is too long");
@@ -126,7 +131,8 @@
     const auto& modules = front_.config_.modules;
     if (name.empty() || name == "#list") {
         ++front_.counters_.listings;
-        for (const auto& m : modules) send(fmt::format("{:<15}\t{}\n", m.name, m.comment));
+        for (const auto& m : modules)
+            send(fmt::format("{:<15}\t{}\n", m.name, m.comment));
         send("@RSYNCD: EXIT\n");
         return over();
     }
@@ -176,8 +182,10 @@
 // Without a byte of the stream sent, the client is told; else the cut itself says that it is not whole.
 void Front::Peer::fail() {
     ++front_.counters_.failed;
-    if (relaying_) close();
-    else sayError("the transfer failed");
+    if (relaying_)
+        close();
+    else
+        sayError("the transfer failed");
 }
 
 void Front::Peer::disconnected() {
--- a/src/rsync/node_client.cpp
+++ b/src/rsync/node_client.cpp
@@ -46,8 +46,10 @@
         out.data(), [self = self()](const boost::system::error_code& error, std::size_t n) {
             if (self->over_) return;
             self->connection_->out.consume(n);
-            if (error) self->end(Outcome::ConnectFailed);  // not all of the request was written
-            else self->write();
+            if (error)
+                self->end(Outcome::ConnectFailed);  // not all of the request was written
+            else
+                self->write();
         });
 }
 
@@ -60,11 +62,15 @@
             if (self->over_) return;
             self->connection_->in.commit(n);
             if (error) self->nodeEnded_ = true;
-            if (self->stage_ == Stage::Stream) self->stream(n);
-            else self->lines();
+            if (self->stage_ == Stage::Stream)
+                self->stream(n);
+            else
+                self->lines();
             if (self->over_) return;
-            if (self->nodeEnded_) self->finishIfWhole();
-            else self->read();
+            if (self->nodeEnded_)
+                self->finishIfWhole();
+            else
+                self->read();
         });
 }
 
@@ -99,7 +105,8 @@
     const auto client = client_.lock();
     if (!client) return end(Outcome::Cancelled);
     stage_ = Stage::Stream;
-    engine_.responseForwardingStarted(order_.id, order_.attempt);  // from now on answer bytes go to the client
+    engine_.responseForwardingStarted(order_.id,
+                                      order_.attempt);  // from now on answer bytes go to the client
     client->relayTo([weak = std::weak_ptr<NodeAttempt>(self())] {
         if (const auto self = weak.lock()) self->toNode();
     });
@@ -165,8 +172,10 @@
     }
     if (delivered()) {
         // A puller's goodbye goes on to the node, unless the node has closed already.
-        if (fromClient_.progress() == Progress::Done && !writingNode_) end(Outcome::Ok);
-        else if (nodeEnded_) end(transfer_->options.pull ? Outcome::Ok : Outcome::Reset);
+        if (fromClient_.progress() == Progress::Done && !writingNode_)
+            end(Outcome::Ok);
+        else if (nodeEnded_)
+            end(transfer_->options.pull ? Outcome::Ok : Outcome::Reset);
     } else if (nodeEnded_ && !writingClient_ && connection_->in.size() == 0) {
         end(Outcome::Reset);
     }
--- a/tests/adapter/wire_test.cpp
+++ b/tests/adapter/wire_test.cpp
@@ -12,14 +12,18 @@
 namespace {
 
 const std::string kUp =
-    "UP who=head/3 rngSeed=5 allowed.tryLimit=3 classes.count=1 classes.0.aimUs=300000 classes.0.deadlineUs=1500000 "
-    "classes.0.effect=idempotent classes.0.keyScope=all classes.0.name=read classes.0.value=2.0 me=3 replicasOfMe=4 "
-    "serviceLevels.count=1 serviceLevels.0.name=basic serviceLevels.0.baseRate=3.3 extra.shards=1 some.new.key=1\n";
+    "UP who=head/3 rngSeed=5 allowed.tryLimit=3 classes.count=1 classes.0.aimUs=300000 "
+    "classes.0.deadlineUs=1500000 "
+    "classes.0.effect=idempotent classes.0.keyScope=all classes.0.name=read classes.0.value=2.0 me=3 "
+    "replicasOfMe=4 "
+    "serviceLevels.count=1 serviceLevels.0.name=basic serviceLevels.0.baseRate=3.3 extra.shards=1 "
+    "some.new.key=1\n";
 const std::string kList =
     "ROSTER setId=0 rowsIn=1\nENTRY cohort=0 rating=1 readiness=Ready area=hall shelf=10.0.0.1:8001 novel=7\n"
     "REGISTRY who=head/3 how=warm_copy serial=1 setId=0\n";
 const std::string kRequest =
-    "INCOMING who=head/3 corr=42 qos=read grade=basic item=00 validUntilUs=2500000 disk=ab sizeUnits=2 liesIn=0 setSize=1\n";
+    "INCOMING who=head/3 corr=42 qos=read grade=basic item=00 validUntilUs=2500000 disk=ab sizeUnits=2 "
+    "liesIn=0 setSize=1\n";
 
 std::string play(const std::string& input) {
     Instances instances;
@@ -30,8 +34,8 @@
 }
 
 std::string batch(int n, const std::string& events) {
-    return "BEGIN_BATCH tsUs=" + std::to_string(1000000 + n * 1000) + " batch=" + std::to_string(n) + "\n" + events +
-           "OVER_TO_YOU\n";
+    return "BEGIN_BATCH tsUs=" + std::to_string(1000000 + n * 1000) + " batch=" + std::to_string(n) + "\n" +
+           events + "OVER_TO_YOU\n";
 }
 
 std::string complaint(const std::string& input) {
@@ -62,7 +66,8 @@
 }
 
 TEST(Wire, MalformedInputNamesLineAndField) {
-    const auto text = complaint(batch(1, kUp + kList) + batch(2, "INCOMING who=head/3 corr=x validUntilUs=9\n"));
+    const auto text =
+        complaint(batch(1, kUp + kList) + batch(2, "INCOMING who=head/3 corr=x validUntilUs=9\n"));
     EXPECT_NE(text.find("line 8"), std::string::npos) << text;
     EXPECT_NE(text.find("corr"), std::string::npos) << text;
     EXPECT_NE(complaint("HELLO\n"), "");
@@ -90,7 +95,8 @@
     int complaints = 0;
     for (int i = 0; i < 400; ++i) {
         std::string bad = good;
-        for (int k = 0; k < 3; ++k) bad[random() % bad.size()] = static_cast<char>(32 + random() % 95);
+        for (int k = 0; k < 3; ++k)
+            bad[random() % bad.size()] = static_cast<char>(32 + random() % 95);
         complaints += complaint(bad).empty() ? 0 : 1;
     }
     EXPECT_GT(complaints, 50);
--- a/tests/admin/admin_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -20,14 +20,16 @@
                 {[this] { return ready; },
                  [&rig] {
                      admin::AdminMetrics f{{},
-                                          rig.engine.counters(),
-                                          rig.engine.openRequests(),
-                                          rig.engine.nodeCount(),
-                                          rig.engine.avoidedNodes()};
-                     for (const auto& c : rig.engine.settings().classes) f.classes.push_back(c.name);
+                                           rig.engine.counters(),
+                                           rig.engine.openRequests(),
+                                           rig.engine.nodeCount(),
+                                           rig.engine.avoidedNodes()};
+                     for (const auto& c : rig.engine.settings().classes)
+                         f.classes.push_back(c.name);
                      return f;
                  },
-                 [&rig](const std::string& node, bool out) { return rig.engine.setAdminDrain(node, out); }}) {}
+                 [&rig](const std::string& node, bool out) { return rig.engine.setAdminDrain(node, out); }}) {
+    }
     ~Office() { calls.sessionManager().closeListener(), calls.sessionManager().stop(); }
     // The whole answer to one call.
     std::string call(const std::string& text) {
@@ -172,7 +174,8 @@
         const std::string all(std::istreambuf_iterator<char>(in), {});
         std::istringstream fields(all.substr(all.rfind(')') + 2));
         std::string skipped;
-        for (int i = 0; i < 11; ++i) fields >> skipped;
+        for (int i = 0; i < 11; ++i)
+            fields >> skipped;
         double user = 0, system = 0;
         fields >> user >> system;
         return (user + system) / double(sysconf(_SC_CLK_TCK));
--- a/tests/cli/cli_test.cpp
+++ b/tests/cli/cli_test.cpp
@@ -4,8 +4,8 @@
 #include <boost/asio/write.hpp>
 #include <thread>
 
-#include "cli/command.h"
 #include "admin/admin_client.h"
+#include "cli/command.h"
 #include "support/process_support.h"
 
 using namespace wingproxy;
@@ -25,7 +25,8 @@
     std::FILE* pipe = popen(line.c_str(), "r");
     REQUIRE(pipe);
     char piece[4096];
-    for (std::size_t n; (n = fread(piece, 1, sizeof piece, pipe)) > 0;) ran.text.append(piece, n);
+    for (std::size_t n; (n = fread(piece, 1, sizeof piece, pipe)) > 0;)
+        ran.text.append(piece, n);
     const int status = pclose(pipe);
     ran.code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
     return ran;
@@ -92,7 +93,8 @@
     tcp::acceptor silent(io,
                          tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));  // its queue takes the call
     const config::Endpoint at{"127.0.0.1", silent.local_endpoint().port()};
-    const auto none = admin::sendAdminRequest(at, {admin::AdminRequest::Kind::Ready, ""}, std::chrono::milliseconds(50));
+    const auto none =
+        admin::sendAdminRequest(at, {admin::AdminRequest::Kind::Ready, ""}, std::chrono::milliseconds(50));
     CHECK(!none.reply);
     CHECK(none.why == "no answer in 50 ms");
     std::thread noise([&] {
@@ -108,10 +110,12 @@
 // What the command says is what the front reads: both stand beside each other in src/operation.
 TEST_CASE("every call is read as it is said") {
     using admin::AdminRequest;
-    for (const auto kind : {AdminRequest::Kind::Ready, AdminRequest::Kind::Vars, AdminRequest::Kind::Detach, AdminRequest::Kind::Attach}) {
+    for (const auto kind : {AdminRequest::Kind::Ready, AdminRequest::Kind::Vars, AdminRequest::Kind::Detach,
+                            AdminRequest::Kind::Attach}) {
         const bool ofNode = kind == AdminRequest::Kind::Detach || kind == AdminRequest::Kind::Attach;
         const auto said = admin::encodeAdminRequest({kind, ofNode ? "s-1" : ""});
-        const auto read = std::get<AdminRequest>(admin::parseAdminRequest(said.method, said.target, said.body));
+        const auto read =
+            std::get<AdminRequest>(admin::parseAdminRequest(said.method, said.target, said.body));
         CHECK(read.kind == kind);
         CHECK(read.node == (ofNode ? "s-1" : ""));
     }
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -1,14 +1,17 @@
 // Configuration and endpoint lists: what is accepted, what is rejected, and which field the error names.
+#include "config/config.h"
+
 #include <doctest/doctest.h>
 
-#include "config/config.h"
 #include "config/operator.h"
 
 using namespace wingproxy;
 
 namespace {
 
-std::string configText() { return config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json"); }
+std::string configText() {
+    return config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json");
+}
 
 std::string replaced(std::string text, const std::string& from, const std::string& to) {
     const auto at = text.find(from);
@@ -20,7 +23,9 @@
 std::string complaint(F&& f) {
     try {
         f();
-    } catch (const config::ConfigError& bad) { return bad.what(); }
+    } catch (const config::ConfigError& bad) {
+        return bad.what();
+    }
     return "";
 }
 
@@ -110,7 +115,8 @@
         {"\"agent\":{\"listen\":\"127.0.0.1:0\"}", "\"agent\":{\"listen\":\"x\"}", "agent.listen"},
     };
     for (const auto& c : cases) {
-        const auto what = complaint([&] { config::parseOperatorConfig(replaced(good, c.from, c.to), settings); });
+        const auto what =
+            complaint([&] { config::parseOperatorConfig(replaced(good, c.from, c.to), settings); });
         CHECK_MESSAGE(what.find(c.names) == 0, what);
     }
     const auto example = config::readFile(std::string(WINGPROXY_SOURCE) + "/deploy/operator.example.json");
--- a/tests/core/reducer_test.cpp
+++ b/tests/core/reducer_test.cpp
@@ -14,7 +14,8 @@
 // One input and the end of its batch.
 Effects step(State& state, Micros now, Input input) {
     auto all = reduce(state, now, std::move(input));
-    for (auto& e : reduce(state, now, BatchEnded{})) all.push_back(std::move(e));
+    for (auto& e : reduce(state, now, BatchEnded{}))
+        all.push_back(std::move(e));
     return all;
 }
 
@@ -44,7 +45,9 @@
     return out;
 }
 
-core::AttemptFinished ended(RequestId id, int attempt, Outcome outcome) { return {id, attempt, outcome, 0, 0, {}}; }
+core::AttemptFinished ended(RequestId id, int attempt, Outcome outcome) {
+    return {id, attempt, outcome, 0, 0, {}};
+}
 
 }  // namespace
 
@@ -75,7 +78,8 @@
             starts = of<StartAttempt>(m.wakeAt(m.now + 10 * kMs));
     }
     REQUIRE(!numbers.empty());
-    for (std::size_t i = 0; i < numbers.size(); ++i) CHECK(numbers[i] == int(i));
+    for (std::size_t i = 0; i < numbers.size(); ++i)
+        CHECK(numbers[i] == int(i));
     CHECK(numbers.size() <= 3);
     CHECK(m.state.openRequests() == 0);  // and it had its one final answer
     const auto& c = m.state.counters();
@@ -135,9 +139,11 @@
     CHECK(start.timeoutAt == m.now + 2'000 * kMs);
     // Already told to drain, it serves on for a while: counted from when that was read, again or not.
     const auto told = m.now;
-    m.put(EndpointListReceived{test::nodes({test::node("n0", 0, NodeState::Draining)}, EndpointListKind::Delta)});
+    m.put(EndpointListReceived{
+        test::nodes({test::node("n0", 0, NodeState::Draining)}, EndpointListKind::Delta)});
     m.wakeAt(told + test::settings().drainGraceUs / 2);
-    m.put(EndpointListReceived{test::nodes({test::node("n0", 0, NodeState::Draining)}, EndpointListKind::Delta)});
+    m.put(EndpointListReceived{
+        test::nodes({test::node("n0", 0, NodeState::Draining)}, EndpointListKind::Delta)});
     const auto last = of<StartAttempt>(m.take(2)).at(0);
     CHECK(last.firstByteBy == told + test::settings().drainGraceUs * 8 / 10);
 }
@@ -148,7 +154,8 @@
         m.put(EndpointListReceived{test::nodes({test::node("n0", 0, state)}, EndpointListKind::Delta)});
         m.wakeAt(m.now + test::settings().drainGraceUs);
         CHECK(of<StartAttempt>(m.take(1)).empty());
-        for (int t = 0; t < 300; ++t) CHECK(of<StartAttempt>(m.wakeAt(m.now + 10 * kMs)).empty());
+        for (int t = 0; t < 300; ++t)
+            CHECK(of<StartAttempt>(m.wakeAt(m.now + 10 * kMs)).empty());
         CHECK(m.state.openRequests() == 0);  // and yet it was answered
     }
 }
@@ -168,7 +175,8 @@
         r.volume = std::string("v").append(std::to_string(id));
         r.deadlineUs = m.now + 3'600'000 * kMs;
         const auto starts = of<StartAttempt>(m.put(RequestReceived{r}));
-        for (const auto& start : starts) m.put(ended(id, start.attempt, Outcome::Ok));
+        for (const auto& start : starts)
+            m.put(ended(id, start.attempt, Outcome::Ok));
         if (id == 2'000) most = m.state.tableEntries();
     }
     CHECK(m.state.counters().all().delivered > 5'900);
@@ -184,14 +192,16 @@
     m.put(AdminOverrideChanged{"n0", {true, m.now}});
     CHECK(m.state.avoidedNodes() == 1);
     const auto list = [&](NodeState state, Micros started) {
-        m.put(EndpointListReceived{test::nodes({test::node("n0", 0, state, started)}, EndpointListKind::Delta)});
+        m.put(EndpointListReceived{
+            test::nodes({test::node("n0", 0, state, started)}, EndpointListKind::Delta)});
     };
     m.now += 2'000 * kMs;
     list(NodeState::Removed, 0);
     CHECK(m.state.everListed("n0"));
     list(NodeState::Ready, m.now);
     CHECK(m.state.avoidedNodes() == 1);
-    m.put(EndpointListReceived{test::nodes({test::node("n0", 0, NodeState::Ready, m.now), test::node("n1", 1)})});
+    m.put(EndpointListReceived{
+        test::nodes({test::node("n0", 0, NodeState::Ready, m.now), test::node("n1", 1)})});
     CHECK(m.state.avoidedNodes() == 1);
     CHECK(of<StartAttempt>(m.take(1)).empty());
     m.put(AdminOverrideChanged{"n0", {false, m.now}});
@@ -199,7 +209,8 @@
     CHECK(of<StartAttempt>(m.take(2)).size() == 1);
     // Back by hand, it starts as a node that just came up: no more than the rule's units at once.
     int sent = 0;
-    for (RequestId id = 10; id < 60; ++id) sent += int(of<StartAttempt>(m.take(id)).size());
+    for (RequestId id = 10; id < 60; ++id)
+        sent += int(of<StartAttempt>(m.take(id)).size());
     CHECK(sent * 2 <= 12);
 }
 
@@ -232,7 +243,8 @@
     };
     const auto runTo = [&](Micros until) {
         std::size_t turns = 0;
-        for (; state.nextWake() <= until; ++turns) now = std::max(now, state.nextWake()), put(TimerExpired{});
+        for (; state.nextWake() <= until; ++turns)
+            now = std::max(now, state.nextWake()), put(TimerExpired{});
         now = until;
         return turns;
     };
@@ -241,7 +253,8 @@
         list.push_back(test::node(std::string("n").append(std::to_string(i)), i));
     put(EndpointListReceived{test::nodes(list)});
     runTo(now + 11'000 * kMs);
-    // Hellos to silent peers, every 0.5 s: to all for 2 s, to the three holders of a shutdown notice for 10 s.
+    // Hellos to silent peers, every 0.5 s: to all for 2 s, to the three holders of a shutdown notice for 10
+    // s.
     CHECK(told <= 4 * (kHosts - 1) + 3 * 21);
     told = bytes = 0;
     CHECK(runTo(now + 1'000 * kMs) <= 101);  // one turn a tick, however many nodes there are
--- a/tests/fleet/fleet_process_test.cpp
+++ b/tests/fleet/fleet_process_test.cpp
@@ -22,18 +22,21 @@
 }
 
 void startAll(Fleet& fleet) {
-    for (std::size_t i = 0; i < fleet.fronts.size(); ++i) fleet.start(i);
-    for (std::size_t i = 0; i < fleet.fronts.size(); ++i) fleet.untilFleetSays(i, "lends=true");
+    for (std::size_t i = 0; i < fleet.fronts.size(); ++i)
+        fleet.start(i);
+    for (std::size_t i = 0; i < fleet.fronts.size(); ++i)
+        fleet.untilFleetSays(i, "lends=true");
 }
 
 const Link kBad{30, 10, std::chrono::milliseconds(2), std::chrono::milliseconds(20), false};
 
 }  // namespace
 
-// Guards the shutdown notice on real sockets: without it the front would wait for its lease, as front 3, which died
-// and knows of no front 0 before it, never answers.
+// Guards the shutdown notice on real sockets: without it the front would wait for its lease, as front 3,
+// which died and knows of no front 0 before it, never answers.
 TEST_CASE(
-    "processes: a front that left in order is clear by its shutdown notice, though a peer is dead and links lose "
+    "processes: a front that left in order is clear by its shutdown notice, though a peer is dead and links "
+    "lose "
     "30%") {
     Fleet fleet(4, 5);
     fleet.relay->all(kBad);
@@ -52,8 +55,8 @@
     fleet.start(0);
     fleet.untilFleetSays(0, "clear_by=shutdown_notice");
     CHECK(std::chrono::steady_clock::now() - asked < std::chrono::seconds(10));
-    CHECK(
-        !fleet.fronts[0]->said("lends=true"));  // not before front 3, which keeps shutdown notices too, knows of it
+    CHECK(!fleet.fronts[0]->said(
+        "lends=true"));  // not before front 3, which keeps shutdown notices too, knows of it
     fleet.start(3);
     askUntil(
         fleet, [&] { return fleet.says(0, "lends=true"); }, "it lends again");
@@ -63,7 +66,8 @@
 }
 
 TEST_CASE(
-    "processes: killed while a link is cut, a front waits for its lease, and the limit holds over all lives") {
+    "processes: killed while a link is cut, a front waits for its lease, and the limit holds over all "
+    "lives") {
     Fleet fleet(3, 7);
     fleet.relay->all(kBad);
     startAll(fleet);
--- a/tests/fleet/restart_recovery_test.cpp
+++ b/tests/fleet/restart_recovery_test.cpp
@@ -15,8 +15,8 @@
 #include <unordered_set>
 
 using namespace wingproxy;
-using fleet::RestartRecovery;
 using fleet::Micros;
+using fleet::RestartRecovery;
 
 namespace {
 
@@ -27,13 +27,15 @@
 // Hosts whose datagrams arrive at once.
 struct Joined {
     explicit Joined(int n) {
-        for (int i = 0; i < n; ++i) hosts.emplace_back(terms(i, n), now);
+        for (int i = 0; i < n; ++i)
+            hosts.emplace_back(terms(i, n), now);
     }
     std::size_t settle() {  // returns the datagrams told
         std::deque<std::pair<int, fleet::OutgoingDatagram>> wire;
         for (std::size_t i = 0; i < hosts.size(); ++i)
             if (alive(int(i)))
-                for (auto& m : hosts[i].dueDatagrams(now)) wire.emplace_back(int(i), m);
+                for (auto& m : hosts[i].dueDatagrams(now))
+                    wire.emplace_back(int(i), m);
         std::size_t told = 0;
         for (; !wire.empty(); wire.pop_front(), ++told) {
             const auto [from, m] = wire.front();
@@ -46,7 +48,8 @@
     }
     std::size_t run(Micros span) {
         std::size_t told = 0;
-        for (const auto end = now + span; now < end; now += 10 * kMs) told += settle();
+        for (const auto end = now + span; now < end; now += 10 * kMs)
+            told += settle();
         return told;
     }
     bool alive(int i) const { return !dead.contains(i); }
@@ -65,13 +68,14 @@
 TEST_CASE("a host that left in order is clear with its first answer, and asks three of 300 for it") {
     Joined fleet(300);
     fleet.run(kSecond);
-    for (const auto& h : fleet.hosts) REQUIRE((h.isRecovered(fleet.now) && h.mayLend(fleet.now)));
+    for (const auto& h : fleet.hosts)
+        REQUIRE((h.isRecovered(fleet.now) && h.mayLend(fleet.now)));
     CHECK(fleet.run(20 * kSecond) == 0);  // and then it is silent
     auto& leaver = fleet.hosts[7];
     leaver.startShutdown(fleet.now + 3 * kSecond, fleet.now);
     CHECK(leaver.mayLend(fleet.now));
     const auto notices = fleet.run(1'100 * kMs);
-    CHECK(notices == 9);            // to three, every 0.5 s
+    CHECK(notices == 9);                // to three, every 0.5 s
     CHECK(!leaver.mayLend(fleet.now));  // a lease would outlast it
     fleet.run(2 * kSecond);
     fleet.restart(7);
@@ -84,7 +88,9 @@
     CHECK(fleet.largest <= RestartRecovery::kMaxDatagramBytes);
 }
 
-TEST_CASE("a host that started again before its shutdown notice's time waits for that, and no longer than a lease") {
+TEST_CASE(
+    "a host that started again before its shutdown notice's time waits for that, and no longer than a "
+    "lease") {
     for (const Micros until : {500 * kMs, 9 * kSecond}) {
         Joined fleet(40);
         fleet.run(kSecond);
@@ -101,7 +107,8 @@
 }
 
 TEST_CASE(
-    "a crash: everyone's answer or a lease, and one dead holder keeps a host from lending, not from spending") {
+    "a crash: everyone's answer or a lease, and one dead holder keeps a host from lending, not from "
+    "spending") {
     Joined fleet(40);
     fleet.run(kSecond);
     const auto holders = fleet.hosts[5].holders();
@@ -157,7 +164,8 @@
     CHECK(a.observeIncarnation(1, 200, kStart + 1) == RestartRecovery::IncarnationStatus::New);
     CHECK(a.observeIncarnation(1, 100, kStart + 2) == RestartRecovery::IncarnationStatus::Stale);
     CHECK(a.observeIncarnation(1, 200, kStart + 3) == RestartRecovery::IncarnationStatus::Known);
-    CHECK(a.observeIncarnation(1, 100, kStart + 4 + RestartRecovery::kStaleIncarnationPeriod) == RestartRecovery::IncarnationStatus::New);
+    CHECK(a.observeIncarnation(1, 100, kStart + 4 + RestartRecovery::kStaleIncarnationPeriod) ==
+          RestartRecovery::IncarnationStatus::New);
     CHECK(a.observeIncarnation(1, 0x80000063u, kStart + 5 + RestartRecovery::kStaleIncarnationPeriod) ==
           RestartRecovery::IncarnationStatus::New);  // numbers go round
     CHECK(a.counters().stale == 1);
@@ -171,7 +179,8 @@
     for (std::size_t n = 0; n < hello.size(); ++n)
         CHECK(a.handleDatagram(1, hello.substr(0, n), kStart).replies.empty());
     CHECK(a.handleDatagram(1, hello + "x", kStart).replies.empty());
-    for (const int from : {0, -1, 3}) CHECK(a.handleDatagram(from, hello, kStart).replies.empty());
+    for (const int from : {0, -1, 3})
+        CHECK(a.handleDatagram(from, hello, kStart).replies.empty());
     for (int tag : {0, 5, 255}) {
         auto wrong = hello;
         wrong[5] = char(tag);
@@ -210,8 +219,9 @@
     Micros now = kStart;
     bool alive = true, leaving = false;
     int starts = 0, leaves = 0, asks = 0;
-    RestartRecovery hosts[3] = {RestartRecovery(terms(0, 3), kStart), RestartRecovery(terms(1, 3), kStart - 20 * kSecond),
-                        RestartRecovery(terms(2, 3), kStart - 20 * kSecond)};
+    RestartRecovery hosts[3] = {RestartRecovery(terms(0, 3), kStart),
+                                RestartRecovery(terms(1, 3), kStart - 20 * kSecond),
+                                RestartRecovery(terms(2, 3), kStart - 20 * kSecond)};
     int lentTo = 0;  // by the life that runs
     Micros lentUntil = 0;
     Micros askedAt[3] = {}, heldUntil[3] = {};
@@ -219,7 +229,8 @@
     template <typename A>
     void serialize(A& a) {
         a(now, alive, leaving, starts, leaves, asks, hosts[0], hosts[1], hosts[2], lentTo, lentUntil);
-        for (int i = 0; i < 3; ++i) a(askedAt[i], heldUntil[i]);
+        for (int i = 0; i < 3; ++i)
+            a(askedAt[i], heldUntil[i]);
         a(wire);
     }
     std::string key() {
@@ -250,7 +261,8 @@
     void told(std::vector<World>& from, const Flying& m) const {
         std::vector<World> all;
         for (auto& w : from) {
-            for (auto& there : deliver(w, m)) all.push_back(std::move(there));
+            for (auto& there : deliver(w, m))
+                all.push_back(std::move(there));
             if (w.wire.size() < mostWire) {
                 all.push_back(w);
                 all.back().wire.push_back(m);
@@ -296,7 +308,8 @@
     std::vector<World> next(const World& w) const {
         std::vector<World> all;
         const auto add = [&](std::vector<World> some) {
-            for (auto& s : some) all.push_back(std::move(s));
+            for (auto& s : some)
+                all.push_back(std::move(s));
         };
         for (std::size_t i = 0; i < w.wire.size(); ++i) {
             auto without = w;
--- a/tests/golden/golden_file.h
+++ b/tests/golden/golden_file.h
@@ -40,7 +40,8 @@
 class RunningHash {
 public:
     void add(std::string_view bytes) {
-        for (const unsigned char byte : bytes) value_ = (value_ ^ byte) * 1099511628211ull;
+        for (const unsigned char byte : bytes)
+            value_ = (value_ ^ byte) * 1099511628211ull;
     }
     std::string hex() const {
         std::ostringstream text;
@@ -91,13 +92,15 @@
 inline std::string differenceFromGoldenFile(const std::string& name, const std::vector<std::string>& lines) {
     if (writesGoldenFiles()) {
         std::string text;
-        for (const auto& line : lines) text += line + "\n";
+        for (const auto& line : lines)
+            text += line + "\n";
         writeGoldenFile(name, text);
         return "";
     }
     std::istringstream golden(readGoldenFile(name));
     std::vector<std::string> expected;
-    for (std::string line; std::getline(golden, line);) expected.push_back(line);
+    for (std::string line; std::getline(golden, line);)
+        expected.push_back(line);
     const std::size_t shared = std::min(lines.size(), expected.size());
     for (std::size_t i = 0; i < shared; ++i)
         if (lines[i] != expected[i])
--- a/tests/golden/golden_handover_test.cpp
+++ b/tests/golden/golden_handover_test.cpp
@@ -13,8 +13,8 @@
 #include <memory>
 #include <set>
 
-#include "support/policy_support.h"
 #include "golden/golden_file.h"
+#include "support/policy_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
@@ -29,7 +29,8 @@
 struct FieldsOfAction {
     static std::string join(std::initializer_list<std::string> fields) {
         std::string text;
-        for (const auto& field : fields) text += " " + field;
+        for (const auto& field : fields)
+            text += " " + field;
         return text;
     }
     std::string operator()(const ForwardRequest& a) const {
@@ -44,7 +45,9 @@
         return join({std::to_string(a.id), std::to_string(a.attempt)});
     }
     std::string operator()(const StartHealthCheck& a) const { return join({a.node}); }
-    std::string operator()(const SendPeerMessage& a) const { return join({std::to_string(a.to), hexOf(a.bytes)}); }
+    std::string operator()(const SendPeerMessage& a) const {
+        return join({std::to_string(a.to), hexOf(a.bytes)});
+    }
     std::string operator()(const SetTimer& a) const {
         return join({std::to_string(a.delayUs), std::to_string(a.token)});
     }
@@ -123,7 +126,8 @@
 };
 
 HandOverSimulation::HandOverSimulation() {
-    for (int host = 0; host < kHosts; ++host) startHost(host);
+    for (int host = 0; host < kHosts; ++host)
+        startHost(host);
     scheduleScript();
 }
 
@@ -174,7 +178,8 @@
                                      node("c", 0, NodeState::Ready, kStart + 3 * kSecond),
                                      node("d", 1, NodeState::Ready, kStart + 6 * kSecond)};
     for (const auto& [host, process] : servingProcess_)
-        give(process, EndpointListReceived{nodes(list, running < kSecond ? EndpointListKind::Full : EndpointListKind::Cached)});
+        give(process, EndpointListReceived{nodes(
+                          list, running < kSecond ? EndpointListKind::Full : EndpointListKind::Cached)});
 }
 
 void HandOverSimulation::arrive() {
@@ -205,7 +210,8 @@
     OpenRequest& open = requests_.at(id);
     open.arrived = true;
     give(open.process, RequestBodyCompleted{id, now_ + 2 * kSecond});
-    for (const auto& [attempt, node] : open.out) serve(id, attempt);
+    for (const auto& [attempt, node] : open.out)
+        serve(id, attempt);
 }
 
 std::vector<std::string> HandOverSimulation::run() {
@@ -246,7 +252,8 @@
     std::string text = "batches=" + std::to_string(batches_) + " hash=" + hash_.hex();
     for (const auto& [host, process] : servingProcess_) {
         const Policy& policy = *processes_[process].policy;
-        text += " kept=" + std::to_string(policy.tableEntries()) + " avoided=" + std::to_string(policy.avoidedNodes());
+        text += " kept=" + std::to_string(policy.tableEntries()) +
+                " avoided=" + std::to_string(policy.avoidedNodes());
     }
     return text;
 }
@@ -254,7 +261,8 @@
 void HandOverSimulation::act(std::size_t process, const Action& action) {
     if (const auto* send = std::get_if<ForwardRequest>(&action)) startAttempt(*send);
     if (const auto* timer = std::get_if<SetTimer>(&action))
-        at(now_ + timer->delayUs, [this, process, token = timer->token] { give(process, TimerFired{token}); });
+        at(now_ + timer->delayUs,
+           [this, process, token = timer->token] { give(process, TimerFired{token}); });
     if (const auto* cancel = std::get_if<CancelAttempt>(&action))
         at(now_ + kMs, [this, c = *cancel] { endAttempt(c.id, c.attempt, Outcome::Cancelled, 0); });
     if (const auto* probe = std::get_if<StartHealthCheck>(&action)) {
@@ -278,7 +286,8 @@
     OpenRequest& open = requests_.at(send.id);
     const int attempt = open.attempts++;
     open.out[attempt] = send.node;
-    if (open.arrived) serve(send.id, attempt);
+    if (open.arrived)
+        serve(send.id, attempt);
     else if (random_.chance(15)) {
         // The node ends it while its body is on its way.
         const Outcome outcome = random_.chance(50) ? Outcome::Rejected : Outcome::Reset;
--- a/tests/golden/golden_stored_data_test.cpp
+++ b/tests/golden/golden_stored_data_test.cpp
@@ -5,12 +5,12 @@
 // How the files are written anew stands in golden_file.h.
 #include <doctest/doctest.h>
 
-#include "support/policy_support.h"
 #include "core/reducer.h"
 #include "fleet/restart_recovery.h"
 #include "golden/golden_file.h"
 #include "hot_restart/snapshot.h"
 #include "policy/peer_message.h"
+#include "support/policy_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
@@ -40,7 +40,8 @@
     RunningState() : state(settings(0, kHosts), core::Limits{250 * kMs}, kBegin) {}
     core::Effects put(Micros now, core::Input input) {
         auto effects = core::reduce(state, now, std::move(input));
-        for (auto& e : core::reduce(state, now, core::BatchEnded{})) effects.push_back(std::move(e));
+        for (auto& e : core::reduce(state, now, core::BatchEnded{}))
+            effects.push_back(std::move(e));
         return effects;
     }
     core::State state;
@@ -61,7 +62,7 @@
         if (now % (40 * kMs) != 0) continue;
         const int number = static_cast<int>(++id);
         answer(now, host.put(now, RequestReceived{request(id, number % 4, number % 2, now, 1 + number % 5,
-                                                        number % 2, kHosts)}));
+                                                          number % 2, kHosts)}));
     }
     const auto volume = peer::hashOf("vol-limited");
     std::string message = peer::header(7'001);
@@ -98,7 +99,8 @@
 
 std::string datagram(std::initializer_list<peer::Record> records) {
     std::string message = peer::header(kSenderLife);
-    for (const auto& record : records) peer::add(message, record);
+    for (const auto& record : records)
+        peer::add(message, record);
     return message;
 }
 
@@ -144,12 +146,14 @@
 /// The datagrams of the golden file, which are those of the version that wrote it.
 Datagrams goldenDatagrams() {
     std::vector<std::string> lines;
-    for (const auto& [name, bytes] : constructedDatagrams()) lines.push_back(name + " " + hexOf(bytes));
+    for (const auto& [name, bytes] : constructedDatagrams())
+        lines.push_back(name + " " + hexOf(bytes));
     const std::string difference = differenceFromGoldenFile("data/datagrams.txt", lines);
     CHECK_MESSAGE(difference.empty(), difference);
     Datagrams all;
     std::istringstream text(readGoldenFile("data/datagrams.txt"));
-    for (std::string name, hex; text >> name >> hex;) all[name] = bytesOfHex(hex);
+    for (std::string name, hex; text >> name >> hex;)
+        all[name] = bytesOfHex(hex);
     return all;
 }
 
@@ -174,11 +178,14 @@
 struct LongRunningHost : Host {
     LongRunningHost() : Host(settings(0, kHosts), kBegin) {
         std::vector<NodeInfo> list;
-        for (int i = 0; i < 30; ++i) list.push_back(node(std::string("n").append(std::to_string(i)), 0));
+        for (int i = 0; i < 30; ++i)
+            list.push_back(node(std::string("n").append(std::to_string(i)), 0));
         batch({nodes(list)});
         runTo(kLendingFrom);
     }
-    std::vector<Action> hear(int from, const std::string& bytes) { return batch({PeerMessageReceived{from, bytes}}); }
+    std::vector<Action> hear(int from, const std::string& bytes) {
+        return batch({PeerMessageReceived{from, bytes}});
+    }
 };
 
 }  // namespace
@@ -204,7 +211,8 @@
     REQUIRE(core::restore(successor.state, snapshot.engine.core));
     CHECK(successor.state.recovery().incarnation() == 100'001);
     CHECK(successor.state.recovery().isRecovered(kHandedOverAt));
-    successor.put(kHandedOverAt, EndpointListReceived{nodes(snapshot.engine.core.listed, EndpointListKind::Cached)});
+    successor.put(kHandedOverAt,
+                  EndpointListReceived{nodes(snapshot.engine.core.listed, EndpointListKind::Cached)});
     Request fresh = request(9'000, 0, 1, kHandedOverAt, 2, 0, kHosts);
     fresh.volume = "vol-with-a-full-reserve";
     const auto effects = successor.put(kHandedOverAt + 10 * kMs, RequestReceived{fresh});
@@ -216,7 +224,8 @@
 
 TEST_CASE("golden snapshot: the restored module does what the version before did") {
     const std::string bytes = golden("snapshot.hex", hot_restart::encode(constructedSnapshot()));
-    const auto snapshot = std::get<hot_restart::Snapshot>(hot_restart::decode(bytes, "front-0", kHandedOverAt));
+    const auto snapshot =
+        std::get<hot_restart::Snapshot>(hot_restart::decode(bytes, "front-0", kHandedOverAt));
     Host successor(settings(0, kHosts), kHandedOverAt);
     REQUIRE(successor.policy.restore(snapshot.engine.core.module));
     std::vector<std::string> lines;
@@ -291,7 +300,8 @@
         if (heardOfMember) host.hear(2, datagrams.at("member"));
         host.runTo(kLendingFrom + 100 * kMs);
         std::vector<AnyEvent> burst;
-        for (RequestId id = 2; id < 40; ++id) burst.push_back(request(id, 0, 0, host.now, 2, 0, kHosts));
+        for (RequestId id = 2; id < 40; ++id)
+            burst.push_back(request(id, 0, 0, host.now, 2, 0, kHosts));
         const auto actions = host.batch(burst);
         const auto asks = withTag(peer::kAsk, recordsTo(2, actions));
         CHECK(asks.size() == (heardOfMember ? 1 : 0));
@@ -332,14 +342,16 @@
     keeper.batch({PeerMessageReceived{0, datagrams.at("shutdown_notice")}});
     CHECK(keeper.policy.recovery().counters().storedNotices == 1);
     keeper.runTo(kBegin);
-    const auto welcomeAfter = only<SendPeerMessage>(keeper.batch({PeerMessageReceived{0, datagrams.at("hello")}}));
+    const auto welcomeAfter =
+        only<SendPeerMessage>(keeper.batch({PeerMessageReceived{0, datagrams.at("hello")}}));
     REQUIRE(!welcomeAfter.empty());
     CHECK(hexOf(welcomeAfter[0].bytes) == hexOf(datagrams.at("welcome_after")));
 
     Host stranger(settings(2, kHosts), kBegin - 20 * kSecond);
     stranger.batch();
     stranger.runTo(kBegin);
-    const auto welcome = only<SendPeerMessage>(stranger.batch({PeerMessageReceived{0, datagrams.at("hello")}}));
+    const auto welcome =
+        only<SendPeerMessage>(stranger.batch({PeerMessageReceived{0, datagrams.at("hello")}}));
     REQUIRE(!welcome.empty());
     CHECK(hexOf(welcome[0].bytes) == hexOf(datagrams.at("welcome")));
 }
@@ -351,7 +363,8 @@
     REQUIRE(hellos.size() == 2);
     CHECK(hellos[0].bytes == datagrams.at("hello"));
     byNotice.batch({PeerMessageReceived{1, datagrams.at("welcome_after")}});
-    CHECK(byNotice.policy.recovery().recoveryCause() == fleet::RestartRecovery::RecoveryCause::ShutdownNotice);
+    CHECK(byNotice.policy.recovery().recoveryCause() ==
+          fleet::RestartRecovery::RecoveryCause::ShutdownNotice);
     CHECK(!byNotice.policy.recovery().isRecovered(kBegin));
     CHECK(byNotice.policy.recovery().isRecovered(kBegin + 600 * kMs));  // two seconds after the notice
 
@@ -360,5 +373,6 @@
     CHECK(!byEveryone.policy.recovery().isRecovered(kBegin));
     byEveryone.batch({PeerMessageReceived{1, datagrams.at("welcome_after")}});
     CHECK(byEveryone.policy.recovery().isRecovered(kBegin));
-    CHECK(byEveryone.policy.recovery().recoveryCause() == fleet::RestartRecovery::RecoveryCause::AllPeersReplied);
+    CHECK(byEveryone.policy.recovery().recoveryCause() ==
+          fleet::RestartRecovery::RecoveryCause::AllPeersReplied);
 }
--- a/tests/golden/golden_trace_test.cpp
+++ b/tests/golden/golden_trace_test.cpp
@@ -64,7 +64,8 @@
 TEST(GoldenTrace, RepliesAreThoseOfTheVersionThatWroteTheFile) {
     std::vector<std::string> lines;
     for (const auto& settings : scenarios())
-        for (const auto& line : trace(settings)) lines.push_back(line);
+        for (const auto& line : trace(settings))
+            lines.push_back(line);
     EXPECT_EQ(differenceFromGoldenFile("golden_trace.txt", lines), "");
 }
 
--- a/tests/golden/wire_simulation.cpp
+++ b/tests/golden/wire_simulation.cpp
@@ -66,7 +66,8 @@
 std::string withPrefix(const std::string& prefix, const std::string& settings) {
     std::istringstream words(settings);
     std::string out;
-    for (std::string word; words >> word;) out += " " + prefix + word;
+    for (std::string word; words >> word;)
+        out += " " + prefix + word;
     return out;
 }
 
@@ -100,7 +101,8 @@
     }
     for (int host = 0; host < settings.hosts; ++host)
         at(kStart + host * 7 * kMillisecond, [this, host] { startHost(host); });
-    for (Micros from = kStart; from < end_; from += kScriptLength) scheduleNodeScript(from);
+    for (Micros from = kStart; from < end_; from += kScriptLength)
+        scheduleNodeScript(from);
     schedulePartition(kStart);
     at(kStart + 200 * kMillisecond, [this] { scheduleArrival(); });
 }
@@ -122,7 +124,8 @@
         instances_.serveBatch(input, reply);
         onBatch(reply);
         std::istringstream lines(reply);
-        for (std::string line; std::getline(lines, line);) act(ReplyLine(line));
+        for (std::string line; std::getline(lines, line);)
+            act(ReplyLine(line));
     }
 }
 
@@ -182,8 +185,10 @@
     state.up = true;
     ++state.run;
     say("UP who=" + who(host) + settingsOf(host));
-    if (!settings_.pollsEndpointList) sendWholeList(host, host % 2 == 0 ? "warm_copy" : "total");
-    else if (state.run > 1) sendWholeList(host, "warm_copy");
+    if (!settings_.pollsEndpointList)
+        sendWholeList(host, host % 2 == 0 ? "warm_copy" : "total");
+    else if (state.run > 1)
+        sendWholeList(host, "warm_copy");
 }
 
 void WireSimulation::stopHost(int host) {
@@ -281,7 +286,8 @@
     ++listVersion_;
     if (settings_.pollsEndpointList) return;
     std::vector<const Node*> entries;
-    for (const auto& id : changed) entries.push_back(&node(id));
+    for (const auto& id : changed)
+        entries.push_back(&node(id));
     const int list = putList(entries);
     for (int host = 0; host < settings_.hosts; ++host) {
         if (random_.chance(5)) continue;  // the change is missed until the next whole list
@@ -303,8 +309,10 @@
     at(now_ + random_.between(3, 20) * kMillisecond, [this, host, run, lost] {
         const Host& state = hosts_[static_cast<std::size_t>(host)];
         if (!state.up || state.run != run) return;
-        if (lost) sayTo(host, "REGISTRY", field("how", "lost") + field("serial", listVersion_));
-        else sendWholeList(host, "total");
+        if (lost)
+            sayTo(host, "REGISTRY", field("how", "lost") + field("serial", listVersion_));
+        else
+            sendWholeList(host, "total");
     });
 }
 
@@ -404,13 +412,18 @@
     if (action.name == "OK") return;
     if (action.name == "EXCEPTION") throw std::runtime_error("the module threw: " + action.fields.at("text"));
     const int host = std::stoi(action.fields.at("who").substr(5));
-    if (action.name == "DISPATCH") dispatch(host, action);
-    else if (action.name == "TURN_AWAY") turnedAway(action);
+    if (action.name == "DISPATCH")
+        dispatch(host, action);
+    else if (action.name == "TURN_AWAY")
+        turnedAway(action);
     else if (action.name == "ERROR")
         requests_.at(static_cast<std::uint64_t>(action.integer("corr"))).over = true;
-    else if (action.name == "NOTIFY") notify(host, action);
-    else if (action.name == "PROBE") probe(host, action);
-    else if (action.name == "TAIL") answerListRequest(host);
+    else if (action.name == "NOTIFY")
+        notify(host, action);
+    else if (action.name == "PROBE")
+        probe(host, action);
+    else if (action.name == "TAIL")
+        answerListRequest(host);
     else if (action.name == "ABORT_ATTEMPT") {
         const Attempt attempt{static_cast<std::uint64_t>(action.integer("corr")),
                               static_cast<int>(action.integer("shot")), "", 0};
@@ -508,8 +521,10 @@
         if (random_.chance(2) && !bytes.empty()) {
             const auto place =
                 static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(bytes.size())));
-            if (random_.chance(50)) bytes.resize(place);
-            else bytes[place] = static_cast<char>(random_.below(256));
+            if (random_.chance(50))
+                bytes.resize(place);
+            else
+                bytes[place] = static_cast<char>(random_.below(256));
         }
         const int copies = random_.chance(2) ? 2 : 1;
         for (int copy = 0; copy < copies; ++copy)
--- a/tests/health/health_test.cpp
+++ b/tests/health/health_test.cpp
@@ -1,8 +1,8 @@
 // Health endpoints: what balancers read.
-#include <doctest/doctest.h>
-
 #include "health/health.h"
 
+#include <doctest/doctest.h>
+
 using namespace wingproxy;
 
 TEST_CASE("health: what balancers are told") {
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -1,10 +1,11 @@
 // From one process of a front to the next: the bytes, what the rules allow both together, and whole
 // processes.
+#include "hot_restart/hot_restart.h"
+
 #include <cstring>
 
-#include "hot_restart/hot_restart.h"
-#include "support/process_support.h"
 #include "support/policy_support.h"
+#include "support/process_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
@@ -29,7 +30,8 @@
         return std::holds_alternative<Refused>(decode(b, front, at ? at : now));
     };
     CHECK(!refused(bytes));
-    for (std::size_t n = 0; n < bytes.size(); ++n) REQUIRE(refused(std::string_view(bytes).substr(0, n)));
+    for (std::size_t n = 0; n < bytes.size(); ++n)
+        REQUIRE(refused(std::string_view(bytes).substr(0, n)));
     for (std::size_t n = 0; n < bytes.size(); ++n) {
         auto changed = bytes;
         changed[n] = char(changed[n] ^ 0x20);
@@ -97,7 +99,8 @@
             for (Host* h : {&old, fresh ? &*fresh : nullptr}) {
                 if (!h || (h == &old && fresh && draw(3) > 0)) continue;
                 auto actions = h->runTo(t);
-                for (auto& a : h->batch({request(++id, 0, 0, t, 2, int(draw(2)))})) actions.push_back(a);
+                for (auto& a : h->batch({request(++id, 0, 0, t, 2, int(draw(2)))}))
+                    actions.push_back(a);
                 for (const auto& s : only<ForwardRequest>(actions)) {
                     sent += 2;
                     h->batch({ended(s.id, 0, s.node, Outcome::Ok)});
@@ -119,18 +122,22 @@
     old.batch({nodes({node("a", 0, NodeState::Ready, kStart)})});
     double sent = 0;
     const auto ask = [&](Host& h, RequestId id) {
-        for (const auto& s : only<ForwardRequest>(h.batch({request(id, 0, 1, h.now)}))) sent += s.id > 0 ? 2 : 0;
+        for (const auto& s : only<ForwardRequest>(h.batch({request(id, 0, 1, h.now)})))
+            sent += s.id > 0 ? 2 : 0;
     };
-    for (RequestId id = 1; id < 4; ++id) ask(old, id);
+    for (RequestId id = 1; id < 4; ++id)
+        ask(old, id);
     const auto before = sent;
     CHECK(before > 0);
     const auto bytes = old.policy.takeSnapshot(kStart);
-    for (RequestId id = 10; id < 30; ++id) ask(old, id);
+    for (RequestId id = 10; id < 30; ++id)
+        ask(old, id);
     CHECK(sent == before);
     Host fresh(settings, kStart);
     REQUIRE(fresh.policy.restore(bytes));
     fresh.batch({nodes({node("a", 0, NodeState::Ready, kStart)}, EndpointListKind::Cached)});
-    for (RequestId id = 40; id < 80; ++id) ask(fresh, id);
+    for (RequestId id = 40; id < 80; ++id)
+        ask(fresh, id);
     CHECK(sent <= settings.slowStartUnits);
 }
 
--- a/tests/http/bodies_test.cpp
+++ b/tests/http/bodies_test.cpp
@@ -25,8 +25,10 @@
     void count() {
         socket.async_read_some(asio::buffer(in), [self = shared_from_this()](auto error, std::size_t n) {
             self->received += n;
-            if (error) self->ended = true;
-            else self->count();
+            if (error)
+                self->ended = true;
+            else
+                self->count();
         });
     }
     void send(std::size_t bytes) {
@@ -98,8 +100,9 @@
     // A node that keeps nothing: the stand-in's own reader would hold all of it.
     std::shared_ptr<Pump> taker, giver;
     tcp::acceptor plain(rig.io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
-    auto list = config::EndpointListing{{EndpointListKind::Delta, 2, {{"s-0", "z", 0, 1, NodeState::Ready, 1}}},
-                                 {{"127.0.0.1", plain.local_endpoint().port()}}};
+    auto list =
+        config::EndpointListing{{EndpointListKind::Delta, 2, {{"s-0", "z", 0, 1, NodeState::Ready, 1}}},
+                                {{"127.0.0.1", plain.local_endpoint().port()}}};
     rig.engine.endpointListReceived(std::move(list));
     plain.async_accept([&](auto, tcp::socket socket) {
         taker = std::make_shared<Pump>(std::move(socket));
@@ -244,7 +247,8 @@
     CHECK(rig.engine.openRequests() == 1);
     // A client that leaves in the middle takes its node's connection along.
     slow.close();
-    rig.until([&] { return rig.engine.openRequests() == 0 && rig.pool.open() == 1; });  // the other node's is kept
+    rig.until(
+        [&] { return rig.engine.openRequests() == 0 && rig.pool.open() == 1; });  // the other node's is kept
     CHECK(rig.engine.counters().disconnected == 1);
 }
 
@@ -298,7 +302,8 @@
     Micros now = kStart;
     const auto put = [&](core::Input input) {
         auto all = core::reduce(state, now, std::move(input));
-        for (auto& e : core::reduce(state, now, core::BatchEnded{})) all.push_back(std::move(e));
+        for (auto& e : core::reduce(state, now, core::BatchEnded{}))
+            all.push_back(std::move(e));
         return all;
     };
     const auto count = [](const core::Effects& effects, auto kind) {
--- a/tests/http/endings_test.cpp
+++ b/tests/http/endings_test.cpp
@@ -1,7 +1,7 @@
 // What is owed when something ends: clients that leave, connections that are closed, answers without a
 // length, repeats at the end of their window. Each test brings about the bad order itself.
-#include "support/process_support.h"
 #include "support/policy_support.h"
+#include "support/process_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
@@ -26,7 +26,8 @@
     }
     static config::Config config() {
         auto config = baseConfig();
-        for (auto& c : config.settings.classes) c.latencyObjectiveUs = 20'000'000;
+        for (auto& c : config.settings.classes)
+            c.latencyObjectiveUs = 20'000'000;
         return config;
     }
     // A connection whose request waits here, with more behind it or half a body.
@@ -40,12 +41,15 @@
     }
     // Places come free, and another client's request passes: nothing of who left may have gone before it.
     void nothingOf(int left) {
-        for (int i = 0; i < kPlaces; ++i) rig.nodeHas(id(i))->say(ok("hecho"));
-        for (const auto& client : clients) rig.until([&] { return client->has("hecho"); });
+        for (int i = 0; i < kPlaces; ++i)
+            rig.nodeHas(id(i))->say(ok("hecho"));
+        for (const auto& client : clients)
+            rig.until([&] { return client->has("hecho"); });
         const auto last = rig.client();
         last->say(Ask{.id = id(999)}.text());
         rig.nodeHas(id(999));
-        for (const auto& wire : rig.node().wires) CHECK(!wire->has(id(left)));
+        for (const auto& wire : rig.node().wires)
+            CHECK(!wire->has(id(left)));
         CHECK(rig.engine.counters().taken == kPlaces + 2);
     }
     Rig rig;
@@ -83,7 +87,8 @@
 
 const std::string kFlood = [] {
     std::string all;
-    for (int i = 0; i < 300; ++i) all += Ask{.id = id(100 + i), .deadlineMs = 30'000}.text();
+    for (int i = 0; i < 300; ++i)
+        all += Ask{.id = id(100 + i), .deadlineMs = 30'000}.text();
     return all;
 }();
 // As much of a long body as fills the ring and the rest of which the system still holds.
@@ -114,8 +119,10 @@
         auto& rig = busy.rig;
         const auto leaver = busy.waiting(c.text);
         const auto since = std::chrono::steady_clock::now();
-        if (c.reset) resetNow(*leaver);
-        else leaver->close();
+        if (c.reset)
+            resetNow(*leaver);
+        else
+            leaver->close();
         rig.until([&] { return rig.engine.counters().disconnected == 1; }, c.what);
         CHECK(std::chrono::steady_clock::now() - since < kForgotten);
         CHECK(rig.engine.openRequests() == Busy::kPlaces);
@@ -132,13 +139,16 @@
         config.settings.drainGraceUs = 0;
         Rig rig(std::move(config));
         Unreachable node(rig.io);
-        rig.engine.endpointListReceived({{EndpointListKind::Delta, 2, {{"s-0", "z", 0, 1, NodeState::Ready, 1}}}, {node.address()}});
+        rig.engine.endpointListReceived(
+            {{EndpointListKind::Delta, 2, {{"s-0", "z", 0, 1, NodeState::Ready, 1}}}, {node.address()}});
         const auto client = rig.client();
         client->say(Ask{.deadlineMs = 30'000}.text());
         rig.until([&] { return rig.engine.counters().attempts == 1; });
         REQUIRE(rig.pool.open() == 1);
-        if (reset) client->reset();
-        else client->close();
+        if (reset)
+            client->reset();
+        else
+            client->close();
         rig.until([&] { return rig.engine.counters().disconnected == 1; });
         CHECK(rig.engine.counters().withdrawn == 1);
         rig.until([&] { return rig.pool.open() == 0; });  // closed, so nothing can be written on it
@@ -250,7 +260,8 @@
                              "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"}) {
         CAPTURE(head);
         auto config = baseConfig();
-        for (auto& c : config.settings.classes) c.latencyObjectiveUs = 20'000'000;  // patience with a pause: 250 ms
+        for (auto& c : config.settings.classes)
+            c.latencyObjectiveUs = 20'000'000;  // patience with a pause: 250 ms
         Rig rig(std::move(config));
         const auto client = rig.client();
         client->say(Ask{.deadlineMs = 30'000}.text());
@@ -291,7 +302,8 @@
 
 core::Effects step(core::State& state, Micros now, core::Input input) {
     auto all = core::reduce(state, now, std::move(input));
-    for (auto& e : core::reduce(state, now, core::BatchEnded{})) all.push_back(std::move(e));
+    for (auto& e : core::reduce(state, now, core::BatchEnded{}))
+        all.push_back(std::move(e));
     return all;
 }
 
@@ -338,8 +350,8 @@
     const auto message = std::make_shared<http::Message>(boost::beast::http::verb::get, "/api", 11);
     const auto attempt = std::make_shared<http::NodeAttempt>(
         rig.engine, rig.pool,
-        net::AttemptParams{9, 0, rig.node().address(), rig.engine.now() + 1'000'000, rig.engine.now() + 1'000'000,
-                          rig.engine.now() - 1},
+        net::AttemptParams{9, 0, rig.node().address(), rig.engine.now() + 1'000'000,
+                           rig.engine.now() + 1'000'000, rig.engine.now() - 1},
         message, std::nullopt, std::weak_ptr<http::Caller>(),
         [](int, http::Answer, net::ByteBudget::Hold) {});
     attempt->start();
@@ -363,8 +375,8 @@
         const auto* const was = first.get();
         const auto since = std::chrono::steady_clock::now();
         pool.release(std::exchange(first, nullptr));
-        ticket =
-            pool.acquire(node.address(), [&](auto c) { second = c; });  // quiet now; the second answer comes after
+        ticket = pool.acquire(node.address(),
+                              [&](auto c) { second = c; });  // quiet now; the second answer comes after
         if (twice) asio::write(node.wires[0]->socket, asio::buffer(ok("otra vez")));
         until([&] { return second != nullptr; });
         CHECK(std::chrono::steady_clock::now() - since >= kRests);
@@ -406,7 +418,8 @@
         return rig.discoveryServer.wires.size() == 2 && rig.discoveryServer.wires[1]->has("\r\n\r\n");
     });
     CHECK(std::chrono::steady_clock::now() - since < milliseconds(500));
-    for (const auto& wire : rig.discoveryServer.wires) CHECK(wire->has("&wait_ms=0 "));  // it has it or not
+    for (const auto& wire : rig.discoveryServer.wires)
+        CHECK(wire->has("&wait_ms=0 "));  // it has it or not
     rig.tellState("s-0", "draining");
     rig.until([&] { return rig.discoveryServer.wires.back()->has("after=2&wait_ms=60000 "); });
 }
--- a/tests/http/front_test.cpp
+++ b/tests/http/front_test.cpp
@@ -99,8 +99,10 @@
         client->say(c.text);
         rig.until([&] { return client->has("\r\n\r\n") && client->has(c.names); }, c.status);
         CHECK_MESSAGE(client->has(std::string("HTTP/1.1 ") + c.status), client->got);
-        if (c.closes) rig.until([&] { return client->ended; });
-        else CHECK(!client->ended);
+        if (c.closes)
+            rig.until([&] { return client->ended; });
+        else
+            CHECK(!client->ended);
     }
     CHECK(rig.node().wires.empty());
     CHECK(rig.engine.counters().taken == 0);
@@ -164,10 +166,12 @@
 // Clients that find every connection busy where no new one comes take the front for dead.
 TEST_CASE("a stopping front keeps connections free: what only waits is refused, what is at a node is not") {
     auto config = baseConfig();
-    for (auto& c : config.settings.classes) c.latencyObjectiveUs = 20'000'000;
+    for (auto& c : config.settings.classes)
+        c.latencyObjectiveUs = 20'000'000;
     Rig rig(std::move(config));
     std::vector<WirePtr> clients;
-    for (int i = 0; i < 6; ++i) clients.push_back(rig.client());
+    for (int i = 0; i < 6; ++i)
+        clients.push_back(rig.client());
     rig.until([&] { return rig.front.sessionManager().connections() == 6; });
     rig.front.expectNoNewConnections();
     for (int i = 0; i < 4; ++i) {  // the last has no place at the node
@@ -343,7 +347,8 @@
 TEST_CASE(
     "where aims are short, an answer that stops half way is a reset sooner, and the next one is served") {
     auto config = baseConfig();
-    for (auto& c : config.settings.classes) c.latencyObjectiveUs = 100'000;
+    for (auto& c : config.settings.classes)
+        c.latencyObjectiveUs = 100'000;
     Rig rig(std::move(config));
     const auto client = rig.client();
     client->say(Ask{}.text());
@@ -487,8 +492,9 @@
     // Its time is over already when the connection is up: the node may be draining by now.
     const auto attempt = std::make_shared<http::NodeAttempt>(
         rig.engine, rig.pool,
-        net::AttemptParams{9, 0, rig.node().address(), rig.engine.now() - 1, rig.engine.now() + 1'000'000}, message,
-        std::nullopt, std::weak_ptr<http::Caller>(), [](int, http::Answer, net::ByteBudget::Hold) {});
+        net::AttemptParams{9, 0, rig.node().address(), rig.engine.now() - 1, rig.engine.now() + 1'000'000},
+        message, std::nullopt, std::weak_ptr<http::Caller>(),
+        [](int, http::Answer, net::ByteBudget::Hold) {});
     attempt->start();
     rig.until([&] { return rig.engine.counters().late == 1 && rig.node().wires.size() == 1; });
     CHECK(rig.node().wires[0]->got.empty());
@@ -540,7 +546,8 @@
     rig.front.sessionManager().closeIdleGracefully();
     rig.until([&] { return idle->ended; });
     CHECK(busy->has("Connection: close"));
-    rig.until([&] { return rig.front.sessionManager().connections() == 0 && rig.engine.openRequests() == 0; });
+    rig.until(
+        [&] { return rig.front.sessionManager().connections() == 0 && rig.engine.openRequests() == 0; });
 }
 
 TEST_CASE("discovery: the next watch follows the answer, and bad lists are counted and dropped") {
--- a/tests/http/platform_test.cpp
+++ b/tests/http/platform_test.cpp
@@ -1,14 +1,17 @@
 // The platform protocol: parsing of requests and node responses, and what is written to a node.
+#include "http/platform.h"
+
 #include <doctest/doctest.h>
 
 #include "config/config.h"
-#include "http/platform.h"
 
 using namespace wingproxy;
 
 namespace {
 
-std::string configText() { return config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json"); }
+std::string configText() {
+    return config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json");
+}
 
 }  // namespace
 
@@ -67,8 +70,8 @@
         unsigned status;
         bool declined;
         Outcome outcome;
-    } cases[] = {{200, false, Outcome::Ok},   {500, false, Outcome::Error}, {503, true, Outcome::Rejected},
-                 {504, true, Outcome::Rejected},  {503, false, Outcome::Error}, {500, true, Outcome::Error},
+    } cases[] = {{200, false, Outcome::Ok},      {500, false, Outcome::Error}, {503, true, Outcome::Rejected},
+                 {504, true, Outcome::Rejected}, {503, false, Outcome::Error}, {500, true, Outcome::Error},
                  {404, false, Outcome::Error}};
     for (const auto& c : cases) {
         http::Answer a;
--- a/tests/net/ring_buffer_test.cpp
+++ b/tests/net/ring_buffer_test.cpp
@@ -1,8 +1,8 @@
 // The ring buffer alone.
-#include <doctest/doctest.h>
-
 #include "net/ring_buffer.h"
 
+#include <doctest/doctest.h>
+
 using namespace wingproxy;
 
 TEST_CASE("ring buffer: order over the seam, and a read under way while all is consumed") {
@@ -11,7 +11,8 @@
     ring.consume(6);
     CHECK(ring.put("XYZ") == 3);
     std::string text;
-    for (const auto& part : ring.newest(4)) text += part;
+    for (const auto& part : ring.newest(4))
+        text += part;
     CHECK(text == "hXYZ");
     // The room was handed to a read before the rest was consumed: its bytes must be found where it put them.
     auto room = ring.room();
--- a/tests/rsync/codec_test.cpp
+++ b/tests/rsync/codec_test.cpp
@@ -1,11 +1,11 @@
 // The rsync codec: greetings, arguments and both streams, whole and byte by byte.
+#include "rsync/codec.h"
+
 #include <doctest/doctest.h>
 
 #include <memory>
 #include <string>
 
-#include "rsync/codec.h"
-
 using namespace wingproxy;
 
 namespace {
@@ -18,7 +18,8 @@
 
 std::string int32(std::int32_t v) {
     std::string out;
-    for (int i = 0; i < 4; ++i) out += static_cast<char>(std::uint32_t(v) >> (8 * i) & 255);
+    for (int i = 0; i < 4; ++i)
+        out += static_cast<char>(std::uint32_t(v) >> (8 * i) & 255);
     return out;
 }
 
--- a/tests/rsync/rsync_test.cpp
+++ b/tests/rsync/rsync_test.cpp
@@ -8,7 +8,8 @@
 
 std::string int32(std::int32_t v) {
     std::string out;
-    for (int i = 0; i < 4; ++i) out += static_cast<char>(std::uint32_t(v) >> (8 * i) & 255);
+    for (int i = 0; i < 4; ++i)
+        out += static_cast<char>(std::uint32_t(v) >> (8 * i) & 255);
     return out;
 }
 
--- a/tests/support/fleet_support.h
+++ b/tests/support/fleet_support.h
@@ -43,7 +43,8 @@
     }
     Link& link(std::size_t from, std::size_t to) { return links_[from][to]; }
     void all(const Link& link) {
-        for (auto& row : links_) std::fill(row.begin(), row.end(), link);
+        for (auto& row : links_)
+            std::fill(row.begin(), row.end(), link);
     }
     const Counters& counters() const { return counters_; }
 
@@ -180,10 +181,14 @@
     // Answers that have come are counted; each must be final: 200, or 503 where the limit binds.
     void settle() {
         std::erase_if(asking, [&](const WirePtr& w) {
-            if (w->has("HTTP/1.1 200 ")) ++served;
-            else if (w->has("HTTP/1.1 503 ")) ++refused;
-            else if (!w->ended) return false;
-            else ++unanswered;
+            if (w->has("HTTP/1.1 200 "))
+                ++served;
+            else if (w->has("HTTP/1.1 503 "))
+                ++refused;
+            else if (!w->ended)
+                return false;
+            else
+                ++unanswered;
             return true;
         });
     }
--- a/tests/support/net_support.h
+++ b/tests/support/net_support.h
@@ -32,8 +32,10 @@
             asio::buffer(chunk),
             [self = shared_from_this()](const boost::system::error_code& error, std::size_t n) {
                 self->got.append(self->chunk.data(), n);
-                if (error) self->ended = true;
-                else self->start();
+                if (error)
+                    self->ended = true;
+                else
+                    self->start();
                 // A whole request without a body, where the test wants it answered by itself.
                 if (!self->reply.empty() && self->has("\r\n\r\n")) {
                     self->drop();
@@ -92,12 +94,14 @@
 inline void runUntil(asio::io_context& io, const std::function<bool()>& so,
                      const char* what = "what the test waits for") {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(15);
-    while (!so() && std::chrono::steady_clock::now() < end) io.run_one_for(std::chrono::milliseconds(50));
+    while (!so() && std::chrono::steady_clock::now() < end)
+        io.run_one_for(std::chrono::milliseconds(50));
     REQUIRE_MESSAGE(so(), std::string(what));
 }
 
 inline config::Config baseConfig() {
-    return config::parseConfig(config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json"));
+    return config::parseConfig(
+        config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json"));
 }
 
 // The stand-in for discovery answers no watch by itself: none is missed while a test runs.
@@ -118,10 +122,10 @@
           front(engine, pool, config.listen, mostClients, ring),
           rsync(engine, rsyncPool, rsyncConfig(), 16) {
         engine.setEffectHandlers({[this](int to, const std::string& bytes) { peers.send(to, bytes); },
-                        [this](bool on) { discovery.setWatching(on); },
-                        [this](const std::string& id, const config::Endpoint& at) {
-                            http::probe(engine, pool, id, at);
-                        }});
+                                  [this](bool on) { discovery.setWatching(on); },
+                                  [this](const std::string& id, const config::Endpoint& at) {
+                                      http::probe(engine, pool, id, at);
+                                  }});
         engine.start();
     }
     ~Rig() {
@@ -173,7 +177,8 @@
         c.discovery = discoveryServer.address();
         for (std::size_t i = 0; i < nodeCount; ++i) {
             nodes.push_back(std::make_unique<StandIn>(io));
-            c.cachedEndpoints.list.nodes.push_back({fmt::format("s-{}", i), "z", int(i), 1, NodeState::Ready, 0});
+            c.cachedEndpoints.list.nodes.push_back(
+                {fmt::format("s-{}", i), "z", int(i), 1, NodeState::Ready, 0});
             c.cachedEndpoints.addresses.push_back(nodes.back()->address());
         }
         return c;
--- a/tests/support/policy_support.h
+++ b/tests/support/policy_support.h
@@ -18,7 +18,8 @@
     s.hostIndex = host;
     s.hostCount = hosts;
     ClassInfo safe{"safe", 500 * kMs, 2 * kSecond, 5 * kSecond, 2, 0.1};
-    ClassInfo keyed{"keyed", 500 * kMs, 4 * kSecond, kSecond, 2, 0.1, RetrySafety::IdempotentWithKey, KeyScope::Cell};
+    ClassInfo keyed{"keyed",       500 * kMs, 4 * kSecond, kSecond, 2, 0.1, RetrySafety::IdempotentWithKey,
+                    KeyScope::Cell};
     ClassInfo unsafe{"unsafe", 500 * kMs, 2 * kSecond, 5 * kSecond, 2, 0.1, RetrySafety::NotIdempotent};
     ClassInfo ordered{"ordered", 500 * kMs, 2 * kSecond, 5 * kSecond, 2, 0.1};
     ordered.fifoByKey = true;
@@ -44,12 +45,15 @@
     return s;
 }
 
-inline EndpointList nodes(std::vector<NodeInfo> list, EndpointListKind kind = EndpointListKind::Full) { return {kind, 1, std::move(list)}; }
+inline EndpointList nodes(std::vector<NodeInfo> list, EndpointListKind kind = EndpointListKind::Full) {
+    return {kind, 1, std::move(list)};
+}
 inline NodeInfo node(std::string id, int cell, NodeState state = NodeState::Ready, Micros started = 0) {
     return {std::move(id), "hall", cell, 1, state, started};
 }
 
-inline Request request(RequestId id, int cls, int plan, Micros now, double units = 2, int cell = 0, int hosts = 1) {
+inline Request request(RequestId id, int cls, int plan, Micros now, double units = 2, int cell = 0,
+                       int hosts = 1) {
     Request r;
     r.id = id;
     r.classIndex = cls;
@@ -63,7 +67,8 @@
     return r;
 }
 
-inline AttemptOutcome ended(RequestId id, int attempt, const std::string& node, Outcome outcome, Micros took = 20 * kMs) {
+inline AttemptOutcome ended(RequestId id, int attempt, const std::string& node, Outcome outcome,
+                            Micros took = 20 * kMs) {
     return {id, attempt, node, outcome, took, outcome == Outcome::Ok, 0, 0, {}};
 }
 
@@ -84,7 +89,8 @@
 struct Host {
     Host(const Settings& s, Micros at) : policy(s, at), now(at) {}
     std::vector<Action> batch(std::vector<AnyEvent> events = {}) {
-        for (const auto& e : events) policy.on(now, e.event);
+        for (const auto& e : events)
+            policy.on(now, e.event);
         auto actions = policy.finish(now);
         for (const auto& a : actions)
             if (const auto* t = std::get_if<SetTimer>(&a)) timers.emplace(now + t->delayUs, t->token);
@@ -97,7 +103,8 @@
             now = timers.begin()->first;
             const TimerFired fired{timers.begin()->second};
             timers.erase(timers.begin());
-            for (auto& a : batch({fired})) all.push_back(std::move(a));
+            for (auto& a : batch({fired}))
+                all.push_back(std::move(a));
         }
         now = until;
         return all;
--- a/tests/support/process_support.h
+++ b/tests/support/process_support.h
@@ -43,7 +43,8 @@
                                              "TMPDIR=" + folder.string(), "PROXY_FD=7",
                                              fmt::format("PROXY_MGMT=127.0.0.1:{}", mgmt)};
         std::vector<char*> env;
-        for (auto& e : environment) env.push_back(e.data());
+        for (auto& e : environment)
+            env.push_back(e.data());
         env.push_back(nullptr);
         std::string binary = WINGPROXY_BINARY;
         char* arguments[] = {binary.data(), nullptr};
@@ -93,7 +94,8 @@
                 rig.node().address().host, rig.node().address().port));
         put(R"("sockets":1024)", fmt::format(R"("sockets":{})", sockets));
         put(R"("127.0.0.1:0")", fmt::format(R"("127.0.0.1:{}")", listening.local_endpoint().port()));
-        for (const auto& [from, to] : changes) put(from, to);
+        for (const auto& [from, to] : changes)
+            put(from, to);
         std::ofstream(folder / "config.json") << json;
     }
     ~Platform() {
