--- /dev/null
+++ b/src/health/agent_check.cpp
@@ -0,0 +1,24 @@
+#include "health/agent_check.h"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <cmath>
+
+namespace wingproxy::health {
+namespace {
+
+constexpr double kPercent = 100;
+/// HAProxy takes a weight of 0% as a drain.
+constexpr long kMinWeightPercent = 1;
+
+}  // namespace
+
+std::string renderAgentLine(const Report& report) {
+    if (report.draining) return "drain\n";
+    if (!report.ready) return "down #no node is known\n";
+    const double freePart = std::clamp(1 - report.utilization, 0.0, 1.0);
+    return fmt::format("ready up {}%\n", std::max(kMinWeightPercent, std::lround(freePart * kPercent)));
+}
+
+}  // namespace wingproxy::health
--- /dev/null
+++ b/src/health/agent_check.h
@@ -0,0 +1,18 @@
+/// \file
+/// The reply to HAProxy's agent check, a line that sets the state and the weight of a server (HAProxy
+/// configuration manual, "agent-check"). Pure rendering; no sockets.
+#pragma once
+
+#include <string>
+
+#include "health/report.h"
+
+namespace wingproxy::health {
+
+/// Renders the line that the agent sends on each connection:
+/// - "drain": a graceful shutdown has started
+/// - "down": not ready
+/// - "ready up 80%": ends an earlier drain, and sets the weight to the free part of the capacity, at least 1%
+std::string renderAgentLine(const Report& report);
+
+}  // namespace wingproxy::health
--- a/src/health/health.cpp
+++ b/src/health/health.cpp
@@ -1,29 +1,26 @@
 #include "health/health.h"
 
-#include <fmt/format.h>
+#include <cstddef>
+#include <string>
+#include <utility>
 
-#include <algorithm>
-#include <cmath>
+#include "health/agent_check.h"
+#include "health/http_check.h"
 
 namespace wingproxy::health {
 namespace {
 
 using boost::asio::ip::tcp;
-// A balancer opens one connection for each check and closes it; so many balancers may ask at once.
-constexpr std::size_t kMostClients = 8;
 
-std::string response(int status, std::string_view reason, std::string_view body) {
-    return fmt::format(
-        "HTTP/1.1 {} {}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{}\n",
-        status, reason, body.size() + 1, body);
-}
+/// A load balancer opens one connection for each check and closes it; so many can check at once.
+constexpr std::size_t kMaxClients = 8;
 
-// The agent's protocol: the server speaks first, one line, and closes.
-class Agent : public net::Session {
+/// The agent check: the server speaks first, one line, and closes.
+class AgentSession : public net::Session {
 public:
-    Agent(net::SessionManager& sessionManager, tcp::socket socket, Ask ask)
-        : Session(sessionManager, std::move(socket)), ask_(std::move(ask)) {}
-    void start() override { send(agentLine(ask_())); }
+    AgentSession(net::SessionManager& sessionManager, tcp::socket socket, ReportSource source)
+        : Session(sessionManager, std::move(socket)), source_(std::move(source)) {}
+    void start() override { send(renderAgentLine(source_())); }
     bool idle() const override { return false; }
 
 protected:
@@ -31,77 +28,59 @@
     void sent() override { linger(); }
 
 private:
-    Ask ask_;
+    ReportSource source_;
 };
 
-// One request a connection: checks open a new one each time.
-class Check : public net::Session {
+/// The HTTP health check: one request a connection, answered at the end of its header.
+class HttpSession : public net::Session {
 public:
-    Check(net::SessionManager& sessionManager, tcp::socket socket, Ask ask)
-        : Session(sessionManager, std::move(socket)), ask_(std::move(ask)) {}
-    bool idle() const override { return !answered_; }
+    HttpSession(net::SessionManager& sessionManager, tcp::socket socket, ReportSource source)
+        : Session(sessionManager, std::move(socket)), source_(std::move(source)) {}
+    bool idle() const override { return !responded_; }
 
 protected:
     void received() override {
         std::string line;
-        while (in_.line(line)) {
-            if (first_.empty()) first_ = line;
-            if (!line.empty() || answered_) continue;
-            answered_ = true;
-            send(httpAnswer(first_, ask_()));
-        }
+        while (in_.line(line))
+            handleLine(line);
         if (in_.space() == 0) close();
     }
     void sent() override { linger(); }
 
 private:
-    Ask ask_;
-    std::string first_;
-    bool answered_ = false;
+    void handleLine(const std::string& line) {
+        if (requestLine_.empty()) requestLine_ = line;
+        const bool endOfHeader = line.empty();
+        if (!endOfHeader || responded_) return;
+        responded_ = true;
+        send(renderHttpResponse(requestLine_, source_()));
+    }
+
+    ReportSource source_;
+    std::string requestLine_;
+    bool responded_ = false;
 };
 
-template <typename Kind>
-std::unique_ptr<net::SessionManager> serverOf(boost::asio::io_context& io, const config::Endpoint& at,
-                                              Ask ask) {
+template <typename SessionType>
+std::unique_ptr<net::SessionManager> makeServer(boost::asio::io_context& io, const config::Endpoint& address,
+                                                ReportSource source) {
     return std::make_unique<net::SessionManager>(
-        io, at, kMostClients, [ask](net::SessionManager& sessionManager, tcp::socket socket) {
-            return std::make_shared<Kind>(sessionManager, std::move(socket), ask);
+        io, address, kMaxClients,
+        [source = std::move(source)](net::SessionManager& sessionManager, tcp::socket socket) {
+            return std::make_shared<SessionType>(sessionManager, std::move(socket), source);
         });
 }
 
 }  // namespace
 
-std::string agentLine(const Report& report) {
-    if (report.draining) return "drain\n";
-    if (!report.ready) return "down #no node is known\n";
-    const double free = std::clamp(1 - report.used, 0.0, 1.0);
-    return fmt::format("ready up {}%\n", std::max(1, int(std::lround(free * 100))));  // 0% would be a drain
+std::unique_ptr<net::SessionManager> agentServer(boost::asio::io_context& io, const config::Endpoint& address,
+                                                 ReportSource source) {
+    return makeServer<AgentSession>(io, address, std::move(source));
 }
 
-std::string httpAnswer(std::string_view requestLine, const Report& report) {
-    const auto method = requestLine.substr(0, requestLine.find(' '));
-    const auto rest = requestLine.substr(std::min(method.size() + 1, requestLine.size()));
-    const auto path = rest.substr(0, rest.find_first_of(" ?"));
-    if (rest.find("HTTP/1.") == std::string_view::npos) return response(400, "Bad Request", "not HTTP/1");
-    if (method == "HEAD") {  // the same head, no body
-        const auto answer = httpAnswer(fmt::format("GET {}", rest), report);
-        return answer.substr(0, answer.find("\r\n\r\n") + 4);
-    }
-    if (method != "GET") return response(405, "Method Not Allowed", "GET or HEAD only");
-    if (path == "/live") return response(200, "OK", "live");
-    if (path != "/ready") return response(404, "Not Found", "/live or /ready");
-    if (report.draining) return response(503, "Service Unavailable", "draining");
-    if (!report.ready) return response(503, "Service Unavailable", "no node is known");
-    return response(200, "OK", "ready");
-}
-
-std::unique_ptr<net::SessionManager> agentServer(boost::asio::io_context& io, const config::Endpoint& at,
-                                                 Ask ask) {
-    return serverOf<Agent>(io, at, std::move(ask));
-}
-std::unique_ptr<net::SessionManager> httpServer(boost::asio::io_context& io, const config::Endpoint& at,
-                                                Ask ask) {
-    return serverOf<Check>(io, at, std::move(ask));
+std::unique_ptr<net::SessionManager> httpServer(boost::asio::io_context& io, const config::Endpoint& address,
+                                                ReportSource source) {
+    return makeServer<HttpSession>(io, address, std::move(source));
 }
 
 }  // namespace wingproxy::health
--- a/src/health/health.h
+++ b/src/health/health.h
@@ -1,28 +1,27 @@
-// What balancers ask: liveness and readiness over HTTP, and HAProxy's agent check.
+/// \file
+/// The listeners for health checks of load balancers: liveness and readiness over HTTP, and HAProxy's agent
+/// check. Each session manager owns its listener and connections; the caller owns the session manager.
 #pragma once
 
 #include <functional>
-#include <string>
+#include <memory>
 
+#include "health/report.h"
 #include "net/session.h"
 
 namespace wingproxy::health {
 
-struct Report {
-    bool ready = false;     // it knows of nodes and takes requests
-    bool draining = false;  // it is about to stop
-    double used = 0;        // part of the budget of clients that is taken
-};
+/// Called for each check, on the thread of the `io_context`; returns the current state.
+using ReportSource = std::function<Report()>;
 
-// "ready up 80%": a server that was drained is taken back, with this much of its weight.
-std::string agentLine(const Report& report);
-// The answer to a request's first line: /live, /ready; 404 for other paths, 405 for other methods.
-std::string httpAnswer(std::string_view requestLine, const Report& report);
+/// Binds the listener of the agent check: each connection gets one line and is closed. See agent_check.h.
+/// \param source has to be callable as long as the session manager lives
+std::unique_ptr<net::SessionManager> agentServer(boost::asio::io_context& io, const config::Endpoint& address,
+                                                 ReportSource source);
 
-using Ask = std::function<Report()>;
-std::unique_ptr<net::SessionManager> agentServer(boost::asio::io_context& io, const config::Endpoint& at,
-                                                 Ask ask);
-std::unique_ptr<net::SessionManager> httpServer(boost::asio::io_context& io, const config::Endpoint& at,
-                                                Ask ask);
+/// Binds the listener of the HTTP health checks: each connection gets one response and is closed. See
+/// http_check.h. \param source has to be callable as long as the session manager lives
+std::unique_ptr<net::SessionManager> httpServer(boost::asio::io_context& io, const config::Endpoint& address,
+                                                ReportSource source);
 
 }  // namespace wingproxy::health
--- /dev/null
+++ b/src/health/http_check.h
@@ -0,0 +1,27 @@
+/// \file
+/// The responses to HTTP health checks: `/live` for liveness and `/ready` for readiness. Pure rendering; no
+/// sockets.
+#pragma once
+
+#include <string>
+#include <string_view>
+
+#include "health/report.h"
+
+namespace wingproxy::health {
+
+/// Renders the response to a request's first line; header fields and the query do not matter.
+///
+/// | request | status |
+/// | --- | --- |
+/// | not HTTP/1 | 400 |
+/// | neither GET nor HEAD | 405 |
+/// | `/live` | 200 as long as the process answers |
+/// | `/ready` | 200 when ready and not draining, else 503 |
+/// | another path | 404 |
+///
+/// \param requestLine without its end of line
+/// \return the complete response; the one to HEAD has the same header fields and no body
+std::string renderHttpResponse(std::string_view requestLine, const Report& report);
+
+}  // namespace wingproxy::health
--- /dev/null
+++ b/src/health/report.h
@@ -0,0 +1,15 @@
+/// \file
+/// The state of the gateway that health checks report. A value type; it owns nothing.
+#pragma once
+
+namespace wingproxy::health {
+
+/// What a load balancer needs to know to route traffic to this gateway.
+struct Report {
+    bool ready = false;     ///< the endpoint list names at least one node, and requests are admitted
+    bool draining = false;  ///< a graceful shutdown has started: no new traffic should come
+    double utilization =
+        0;  ///< client connections in use, as a part of their capacity; 1 is full, above 1 overfull
+};
+
+}  // namespace wingproxy::health
