--- /dev/null
+++ b/src/rsync/client_handshake.h
@@ -0,0 +1,88 @@
+/// \file
+/// The lines that a client sends before its transfer: greeting, module, arguments. Owns the state of that
+/// dialogue and the texts that answer it. No socket: lines in, replies out.
+#pragma once
+
+#include <string>
+#include <string_view>
+#include <utility>
+
+#include "config/operator.h"
+#include "rsync/transfer_request.h"
+
+namespace wingproxy::rsync {
+
+/// Why a client's connection ends before a transfer.
+enum class HandshakeErrorCode {
+    NotAGreeting,          ///< the first line is not rsync's
+    VersionTooOld,         ///< below version 28
+    UnknownModule,         ///< detail: the name of the module
+    UnsupportedArguments,  ///< detail: describe(ArgumentError)
+    TooManyArguments,
+    LineTooLong,  ///< a line does not fit the receive buffer
+    Timeout,      ///< the arguments did not come in time
+    WriteOnly,    ///< the module offers no pulls
+    ReadOnly      ///< the module offers no pushes
+};
+
+/// The reason and, where the code names one, its detail.
+struct HandshakeError {
+    HandshakeErrorCode code;
+    std::string detail;
+};
+
+/// \return the message for the client
+std::string describe(const HandshakeError& error);
+
+/// \return the class index of transfers in this direction, below 0 if the module does not offer them
+int classIndex(const config::RsyncModule& module, Direction direction);
+
+/// The daemon's side of the handshake with one client.
+class ClientHandshake {
+public:
+    /// What the session does after a line, once it sent the reply.
+    enum class Step {
+        ReadNextLine,
+        StartTransfer,    ///< the arguments are complete and valid: module() and takeRequest() are set
+        CloseAfterList,   ///< the reply is the module list
+        CloseAfterError,  ///< the reply is an error message
+    };
+    /// The answer to a line.
+    struct Reply {
+        Step step = Step::ReadNextLine;
+        std::string text;  ///< bytes for the client; may be empty
+    };
+
+    /// \param config has to outlive this object
+    explicit ClientHandshake(const config::RsyncFront& config) : config_(config) {}
+
+    /// Handles the client's next line, without its end of line. Not to be called after a step that ends the
+    /// handshake.
+    Reply onLine(const std::string& line);
+
+    /// \return the reply that ends the handshake with an error: a line, or, once the module was accepted and
+    /// the
+    ///         client awaits a stream, an error in that stream
+    Reply reject(const HandshakeError& error) const;
+
+    /// The module that the client chose. Valid after StartTransfer.
+    const config::RsyncModule& module() const { return *module_; }
+    /// Hands out the transfer that the client asks for. Valid once after StartTransfer.
+    TransferRequest takeRequest() { return std::move(request_); }
+
+private:
+    enum class Stage { Greeting, Module, Arguments };
+
+    Reply onGreeting(std::string_view line);
+    Reply onModule(const std::string& name);
+    Reply onArgument(const std::string& argument);
+    Reply finishArguments();
+    std::string moduleList() const;
+
+    const config::RsyncFront& config_;
+    Stage stage_ = Stage::Greeting;
+    const config::RsyncModule* module_ = nullptr;
+    TransferRequest request_;
+};
+
+}  // namespace wingproxy::rsync
--- /dev/null
+++ b/src/rsync/client_session.cpp
@@ -0,0 +1,158 @@
+#include "rsync/client_session.h"
+
+#include <fmt/format.h>
+
+#include <chrono>
+#include <utility>
+
+#include "rsync/pending_transfer.h"
+#include "rsync/protocol.h"
+#include "rsync/transfer_attempt.h"
+
+namespace wingproxy::rsync {
+namespace {
+
+/// From the connection to the end of the arguments: a few lines each way, over any network.
+constexpr std::chrono::seconds kHandshakeTimeout{15};
+constexpr double kMicrosPerSecond = 1e6;
+
+}  // namespace
+
+ClientSession::ClientSession(FrontContext& context, net::SessionManager& sessionManager,
+                             boost::asio::ip::tcp::socket socket)
+    : Session(sessionManager, std::move(socket)),
+      context_(context),
+      handshakeTimer_(sessionManager.io()),
+      handshake_(context.config) {}
+
+std::shared_ptr<ClientSession> ClientSession::self() {
+    return std::static_pointer_cast<ClientSession>(shared_from_this());
+}
+
+void ClientSession::start() {
+    startHandshakeTimer();
+    send(greeting());
+    read();
+}
+
+void ClientSession::startHandshakeTimer() {
+    handshakeTimer_.expires_after(kHandshakeTimeout);
+    handshakeTimer_.async_wait([weak = weak_from_this()](const boost::system::error_code& error) {
+        const auto session = std::static_pointer_cast<ClientSession>(weak.lock());
+        if (error || !session || session->stage_ != Stage::Handshake) return;
+        session->apply(session->handshake_.reject({HandshakeErrorCode::Timeout, {}}));
+    });
+}
+
+void ClientSession::received() {
+    if (stage_ == Stage::Handshake)
+        handleHandshakeLines();
+    else if (onReceived_)
+        onReceived_();
+}
+
+void ClientSession::handleHandshakeLines() {
+    std::string line;
+    while (stage_ == Stage::Handshake && in_.line(line))
+        apply(handshake_.onLine(line));
+    if (stage_ == Stage::Handshake && in_.space() == 0)
+        apply(handshake_.reject({HandshakeErrorCode::LineTooLong, {}}));
+}
+
+void ClientSession::apply(const ClientHandshake::Reply& reply) {
+    if (!reply.text.empty()) send(reply.text);
+    switch (reply.step) {
+        case ClientHandshake::Step::ReadNextLine:
+            break;
+        case ClientHandshake::Step::StartTransfer:
+            startTransfer();
+            break;
+        case ClientHandshake::Step::CloseAfterList:
+            ++context_.counters.listings;
+            closeAfterSending();
+            break;
+        case ClientHandshake::Step::CloseAfterError:
+            ++context_.counters.malformed;
+            closeAfterSending();
+            break;
+    }
+}
+
+void ClientSession::startTransfer() {
+    auto transfer = handshake_.takeRequest();
+    auto request = buildRequest(transfer);
+    stage_ = Stage::Transfer;
+    handshakeTimer_.cancel();
+    ++context_.counters.transfers;
+    auto pending = std::make_shared<PendingTransfer>(context_, self(), std::move(transfer));
+    requestId_ = context_.engine.submit(std::move(request), std::move(pending));
+}
+
+Request ClientSession::buildRequest(const TransferRequest& transfer) const {
+    const auto& module = handshake_.module();
+    Request request;
+    request.classIndex = classIndex(module, transfer.options.direction);
+    request.planIndex = module.plan;
+    request.key = module.volume + "/" + transfer.arguments.back();
+    request.volume = module.volume;
+    request.deadlineUs = context_.engine.now() + module.deadlineUs;
+    request.units = module.units;
+    request.cell = module.cell;
+    request.volumeHosts = module.hosts;
+    return request;
+}
+
+void ClientSession::startRelay(std::function<void()> onReceived) {
+    relayStarted_ = true;
+    onReceived_ = std::move(onReceived);
+}
+
+void ClientSession::attemptStarted(std::weak_ptr<TransferAttempt> attempt) { attempt_ = std::move(attempt); }
+
+void ClientSession::onCompleted() {
+    ++context_.counters.completed;
+    closeAfterSending();
+}
+
+void ClientSession::onRejected(Micros retryAfterUs) {
+    ++context_.counters.refused;
+    const double seconds = static_cast<double>(retryAfterUs) / kMicrosPerSecond;
+    closeWithError(fmt::format("busy, come back in {:.3f} s", seconds));
+}
+
+void ClientSession::onFailed() {
+    ++context_.counters.failed;
+    if (relayStarted_)
+        close();
+    else
+        closeWithError("the transfer failed");
+}
+
+void ClientSession::disconnected() {
+    if (stage_ != Stage::Transfer) return;
+    stage_ = Stage::Closing;
+    const auto attempt = attempt_.lock();
+    // After the last byte of the stream, a client may close without a goodbye: the transfer is complete.
+    if (attempt && attempt->isDelivered()) return attempt->clientDisconnected();
+    ++context_.counters.disconnected;
+    context_.engine.clientDisconnected(requestId_);  // before the attempt ends, so that it is not retried
+    if (attempt) attempt->clientDisconnected();
+}
+
+void ClientSession::sent() {
+    if (stage_ == Stage::Closing) linger();
+}
+
+void ClientSession::closeWithError(const std::string& message) {
+    send(errorStream(errorLine(message)));
+    closeAfterSending();
+}
+
+void ClientSession::closeAfterSending() {
+    stage_ = Stage::Closing;
+    onReceived_ = nullptr;
+    handshakeTimer_.cancel();
+    send("");  // sent() is called even if nothing waits to be sent
+}
+
+}  // namespace wingproxy::rsync
--- a/src/rsync/front.h
+++ b/src/rsync/front.h
@@ -1,33 +1,34 @@
-// The rsync front: a daemon of protocol 28 to its clients, whose transfers are requests to the engine.
+/// \file
+/// The rsync front: an rsync daemon of protocol 28 to its clients, whose transfers are requests to the
+/// engine. Owns the listener with its sessions, the configuration of the modules, and the counters.
 #pragma once
 
-#include <memory>
+#include <cstddef>
 
-#include "config/operator.h"
 #include "net/session.h"
-#include "rsync/node_client.h"
+#include "rsync/front_context.h"
 
 namespace wingproxy::rsync {
 
+/// Listens for rsync clients.
 class Front {
 public:
-    struct Counters {
-        std::uint64_t transfers = 0, listings = 0, malformed = 0;
-        std::uint64_t completed = 0, refused = 0, failed = 0, disconnected = 0;
-    };
-    Front(net::Engine& engine, net::NodePool& pool, const config::RsyncFront& config, std::size_t mostClients,
-          std::size_t ring = net::kMostRing);
+    using Counters = FrontCounters;
+
+    /// Binds the listener, which accepts at once.
+    /// \param engine admits, routes and retries the transfers; has to outlive the front
+    /// \param pool connects to the nodes' daemons; has to outlive the front
+    /// \param maxClients connections of clients at once
+    /// \param ringSize bytes of buffer for each direction of a connection
+    Front(net::Engine& engine, net::NodePool& pool, const config::RsyncFront& config, std::size_t maxClients,
+          std::size_t ringSize = net::kMostRing);
+
     net::SessionManager& sessionManager() { return sessionManager_; }
-    const Counters& counters() const { return counters_; }
+    const Counters& counters() const { return context_.counters; }
 
 private:
-    class Peer;
-    struct Pending;
-    net::Engine& engine_;
-    net::NodePool& pool_;
-    config::RsyncFront config_;
-    Counters counters_;
-    net::SessionManager sessionManager_;
+    FrontContext context_;
+    net::SessionManager sessionManager_;  // last: its sessions refer to the context
 };
 
 }  // namespace wingproxy::rsync
--- /dev/null
+++ b/src/rsync/pending_transfer.h
@@ -0,0 +1,33 @@
+/// \file
+/// A transfer while the engine has it: starts its attempts and passes its outcome on to the client's session.
+#pragma once
+
+#include <memory>
+
+#include "net/engine.h"
+#include "rsync/front_context.h"
+#include "rsync/transfer_request.h"
+
+namespace wingproxy::rsync {
+
+class ClientSession;
+
+/// Owned by the engine until the outcome is known. Does not keep the session alive: the client may disconnect
+/// first.
+class PendingTransfer : public net::Transfer {
+public:
+    /// \param context has to outlive this object
+    PendingTransfer(FrontContext& context, std::weak_ptr<ClientSession> session, TransferRequest request);
+
+    std::shared_ptr<net::Attempt> start(const net::AttemptParams& params) override;
+    void deliver(int attempt) override;
+    void refuse(Micros retryAfterUs) override;
+    void fail() override;
+
+private:
+    FrontContext& context_;
+    std::weak_ptr<ClientSession> session_;
+    std::shared_ptr<const TransferRequest> request_;
+};
+
+}  // namespace wingproxy::rsync
--- /dev/null
+++ b/src/rsync/sender_stream.cpp
@@ -0,0 +1,189 @@
+#include "rsync/sender_stream.h"
+
+#include "rsync/protocol.h"
+
+namespace wingproxy::rsync {
+namespace {
+
+/// Flags of an entry of the file list. "Same": the field is left out, as it is that of the entry before.
+namespace entry_flag {
+constexpr unsigned kSameMode = 1U << 1;
+constexpr unsigned kExtended = 1U << 2;  ///< a second byte of flags follows
+constexpr unsigned kSameUserId = 1U << 3;
+constexpr unsigned kSameGroupId = 1U << 4;
+constexpr unsigned kPrefixed = 1U << 5;  ///< the length of the prefix shared with the entry before follows
+constexpr unsigned kLongName = 1U << 6;  ///< the length of the name has 4 bytes, not 1
+constexpr unsigned kSameTime = 1U << 7;
+constexpr unsigned kHardLink = 1U << 9;
+}  // namespace entry_flag
+
+/// A byte of flags without any flag ends the file list.
+constexpr unsigned kEndOfList = 0;
+constexpr unsigned kBitsPerByte = 8;
+
+/// PATH_MAX of Linux; no path can be longer.
+constexpr std::int32_t kMaxNameLength = 4096;
+constexpr std::uint64_t kTimeSize = 4;
+constexpr std::uint64_t kIdSize = 4;
+
+/// The file type of a mode, as in POSIX's <sys/stat.h>.
+constexpr int kFileTypeMask = 0170000;
+constexpr int kRegularFile = 0100000;
+constexpr int kDirectory = 0040000;
+
+/// Sent in place of a file's index at the end of each phase.
+constexpr std::int32_t kEndOfPhase = -1;
+/// The second phase sends again what failed the file checksum in the first.
+constexpr int kPhases = 2;
+/// Sent in place of a token at the end of a delta; the checksum of the file, an MD4, follows.
+constexpr std::int32_t kEndOfDelta = 0;
+constexpr std::uint64_t kFileChecksumSize = 16;
+/// Bytes read, bytes written, total size of the files.
+constexpr int kTotalsCount = 3;
+
+/// A token below 0 stands for a block: -1 for block 0, -2 for block 1.
+constexpr std::int64_t blockOfToken(std::int32_t token) { return -(std::int64_t{token} + 1); }
+
+}  // namespace
+
+SenderStream::SenderStream(const TransferOptions& options, Totals totals)
+    : options_(options), totals_(totals) {
+    readEntry();
+}
+
+void SenderStream::readEntry() {
+    readField(1, [this] {
+        const unsigned flags = byteField();
+        if (flags == kEndOfList) return readIdList(IdList::Users);
+        if ((flags & entry_flag::kExtended) == 0) return readNamePrefix(flags);
+        readField(1, [this, flags] { readNamePrefix(flags | unsigned{byteField()} << kBitsPerByte); });
+    });
+}
+
+void SenderStream::readNamePrefix(unsigned flags) {
+    if ((flags & entry_flag::kHardLink) != 0) return fail(StreamErrorCode::HardLink, flags);
+    skip((flags & entry_flag::kPrefixed) != 0 ? 1 : 0, [this, flags] { readNameLength(flags); });
+}
+
+void SenderStream::readNameLength(unsigned flags) {
+    if ((flags & entry_flag::kLongName) != 0)
+        readField(kIntSize, [this, flags] { skipName(flags, intField()); });
+    else
+        readField(1, [this, flags] { skipName(flags, byteField()); });
+}
+
+void SenderStream::skipName(unsigned flags, std::int32_t length) {
+    if (length < 0 || length > kMaxNameLength) return fail(StreamErrorCode::NameTooLong, length);
+    skip(static_cast<std::uint64_t>(length), [this, flags] { readSizeAndTime(flags); });
+}
+
+void SenderStream::readSizeAndTime(unsigned flags) {
+    readWideInt([this, flags](std::int64_t size) {
+        if (size < 0) return fail(StreamErrorCode::NegativeFileSize, size);
+        skip((flags & entry_flag::kSameTime) != 0 ? 0 : kTimeSize, [this, flags] { readMode(flags); });
+    });
+}
+
+void SenderStream::readMode(unsigned flags) {
+    if ((flags & entry_flag::kSameMode) != 0) {
+        if (!hasMode_) return fail(StreamErrorCode::ModeMissing, flags);
+        return skipOwners(flags);
+    }
+    readField(kIntSize, [this, flags] {
+        const int fileType = intField() & kFileTypeMask;
+        if (fileType != kRegularFile && fileType != kDirectory)
+            return fail(StreamErrorCode::UnsupportedFileType, fileType);
+        hasMode_ = true;
+        skipOwners(flags);
+    });
+}
+
+void SenderStream::skipOwners(unsigned flags) {
+    const bool hasUserId = options_.preserveOwner && (flags & entry_flag::kSameUserId) == 0;
+    const bool hasGroupId = options_.preserveGroup && (flags & entry_flag::kSameGroupId) == 0;
+    ++fileCount_;
+    skip((hasUserId ? kIdSize : 0) + (hasGroupId ? kIdSize : 0), [this] { readEntry(); });
+}
+
+bool SenderStream::hasIdList(IdList list) const {
+    if (options_.numericIds) return false;
+    switch (list) {
+        case IdList::Users:
+            return options_.preserveOwner;
+        case IdList::Groups:
+            return options_.preserveGroup;
+    }
+    return false;
+}
+
+void SenderStream::readIdList(IdList list) {
+    if (!hasIdList(list)) return finishIdList(list);
+    readField(kIntSize, [this, list] {
+        constexpr std::int32_t kEndOfIds = 0;
+        if (intField() == kEndOfIds) return finishIdList(list);
+        readField(1, [this, list] {
+            const auto nameLength = byteField();
+            skip(nameLength, [this, list] { readIdList(list); });
+        });
+    });
+}
+
+void SenderStream::finishIdList(IdList list) {
+    switch (list) {
+        case IdList::Users:
+            return readIdList(IdList::Groups);
+        case IdList::Groups:
+            return skipIoErrorFlag();
+    }
+}
+
+void SenderStream::skipIoErrorFlag() {
+    skip(kIntSize, [this] { readFileIndex(); });
+}
+
+void SenderStream::readFileIndex() {
+    readField(kIntSize, [this] {
+        const auto index = intField();
+        if (index == kEndOfPhase) return finishPhase();
+        if (index < 0 || index >= fileCount_) return fail(StreamErrorCode::UnknownFile, index);
+        readDeltaHead();
+    });
+}
+
+void SenderStream::finishPhase() {
+    ++finishedPhases_;
+    if (finishedPhases_ < kPhases) return readFileIndex();
+    if (totals_ == Totals::Sent) return readTotals(kTotalsCount);
+    complete();
+}
+
+void SenderStream::readDeltaHead() {
+    readField(ChecksumHead::kSize, [this] {
+        const auto head = parseChecksumHead(field());
+        if (!head.isValid()) return fail(StreamErrorCode::ChecksumHeadOutOfRange, head.blockCount);
+        readToken(head.blockCount);
+    });
+}
+
+void SenderStream::readToken(std::int32_t blockCount) {
+    readField(kIntSize, [this, blockCount] {
+        const auto token = intField();
+        if (token == kEndOfDelta) return skip(kFileChecksumSize, [this] { readFileIndex(); });
+        if (token > 0) {
+            const auto literalLength = static_cast<std::uint64_t>(token);
+            literalBytes_ += literalLength;
+            return skip(literalLength, [this, blockCount] { readToken(blockCount); });
+        }
+        if (blockOfToken(token) >= blockCount)
+            return fail(StreamErrorCode::UnknownBlock, blockOfToken(token));
+        ++matchedBlocks_;
+        readToken(blockCount);
+    });
+}
+
+void SenderStream::readTotals(int remaining) {
+    if (remaining == 0) return complete();
+    readWideInt([this, remaining](std::int64_t) { readTotals(remaining - 1); });
+}
+
+}  // namespace wingproxy::rsync
--- /dev/null
+++ b/src/rsync/transfer_attempt.cpp
@@ -0,0 +1,225 @@
+#include "rsync/transfer_attempt.h"
+
+#include <boost/asio/write.hpp>
+#include <string_view>
+#include <utility>
+
+#include "rsync/protocol.h"
+
+namespace wingproxy::rsync {
+namespace {
+
+bool isPull(const TransferRequest& request) { return request.options.direction == Direction::Pull; }
+
+}  // namespace
+
+// The node sends totals as a sender, and a pulling client sends filter rules as a generator; the other way
+// round, neither does.
+TransferAttempt::TransferAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptParams& params,
+                                 std::shared_ptr<const TransferRequest> request,
+                                 std::weak_ptr<RelayEndpoint> client)
+    : net::NodeAttempt(engine, pool, params),
+      request_(std::move(request)),
+      client_(std::move(client)),
+      senderStream_(request_->options,
+                    isPull(*request_) ? SenderStream::Totals::Sent : SenderStream::Totals::NotSent),
+      generatorStream_(isPull(*request_) ? GeneratorStream::FilterRules::Sent
+                                         : GeneratorStream::FilterRules::NotSent),
+      nodeStream_(isPull(*request_) ? static_cast<StreamParser&>(senderStream_) : generatorStream_),
+      clientStream_(isPull(*request_) ? static_cast<StreamParser&>(generatorStream_) : senderStream_),
+      nodeFrames_(nodeStream_) {}
+
+std::shared_ptr<TransferAttempt> TransferAttempt::self() {
+    return std::static_pointer_cast<TransferAttempt>(shared_from_this());
+}
+
+void TransferAttempt::connected(std::shared_ptr<net::Connection> connection) {
+    connection_ = std::move(connection);
+    sendToNode(greeting() + request_->nodeModule + "\n");
+    readFromNode();
+}
+
+// ---------------------------------------------------------------- handshake, to the node
+
+void TransferAttempt::sendToNode(const std::string& text) {
+    handshakeOutput_ += text;
+    if (!writingHandshake_) writeHandshake();
+}
+
+void TransferAttempt::writeHandshake() {
+    auto& out = connection_->out;
+    handshakeOutput_.erase(0, out.put(handshakeOutput_));
+    writingHandshake_ = out.size() > 0;
+    if (!writingHandshake_) return onHandshakeWritten();
+    connection_->socket.async_write_some(
+        out.data(), [self = self()](const boost::system::error_code& error, std::size_t size) {
+            if (self->over_) return;
+            self->connection_->out.consume(size);
+            if (error)
+                self->finish(Outcome::ConnectFailed);  // a part of the request was not written: it never ran
+            else
+                self->writeHandshake();
+        });
+}
+
+void TransferAttempt::onHandshakeWritten() {
+    if (!requestSent_ && stage_ != Stage::Handshake) {
+        requestSent_ = true;
+        engine_.attemptRequestSent(order_.id, order_.attempt);
+    }
+    if (stage_ == Stage::Relay) forwardToNode();
+}
+
+// ---------------------------------------------------------------- from the node
+
+void TransferAttempt::readFromNode() {
+    if (readingNode_ || nodeEnded_ || connection_->in.space() == 0) return;
+    readingNode_ = true;
+    connection_->socket.async_read_some(
+        connection_->in.room(), [self = self()](const boost::system::error_code& error, std::size_t size) {
+            self->readingNode_ = false;
+            if (!self->over_) self->onNodeRead(size, error.failed());
+        });
+}
+
+void TransferAttempt::onNodeRead(std::size_t size, bool ended) {
+    connection_->in.commit(size);
+    if (ended) nodeEnded_ = true;
+    if (stage_ == Stage::Relay)
+        parseNodeStream(size);
+    else
+        handleHandshakeLines();
+    if (over_) return;
+    if (nodeEnded_)
+        finishIfComplete();
+    else
+        readFromNode();
+}
+
+void TransferAttempt::handleHandshakeLines() {
+    std::string line;
+    while (stage_ == Stage::Handshake && connection_->in.line(line)) {
+        switch (handshake_.onLine(line)) {
+            case NodeHandshake::Step::ReadNextLine:
+                break;
+            case NodeHandshake::Step::SendArguments:
+                stage_ = Stage::Arguments;
+                sendToNode(encodeNodeArguments(*request_));
+                break;
+            case NodeHandshake::Step::Reject:
+                return finish(Outcome::Rejected);
+        }
+    }
+    if (stage_ == Stage::Arguments) return startRelayIfStreamBegan();
+    const bool lineTooLong = connection_->in.space() == 0;
+    if (lineTooLong) finish(Outcome::Rejected);
+}
+
+void TransferAttempt::startRelayIfStreamBegan() {
+    if (connection_->in.size() == 0) return;
+    const auto client = client_.lock();
+    if (!client) return finish(Outcome::Cancelled);
+    stage_ = Stage::Relay;
+    engine_.responseForwardingStarted(order_.id, order_.attempt);
+    client->startRelay([weak = std::weak_ptr<TransferAttempt>(self())] {
+        if (const auto attempt = weak.lock()) attempt->forwardToNode();
+    });
+    parseNodeStream(connection_->in.size());
+    if (!over_) forwardToNode();
+}
+
+void TransferAttempt::parseNodeStream(std::size_t newBytes) {
+    for (const auto& part : connection_->in.newest(newBytes)) {
+        if (nodeFrames_.feed(part) != StreamStatus::Broken) continue;
+        engine_.logger().warn("rsync: protocol error in a node's stream: {}", describe(nodeFrames_.error()));
+        return finish(Outcome::Reset);
+    }
+    forwardToClient();
+}
+
+// ---------------------------------------------------------------- relay
+
+void TransferAttempt::forwardToClient() {
+    const auto client = client_.lock();
+    if (!client) return finish(Outcome::Cancelled);
+    if (writingClient_ || connection_->in.size() == 0) return finishIfComplete();
+    writingClient_ = true;
+    client->socket().async_write_some(
+        connection_->in.data(),
+        [self = self(), client](const boost::system::error_code& error, std::size_t size) {
+            self->writingClient_ = false;
+            if (self->over_) return;
+            self->connection_->in.consume(size);
+            if (error) return;  // the session's own read reports the disconnection
+            self->readFromNode();
+            self->forwardToClient();
+        });
+}
+
+void TransferAttempt::forwardToNode() {
+    const auto client = client_.lock();
+    // The arguments are written first.
+    if (over_ || writingNode_ || writingHandshake_ || !client) return;
+    const auto& received = client->receivedBytes();
+    if (received.size() == 0) return finishIfComplete();
+    const auto chunk = received.data().front();
+    const std::string_view bytes(static_cast<const char*>(chunk.data()), chunk.size());
+    if (clientStream_.feed(bytes) == StreamStatus::Broken) {
+        engine_.logger().debug("rsync: protocol error in a client's stream: {}",
+                               describe(clientStream_.error()));
+        return finish(Outcome::Reset);
+    }
+    writingNode_ = true;
+    boost::asio::async_write(
+        connection_->socket, boost::asio::buffer(chunk),
+        [self = self(), client](const boost::system::error_code& error, std::size_t size) {
+            self->writingNode_ = false;
+            if (self->over_) return;
+            if (error) return self->finish(Outcome::Reset);
+            client->receivedBytes().consume(size);
+            client->resumeReading();
+            self->forwardToNode();
+        });
+}
+
+// ---------------------------------------------------------------- end
+
+bool TransferAttempt::allForwardedToClient() const { return !writingClient_ && connection_->in.size() == 0; }
+
+bool TransferAttempt::isDelivered() const {
+    return !over_ && stage_ == Stage::Relay && nodeStream_.status() == StreamStatus::Complete &&
+           allForwardedToClient();
+}
+
+void TransferAttempt::finishIfComplete() {
+    if (over_) return;
+    if (isDelivered()) return finishDelivered();
+    if (!nodeEnded_) return;
+    if (stage_ != Stage::Relay)
+        finish(requestSent_ ? Outcome::Reset : Outcome::ConnectFailed);
+    else if (allForwardedToClient())
+        finish(Outcome::Reset);
+}
+
+// A pulling client's goodbye is still forwarded to the node, unless the node has closed already.
+void TransferAttempt::finishDelivered() {
+    if (clientStream_.status() == StreamStatus::Complete && !writingNode_)
+        finish(Outcome::Ok);
+    else if (nodeEnded_)
+        finish(isPull(*request_) ? Outcome::Ok : Outcome::Reset);
+}
+
+void TransferAttempt::clientDisconnected() { finish(isDelivered() ? Outcome::Ok : Outcome::Cancelled); }
+
+void TransferAttempt::finish(Outcome outcome) {
+    core::AttemptFinished result;
+    result.outcome = outcome;
+    end(std::move(result));
+}
+
+void TransferAttempt::drop() {
+    boost::system::error_code ignored;
+    if (connection_) connection_->socket.close(ignored);  // its buffers stay until the handlers have run
+}
+
+}  // namespace wingproxy::rsync
--- /dev/null
+++ b/tests/rsync/client_handshake_test.cpp
@@ -0,0 +1,144 @@
+#include "rsync/client_handshake.h"
+
+#include <doctest/doctest.h>
+
+#include <initializer_list>
+#include <string>
+
+#include "rsync/protocol.h"
+
+using namespace wingproxy;
+using rsync::ClientHandshake;
+using rsync::HandshakeErrorCode;
+using Step = rsync::ClientHandshake::Step;
+
+namespace {
+
+config::RsyncModule module(const std::string& name) {
+    config::RsyncModule result;
+    result.name = name;
+    result.comment = "files of " + name;
+    result.nodeModule = "bodega";
+    result.pullClass = 3;
+    result.pushClass = 4;
+    return result;
+}
+
+config::RsyncFront frontConfig() {
+    auto readOnly = module("lectura");
+    readOnly.pushClass = -1;
+    auto writeOnly = module("escritura");
+    writeOnly.pullClass = -1;
+    config::RsyncFront config;
+    config.motd = "bienvenidos";
+    config.modules = {module("manuales"), readOnly, writeOnly};
+    return config;
+}
+
+/// A handshake and the configuration that it refers to.
+struct Dialogue {
+    /// \return the reply to the last line
+    ClientHandshake::Reply say(std::initializer_list<const char*> lines) {
+        ClientHandshake::Reply reply;
+        for (const char* line : lines)
+            reply = handshake.onLine(line);
+        return reply;
+    }
+
+    config::RsyncFront config = frontConfig();
+    ClientHandshake handshake{config};
+};
+
+}  // namespace
+
+TEST_CASE("rsync client handshake: the greeting is answered with the message of the day") {
+    Dialogue dialogue;
+    const auto reply = dialogue.say({"@RSYNCD: 31.0 md5"});
+    CHECK(reply.step == Step::ReadNextLine);
+    CHECK(reply.text == "bienvenidos\n");
+}
+
+TEST_CASE("rsync client handshake: the module list") {
+    const std::string list =
+        "manuales       \tfiles of manuales\n"
+        "lectura        \tfiles of lectura\n"
+        "escritura      \tfiles of escritura\n"
+        "@RSYNCD: EXIT\n";
+    for (const char* command : {"", "#list"}) {
+        Dialogue dialogue;
+        const auto reply = dialogue.say({"@RSYNCD: 28", command});
+        CHECK(reply.step == Step::CloseAfterList);
+        CHECK(reply.text == list);
+    }
+}
+
+TEST_CASE("rsync client handshake: a pull") {
+    Dialogue dialogue;
+    CHECK(dialogue.say({"@RSYNCD: 28", "manuales"}).text == "@RSYNCD: OK\n");
+    const auto reply = dialogue.say({"--server", "--sender", "-r", ".", "manuales/a", ""});
+    CHECK(reply.step == Step::StartTransfer);
+    CHECK(reply.text.empty());
+    CHECK(dialogue.handshake.module().name == "manuales");
+    const auto request = dialogue.handshake.takeRequest();
+    CHECK(request.module == "manuales");
+    CHECK(request.nodeModule == "bodega");
+    CHECK(request.options.direction == rsync::Direction::Pull);
+    CHECK(request.arguments.back() == "manuales/a");
+}
+
+TEST_CASE("rsync client handshake: each direction has the class that the module gives it") {
+    CHECK(rsync::classIndex(module("m"), rsync::Direction::Pull) == 3);
+    CHECK(rsync::classIndex(module("m"), rsync::Direction::Push) == 4);
+}
+
+TEST_CASE("rsync client handshake: before the module is accepted an error is a line") {
+    const struct {
+        std::initializer_list<const char*> lines;
+        const char* text;
+    } cases[] = {
+        {{"GET / HTTP/1.1"}, "@ERROR: protocol startup error\n"},
+        {{"@RSYNCD: 27"}, "@ERROR: protocol 28 or newer is needed\n"},
+        {{"@RSYNCD: 28", "nada"}, "@ERROR: Unknown module 'nada'\n"},
+    };
+    for (const auto& c : cases) {
+        const auto reply = Dialogue().say(c.lines);
+        CHECK(reply.step == Step::CloseAfterError);
+        CHECK(reply.text == c.text);
+    }
+}
+
+TEST_CASE("rsync client handshake: after the module is accepted an error is in the stream") {
+    const struct {
+        std::initializer_list<const char*> lines;
+        const char* text;
+    } cases[] = {
+        {{"@RSYNCD: 28", "manuales", "--server", "-z", ".", "manuales/a", ""},
+         "@ERROR: -z: not an option of this gateway\n"},
+        {{"@RSYNCD: 28", "lectura", "--server", ".", "lectura/a", ""}, "@ERROR: module is read only\n"},
+        {{"@RSYNCD: 28", "escritura", "--server", "--sender", ".", "escritura/a", ""},
+         "@ERROR: module is write only\n"},
+    };
+    for (const auto& c : cases) {
+        const auto reply = Dialogue().say(c.lines);
+        CHECK(reply.step == Step::CloseAfterError);
+        CHECK(reply.text == rsync::errorStream(c.text));
+    }
+}
+
+TEST_CASE("rsync client handshake: 256 arguments are accepted, one more is not") {
+    Dialogue dialogue;
+    dialogue.say({"@RSYNCD: 28", "manuales"});
+    for (int i = 0; i < 256; ++i)
+        CHECK(dialogue.handshake.onLine("-v").step == Step::ReadNextLine);
+    const auto reply = dialogue.handshake.onLine("-v");
+    CHECK(reply.step == Step::CloseAfterError);
+    CHECK(reply.text == rsync::errorStream("@ERROR: too many arguments\n"));
+}
+
+TEST_CASE("rsync client handshake: errors that the session finds") {
+    Dialogue dialogue;
+    CHECK(dialogue.handshake.reject({HandshakeErrorCode::LineTooLong, {}}).text ==
+          "@ERROR: a line that is too long\n");
+    CHECK(dialogue.handshake.reject({HandshakeErrorCode::Timeout, {}}).text ==
+          "@ERROR: timeout waiting for the request\n");
+}
