--- /dev/null
+++ b/src/policy/attempt_tracker.cpp
@@ -0,0 +1,120 @@
+#include "policy/attempt_tracker.h"
+
+#include <algorithm>
+#include <set>
+
+namespace wingproxy {
+namespace {
+
+// An answer is lost, or its connection fell silent, when the node has answered what was sent later: after
+// this part of the shortest objective, for another attempt to be in time, and this multiple of what it takes
+// there.
+constexpr double kLostObjectivePart = 0.5;
+constexpr double kLostLatencies = 4;
+// So much older, where the node got nothing later from here, its health is checked: a check waits there as a
+// request.
+constexpr double kHealthCheckFactor = 1.5;
+constexpr double kRejectionObjectives = 2;  // reported as the wait at a node that rejects
+constexpr double kMinReportedTicks = 0.01;  // a wait that was measured is never reported as none
+
+}  // namespace
+
+void AttemptTracker::send(PendingRequest& request, int index) {
+    Node& node = cluster_.node(index);
+    const double units = request.info.units;
+    if (!std::exchange(request.hasTokens, true)) LeaseAllocator::spend(*request.volume, units);
+    if (cluster_.isSuspect(node)) node.outliers.onTrialSent(context_.now);
+    if (node.outstanding == 0) node.outliers.onWorkBegan(context_.now);
+    if (!request.bodyIncomplete) ++node.outstanding;
+    if (cluster_.isWarmingUp(node)) node.slowStart.onSent(context_.settings, units, context_.now);
+    retries_.onSent(request);
+    request.onSent(index, context_.now);
+    const Micros lastByteBy = request.mayHaveRun ? request.repeatableUntil() : 0;
+    context_.emit(ForwardRequest{request.info.id, node.info.id, 0, lastByteBy});
+}
+
+bool AttemptTracker::isTelling(const AttemptOutcome& event, bool heldPlace) {
+    if (event.outcome == Outcome::NotStarted) return false;
+    if (heldPlace) return !event.requestSpent || event.outcome != Outcome::Rejected;
+    return event.outcome != Outcome::Ok && event.outcome != Outcome::Error;
+}
+
+void AttemptTracker::onOutcome(Node& node, double units, Micros elapsed, Outcome outcome) {
+    const Micros sentAt = context_.now - elapsed;
+    if (outcome != Outcome::Ok && outcome != Outcome::Error) {
+        onFailure(node, sentAt, outcome);
+        return;
+    }
+    node.outliers.onAnswer(outcome == Outcome::Error, sentAt, context_.now);
+    // A quick error says nothing of a node's pace: taken for an answer it would draw all new objects to it.
+    if (outcome == Outcome::Ok) onAnswer(node, units, elapsed);
+}
+
+void AttemptTracker::onFailure(Node& node, Micros sentAt, Outcome outcome) {
+    if (!node.outliers.onFailure(outcome, sentAt, context_.now)) return;
+    node.concurrency.onFailure();
+    // Silence is not reported as a wait, as the answer may have been lost; outstanding attempts speak for
+    // themselves.
+    if (outcome == Outcome::Rejected || outcome == Outcome::ConnectFailed)
+        gossip_.reportCell(cluster_.cell(node.info.cell), kRejectionObjectives * context_.latencyObjective);
+}
+
+void AttemptTracker::onAnswer(Node& node, double units, Micros elapsed) {
+    const Cell& cell = cluster_.cell(node.info.cell);
+    if (cluster_.isWarmingUp(node)) {
+        node.slowStart.onCompleted(units, context_.now);
+        cell.usage->slowStartUnits += units;
+    }
+    // The report may come back at once as an aggregate, which counts as heard too.
+    const LatencyEstimate& estimate = node.concurrency.estimate();
+    const Micros heardBefore = estimate.heardAt;
+    const double wait = double(elapsed) - estimate.floor.value() * units;
+    gossip_.reportCell(cell, std::max(wait, kMinReportedTicks * double(kTickInterval)));
+    node.concurrency.onAnswer({double(elapsed), units, node.outstanding, heardBefore},
+                              cluster_.conditionsOf(node));
+}
+
+void AttemptTracker::onBodyCompleted(const PendingRequest& request) {
+    for (const auto& [attempt, index] : request.nodeByAttempt) {
+        Node& node = cluster_.node(index);
+        if (node.outstanding++ == 0) node.outliers.onWorkBegan(context_.now);
+    }
+}
+
+AttemptTracker::Verdict AttemptTracker::judge(const PendingRequest& request, const Node& node) const {
+    const double age = double(context_.now - request.sentAt);
+    const double usual = node.concurrency.estimate().usual(request.info.units);
+    const double patience = std::max(kLostObjectivePart * context_.latencyObjective, kLostLatencies * usual);
+    if (node.outliers.answeredLaterThan(request.sentAt, usual))
+        return age > patience ? Verdict::Lost : Verdict::Waiting;
+    const bool checks = age > kHealthCheckFactor * patience && !node.outliers.wasCheckedSince(request.sentAt);
+    return checks ? Verdict::Unsure : Verdict::Waiting;
+}
+
+// May be wrong where a node takes what was sent later first, by far.
+void AttemptTracker::cancelLost(const RequestTable& requests) {
+    std::map<std::uint64_t, CancelAttempt> lost;  // by order of arrival
+    std::set<int> unsure;
+    for (const auto& [id, request] : requests) {
+        if (request.outstanding != 1 || request.streaming || request.bodyIncomplete || request.nodeDone)
+            continue;
+        const auto& [attempt, index] = *request.nodeByAttempt.begin();
+        const Verdict verdict = judge(request, cluster_.node(index));
+        if (verdict == Verdict::Unsure) unsure.insert(index);
+        if (verdict == Verdict::Lost && (request.finished || retries_.mayRepeatLost(request)))
+            lost.emplace(request.sequence, CancelAttempt{id, attempt});
+    }
+    for (const auto& [sequence, cancel] : lost)
+        context_.emit(cancel);
+    for (const int index : unsure)
+        checkHealth(index);
+}
+
+void AttemptTracker::checkHealth(int index) {
+    Node& node = cluster_.node(index);
+    if (!context_.settings.mayCheckHealth || !node.isReady()) return;
+    node.outliers.onHealthCheckSent(context_.now);
+    context_.emit(StartHealthCheck{node.info.id});
+}
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/attempt_tracker.h
@@ -0,0 +1,52 @@
+/// \file
+/// Sends attempts to nodes, learns from how they end, and finds those whose answers are lost.
+#pragma once
+
+#include <unordered_map>
+
+#include "policy/gossip.h"
+#include "policy/lease_allocator.h"
+#include "policy/pending_request.h"
+#include "policy/retry_policy.h"
+
+namespace wingproxy {
+
+/// Open requests by id. Its order is not the same on every build: nothing may depend on it.
+using RequestTable = std::unordered_map<RequestId, PendingRequest>;
+
+/// Keeps the counts of attempts at nodes, and passes what they show to the node's limits and to gossip.
+class AttemptTracker {
+public:
+    AttemptTracker(Context& context, ClusterView& cluster, Gossip& gossip, RetryPolicy& retries)
+        : context_(context), cluster_(cluster), gossip_(gossip), retries_(retries) {}
+
+    /// Sends a request to a node; the guards were asked before.
+    void send(PendingRequest& request, int node);
+    /// Whether an outcome says anything of its node.
+    /// \param heldPlace whether the attempt was complete and unanswered: else a rejection or an answer says
+    /// nothing
+    [[nodiscard]] static bool isTelling(const AttemptOutcome& event, bool heldPlace);
+    /// An attempt ended, or its node has done its work.
+    /// \param units of its request
+    /// \param elapsed since it was sent, in microseconds
+    void onOutcome(Node& node, double units, Micros elapsed, Outcome outcome);
+    /// A request body is complete: from now on its attempts hold places at their nodes.
+    void onBodyCompleted(const PendingRequest& request);
+    /// Cancels attempts whose answers are lost, so that their places are free and the time that is left goes
+    /// to another attempt. Checks the health of nodes where that is not sure.
+    void cancelLost(const RequestTable& requests);
+
+private:
+    enum class Verdict { Waiting, Unsure, Lost };
+    void onFailure(Node& node, Micros sentAt, Outcome outcome);
+    void onAnswer(Node& node, double units, Micros elapsed);
+    [[nodiscard]] Verdict judge(const PendingRequest& request, const Node& node) const;
+    void checkHealth(int node);
+
+    Context& context_;
+    ClusterView& cluster_;
+    Gossip& gossip_;
+    RetryPolicy& retries_;
+};
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/cluster_view.h
@@ -0,0 +1,97 @@
+/// \file
+/// The nodes and cells that discovery lists, the watch of that list, and what may be expected of each node
+/// now.
+#pragma once
+
+#include <set>
+#include <string>
+#include <vector>
+
+#include "policy/context.h"
+#include "policy/node_table.h"
+
+namespace wingproxy {
+
+/// Owns the table of nodes and cells, and keeps it as the endpoint list says.
+class ClusterView {
+public:
+    ClusterView(Context& context, UsageTable& usage);
+
+    // -- endpoint list
+    /// Takes an endpoint list over.
+    /// \return the nodes on it whose process is new: nothing that was learnt of an earlier one holds
+    std::vector<NodeInfo> apply(const EndpointList& list);
+    /// The call to discovery failed: it is repeated after a backoff.
+    void onListUnavailable();
+    /// Calls discovery where that is due.
+    void renewWatch();
+    /// Forgets nodes that were not listed for `period`, but for those in use.
+    /// \param pinned nodes near which an open request may have to be repeated
+    void forgetUnlisted(Micros period, const std::set<int>& pinned) {
+        table_.forgetUnlisted(std::max(period, context_.settings.slowStartWindowUs), pinned, context_.now);
+    }
+
+    // -- tables
+    [[nodiscard]] Node& node(int index) { return table_.node(index); }
+    [[nodiscard]] const Node& node(int index) const { return table_.node(index); }
+    [[nodiscard]] Node* findNode(const std::string& id) { return table_.find(id); }
+    [[nodiscard]] std::size_t nodeCount() const { return table_.namedNodes(); }
+    /// The cell of this number, in use from now on.
+    Cell& cell(int number) { return table_.cell(number); }
+    [[nodiscard]] const std::vector<Cell>& cells() const { return table_.cells(); }
+    [[nodiscard]] int cellCount() const { return int(table_.cells().size()); }
+    [[nodiscard]] int outstandingIn(const Cell& cell) const { return table_.outstandingIn(cell); }
+    [[nodiscard]] NodeTable::State state() const { return table_.state(); }
+    /// Takes a state over; the usage table must have been restored before. Discovery is called at once.
+    void restore(NodeTable::State state) {
+        table_.restore(std::move(state));
+        nextWatchAt_ = 0;
+        watchBackoff_ = 0;
+    }
+
+    // -- what may be expected of a node
+    /// Whether it may get new requests. A draining node serves on for a part of its grace where its cell has
+    /// no other.
+    [[nodiscard]] bool acceptsRequests(const Node& node) const;
+    [[nodiscard]] bool isWarmingUp(const Node& node) const;
+    /// Whether slow start allows one more request of `units`.
+    [[nodiscard]] bool slowStartAdmits(Node& node, double units) const;
+    [[nodiscard]] bool isSuspect(const Node& node) const {
+        return node.outliers.isSuspect(node.outstanding, node.concurrency.estimate().latency, context_.now);
+    }
+    /// Microseconds that an answer takes, as far as is known.
+    [[nodiscard]] double expectedLatency(const Node& node) const {
+        return node.concurrency.expectedLatency(context_.now, context_.latencyObjective);
+    }
+    /// Attempts of this host that may be outstanding there.
+    [[nodiscard]] double attemptsAllowed(const Node& node) const {
+        return node.concurrency.attemptsAllowed(conditionsOf(node));
+    }
+    /// Units a second that this host may expect from it.
+    [[nodiscard]] double unitsPerSecond(const Node& node) const {
+        return node.concurrency.unitsPerSecond(conditionsOf(node));
+    }
+    [[nodiscard]] ConcurrencyLimit::Conditions conditionsOf(const Node& node) const;
+    /// Listed nodes that get no requests, or only trial ones.
+    [[nodiscard]] std::size_t avoidedNodes() const;
+
+    // -- what happened
+    /// Units that a cell is asked for: each of its starting nodes earns a turn's part of them.
+    void earnSlowStartTurns(const Cell& cell, double units);
+    /// A peer says how long requests wait in a cell.
+    void onWaitReported(int cell, double waitUs);
+
+private:
+    bool applyNode(const NodeInfo& info, bool drainIsNew);
+    void resetNode(Node& node, const NodeInfo& info) const;
+    [[nodiscard]] Micros watchSpread() const;
+    [[nodiscard]] Micros jitter(Micros span) const;
+
+    Context& context_;
+    UsageTable& usage_;
+    NodeTable table_;
+    Micros nextWatchAt_ = 0;
+    Micros watchBackoff_ = 0;  // 0: the last call to discovery succeeded
+};
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/dispatcher.cpp
@@ -0,0 +1,134 @@
+#include "policy/dispatcher.h"
+
+#include <algorithm>
+
+namespace wingproxy {
+namespace {
+
+constexpr double kNoNodeWait = 1e15;      // microseconds; a cell without a node
+constexpr double kLastResortWait = 1e12;  // likewise; a node that is a suspect, or full by slow start
+constexpr double kSuspectWaitFactor = 100;
+constexpr std::uint64_t kCellStride =
+    7;  // prime to usual numbers of cells: each object starts at another one
+
+}  // namespace
+
+int Dispatcher::cellForNewObject(double units) {
+    const std::size_t cells = std::size_t(cluster_.cellCount());
+    if (cells == 0) return 0;
+    const std::size_t host = std::size_t(context_.settings.hostIndex);
+    int best = int((nextSequence_ + host) % cells);
+    double leastWait = kNoNodeWait;
+    for (std::size_t k = 0; k < cells; ++k) {  // from another one each time, so that equals share
+        const int number = int((k + nextSequence_ * kCellStride + host) % cells);
+        const double unitsAhead = queue(number).units();
+        for (const int index : cluster_.cells()[std::size_t(number)].nodes) {
+            Node& node = cluster_.node(index);
+            if (!node.isReady()) continue;
+            const double wait = waitForNewObject(node, unitsAhead, units);
+            if (wait >= leastWait) continue;
+            leastWait = wait;
+            best = number;
+        }
+    }
+    return best;
+}
+
+double Dispatcher::waitForNewObject(Node& node, double unitsAhead, double units) const {
+    const double allowed = cluster_.attemptsAllowed(node);
+    const double excess = std::max(0.0, node.outstanding + 1 - allowed) / allowed;
+    double wait =
+        cluster_.expectedLatency(node) * (1 + excess) + unitsAhead * 1e6 / cluster_.unitsPerSecond(node);
+    // What fails there may be tried again in its cell only.
+    wait += node.outliers.errorPenalty(context_.latencyObjective, context_.now);
+    // The capacity of a starting node belongs first to what only it can serve. An objective more, so that
+    // hosts which have no answer of it yet do not all choose what looks idle.
+    if (cluster_.isWarmingUp(node))
+        wait = wait / context_.settings.slowStartCapacity + context_.latencyObjective;
+    if (cluster_.isSuspect(node) || !cluster_.slowStartAdmits(node, unitsAhead + units))
+        wait += kLastResortWait;
+    return wait;
+}
+
+void Dispatcher::enqueue(PendingRequest& request) {
+    if (request.cell < 0) request.cell = cellForNewObject(request.info.units);
+    request.queued = true;
+    if (!request.hasTokens) LeaseAllocator::addQueuedUnits(*request.volume, request.info.units);
+    queue(request.cell).add(request);
+    markChanged(request.cell);
+}
+
+void Dispatcher::dequeue(PendingRequest& request) {
+    if (!std::exchange(request.queued, false)) return;
+    if (!request.hasTokens) LeaseAllocator::removeQueuedUnits(*request.volume, request.info.units);
+    queue(request.cell).remove(request);
+}
+
+bool Dispatcher::maySendNow(const PendingRequest& request, int index) const {
+    const Node& node = cluster_.node(index);
+    if (!cluster_.acceptsRequests(node)) return false;
+    if (cluster_.isSuspect(node)) {
+        if (!node.outliers.mayTry(context_.now)) return false;
+    } else if (node.outstanding > 0 && node.outstanding + 1 > cluster_.attemptsAllowed(node)) {
+        return false;
+    }
+    return cluster_.expectedLatency(node) <= admission_.longestLatency(request) &&
+           retries_.maySend(request, index);
+}
+
+int Dispatcher::chooseNode(const PendingRequest& request, const Cell& cell) const {
+    int best = -1;
+    double leastWait = 0;
+    for (const int index : cell.nodes) {
+        if (!maySendNow(request, index)) continue;
+        const Node& node = cluster_.node(index);
+        const double wait = cluster_.expectedLatency(node) * (node.outstanding + 1) /
+                            cluster_.attemptsAllowed(node) *
+                            (cluster_.isSuspect(node) ? kSuspectWaitFactor : 1);
+        if (best >= 0 && wait >= leastWait) continue;
+        best = index;
+        leastWait = wait;
+    }
+    return best;
+}
+
+bool Dispatcher::sendNext(int number) {
+    const Cell& cell = cluster_.cell(number);
+    for (const auto& [key, request] : queue(number).entries()) {
+        const int node = chooseNode(*request, cell);
+        if (node < 0) continue;
+        dequeue(*request);
+        attempts_.send(*request, node);
+        return true;
+    }
+    return false;
+}
+
+void Dispatcher::dispatch(int cell) {
+    while (sendNext(cell)) {}
+}
+
+PendingRequest* Dispatcher::leastValuable() const {
+    PendingRequest* least = nullptr;
+    for (const RequestQueue& queue : queues_)
+        for (const auto& [key, request] : queue.entries())
+            if (!least || admission_.value(*request) < admission_.value(*least)) least = request;
+    return least;
+}
+
+void Dispatcher::markAllChanged() {
+    for (int i = 0; i < cluster_.cellCount(); ++i)
+        markChanged(i);
+}
+
+void Dispatcher::markWaiting() {
+    for (std::size_t i = 0; i < queues_.size(); ++i)
+        if (!queues_[i].empty()) markChanged(int(i));
+}
+
+int Dispatcher::takeChanged() {
+    if (changed_.empty()) return -1;
+    return changed_.extract(changed_.begin()).value();
+}
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/event_window.h
@@ -0,0 +1,23 @@
+/// \file
+/// A count of events within a sliding window.
+#pragma once
+
+#include <deque>
+
+#include "policy/micros.h"
+
+namespace wingproxy {
+
+/// The times of recent events, oldest first. The owner says which are too old.
+struct EventWindow {
+    std::deque<Micros> times;
+
+    void record(Micros now) { times.push_back(now); }
+    void dropBefore(Micros oldest) {
+        while (!times.empty() && times.front() < oldest)
+            times.pop_front();
+    }
+    [[nodiscard]] double count() const { return double(times.size()); }
+};
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/gossip.h
@@ -0,0 +1,114 @@
+/// \file
+/// Tells the hosts what the others are asked for, through one rendezvous host for each key.
+///
+/// Hosts do not broadcast. What a volume or a cell is asked for through a host goes to the rendezvous host of
+/// its key, when it has changed. That host sums it up and tells each host concerned what the others are asked
+/// for, how long requests wait there, and what starting nodes completed.
+#pragma once
+
+#include <map>
+#include <set>
+
+#include "policy/cluster_view.h"
+#include "policy/peer_outbox.h"
+
+namespace wingproxy {
+
+/// One host's use of a key, as the rendezvous host knows it.
+struct HostUsage {
+    DecayingRate rate;
+    int outstanding = 0;
+};
+
+/// Kept by the rendezvous host of a key.
+struct KeyAggregate {
+    std::map<int, HostUsage> hosts;
+    std::set<int> joined;  ///< hosts that want to know each other
+    double sentRate = 0;   ///< as last sent to the hosts
+    double sentSlowStartRate = 0;
+    double meanWait = 0;         ///< of answers, microseconds, smoothed
+    double meanOutstanding = 0;  ///< while these waited, smoothed
+    TimedValue sentWait;
+    DecayingRate slowStart;          ///< units completed by starting nodes for all hosts
+    Micros slowStartUntil = kNever;  ///< end of the slow start of the cell's newest node
+
+    /// Sum of all hosts.
+    /// \param memory of the rates, in microseconds
+    [[nodiscard]] HostUsage sum(Micros now, Micros memory) const {
+        HostUsage all{{0, now}};
+        for (const auto& [host, usage] : hosts) {
+            all.rate.value += usage.rate.rate(now, memory);
+            all.outstanding += usage.outstanding;
+        }
+        return all;
+    }
+};
+
+using AggregateByKey = std::map<std::uint32_t, KeyAggregate>;
+
+/// Owns the aggregates of the keys whose rendezvous host this is.
+class Gossip {
+public:
+    Gossip(const Context& context, UsageTable& usage, ClusterView& cluster, PeerOutbox& outbox)
+        : context_(context), usage_(usage), cluster_(cluster), outbox_(outbox) {}
+
+    /// How long what is known of a key's use counts.
+    static UsageMemory usageMemory();
+
+    /// What is new about a key, besides its rate.
+    struct Observation {
+        bool joins = false;   ///< the other hosts of the key are asked for
+        double waitUs = 0;    ///< of an answer; 0: none
+        int outstanding = 0;  ///< attempts
+    };
+    /// Reports the use of a key to its rendezvous host, where it has changed enough.
+    void reportUsage(std::uint32_t key, KeyUsage& usage, const Observation& observation);
+    /// Reports the use of a cell.
+    /// \param waitUs of an answer; 0: none
+    void reportCell(const Cell& cell, double waitUs = 0) {
+        reportUsage(cell.key, *cell.usage, {false, waitUs, cluster_.outstandingIn(cell)});
+    }
+    /// As the rendezvous host: sends the aggregates that changed, and repeats the others from time to time.
+    void sendChangedAggregates();
+
+    /// \param from the host that sent it
+    void handle(int from, const peer::UsageReport& report);
+    void handle(int from, const peer::UsageAggregate& aggregate);
+    void handle(int from, const peer::MembershipNotice& notice);
+
+    /// A new process of a node in this cell: what its predecessor completed says nothing of it.
+    void onNodeStarted(const Cell& cell, Micros startedUs);
+    /// Forgets keys that no host uses.
+    void forgetUnused() {
+        std::erase_if(aggregates_, [](const auto& entry) { return entry.second.hosts.empty(); });
+    }
+
+    /// Least time between two reports of a key that changed.
+    static Micros reportInterval();
+
+    [[nodiscard]] std::size_t size() const { return aggregates_.size(); }
+    [[nodiscard]] const AggregateByKey& aggregates() const { return aggregates_; }
+    void restore(AggregateByKey aggregates) { aggregates_ = std::move(aggregates); }
+
+private:
+    template <typename Message>
+    void send(int to, const Message& message);
+    void sendAggregate(std::uint32_t key, const KeyAggregate& aggregate, int to);
+    void introduce(std::uint32_t key, const KeyAggregate& aggregate, int newcomer);
+    [[nodiscard]] bool isDue(const KeyUsage& usage, const Observation& observation) const;
+    [[nodiscard]] bool hasChanged(const KeyAggregate& aggregate) const;
+    [[nodiscard]] bool hasNewWait(const KeyAggregate& aggregate) const;
+    [[nodiscard]] HostUsage sumOf(const KeyAggregate& aggregate) const;
+    [[nodiscard]] double expectedWait(const KeyAggregate& aggregate) const;
+    [[nodiscard]] double slowStartRate(const KeyAggregate& aggregate) const;
+    [[nodiscard]] double notableWait() const;
+    [[nodiscard]] double notableRate() const;
+
+    const Context& context_;
+    UsageTable& usage_;
+    ClusterView& cluster_;
+    PeerOutbox& outbox_;
+    AggregateByKey aggregates_;
+};
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/lease_allocator.cpp
@@ -0,0 +1,254 @@
+#include "policy/lease_allocator.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace wingproxy {
+namespace {
+
+// The design's cut of a limit, rounded for each host. Where hosts are many a home still has a few chunks: a
+// host with little demand would else need all of its home for it, and the busy one could borrow nothing.
+constexpr int kChunksOfLimit = 20;
+constexpr int kMinHomeChunks = 4;
+// What a dead borrower or a restarted home costs. Long against a message, short for a surge.
+constexpr Micros kLeaseDuration = 2'000'000;
+constexpr Micros kRenewBefore = kLeaseDuration / 2;
+constexpr Micros kRequestInterval =
+    50'000;  // between two requests for a volume: two crossings of the network
+constexpr Micros kRequestTimeout = 2 * kRequestInterval;
+constexpr double kDemandMargin = 1.25;     // claims follow demand with a margin for chance
+constexpr double kBacklogSeconds = 0.5;    // a backlog requests chunks that would clear it in this time
+constexpr int kIdleChunksKept = 1;         // against chance
+constexpr double kBytesPerRequest = 64;    // each client's request pays so many bytes of requests for chunks
+constexpr double kMaxRequestBytes = 1024;  // and so many are saved at the most
+constexpr double kReservePart = 0.25;  // of a bucket, for one more request of each client that is connected
+constexpr double kMinFillRate = 1e-3;  // units a second; no division by less
+
+}  // namespace
+
+LeaseAllocator::LeaseAllocator(const Context& context, const fleet::RestartRecovery& recovery,
+                               UsageTable& usage, VolumeTable& volumes, PeerOutbox& outbox)
+    : context_(context), recovery_(recovery), usage_(usage), volumes_(volumes), outbox_(outbox) {
+    state_.requestBytes = kMaxRequestBytes;
+}
+
+Micros LeaseAllocator::leaseDuration() { return kLeaseDuration; }
+
+// ---- limits
+
+// Base and home together are limit / hosts at every host, in rate and burst: the sum needs no message to
+// arrive.
+void LeaseAllocator::cut(VolumeLimit& limit, const PlanInfo& plan, int hosts) {
+    const double hostRate = plan.limit / hosts;
+    const double hostBurst = plan.limitBurst / hosts;
+    limit.homeChunks = std::max(kMinHomeChunks, int(std::lround(double(kChunksOfLimit) / hosts)));
+    limit.baseRate = std::min(plan.guaranteedRate / hosts, hostRate);
+    limit.baseBurst = hostBurst * limit.baseRate / hostRate;
+    limit.chunkRate = (hostRate - limit.baseRate) / limit.homeChunks;
+    limit.chunkBurst = (hostBurst - limit.baseBurst) / limit.homeChunks;
+}
+
+void LeaseAllocator::open(Volume& volume) {
+    VolumeLimit& limit = volume.limit;
+    limit.bucket.at = context_.now;
+    if (volume.plan < 0) return;
+    const PlanInfo& plan = context_.settings.plans.at(std::size_t(volume.plan));
+    limit.limited = plan.limit > 0;
+    if (!limit.limited) return;
+    cut(limit, plan, volume.hosts);
+    // A bucket starts empty, as an earlier process of this host may have spent it, and fills from there.
+    limit.bucket.at = volume.hosts == 1 ? context_.startedAt : std::min(state_.recoveredAt, context_.now);
+    refill(volume);
+    if (context_.handedOver) limit.keepOnly(0);
+}
+
+void LeaseAllocator::refill(Volume& volume) const {
+    VolumeLimit& limit = volume.limit;
+    if (!limit.limited) return;
+    const int chunks = chunksInUse(volume);
+    limit.bucket.refill(limit.rateOf(chunks), limit.burstOf(chunks), context_.now);
+}
+
+bool LeaseAllocator::hasTokens(Volume& volume, double units) {
+    if (!volume.limit.limited) return true;
+    refill(volume);
+    return volume.limit.bucket.tokens >= units;
+}
+
+double LeaseAllocator::timeToTokens(const Volume& volume, double units) const {
+    const VolumeLimit& limit = volume.limit;
+    double fillRate = limit.rateOf(chunksInUse(volume));
+    const double othersLeave =
+        context_.settings.plans.at(std::size_t(volume.plan)).limit - usage_.othersRate(*volume.usage);
+    for (const auto& [peer, lease] : limit.held)
+        if (lease.requested && context_.now - lease.requestedAt < kRequestTimeout)
+            fillRate = std::max(fillRate, othersLeave);
+    return std::max(0.0, units - limit.bucket.tokens) * 1e6 / std::max(fillRate, kMinFillRate);
+}
+
+// ---- leases of this host
+
+double LeaseAllocator::demandOf(const Volume& volume) const {
+    const VolumeLimit& limit = volume.limit;
+    return volume.demand.rate(context_.now, kRateMemory) * kDemandMargin +
+           std::max(0.0, limit.queuedUnits - limit.bucket.tokens) / kBacklogSeconds;
+}
+
+void LeaseAllocator::rebalance(Volume& volume) {
+    VolumeLimit& limit = volume.limit;
+    if (!limit.limited || volume.hosts <= 1 || !context_.settings.mayGossip || limit.chunkRate <= 0) return;
+    refill(volume);
+    limit.dropExpiredGrants(context_.now);
+    const double demand = demandOf(volume);
+    const double claim = limit.rateOf(chunksInUse(volume));
+    if (returnIdleChunks(volume, claim - demand)) return;
+    if (context_.now - limit.lastRequestAt < kRequestInterval) return;
+    requestChunks(volume, std::max(0, int(std::ceil((demand - claim) / limit.chunkRate))));
+}
+
+bool LeaseAllocator::returnIdleChunks(Volume& volume, double surplus) {
+    const int idle = int(surplus / volume.limit.chunkRate) - kIdleChunksKept;
+    for (auto& [peer, lease] : volume.limit.held) {
+        if (lease.chunks == 0 || lease.until <= context_.now || idle < 1) continue;
+        lease.chunks = std::max(0, lease.chunks - idle);
+        lease.requested = false;
+        outbox_.send(peer, peer::LeaseReturn{volume.hash, std::uint8_t(lease.chunks), lease.stamp});
+        return true;
+    }
+    return false;
+}
+
+void LeaseAllocator::requestChunks(Volume& volume, int missing) {
+    const std::set<int>& peers = volume.usage->peers;
+    auto peer = peers.upper_bound(volume.limit.lastPeerAsked);
+    for (std::size_t i = 0; i < peers.size() && state_.requestBytes > 0; ++i, ++peer) {
+        if (peer == peers.end()) peer = peers.begin();
+        missing -= requestFrom(volume, *peer, missing);
+    }
+}
+
+// Returns how many chunks may be expected of the peer beyond those that it granted already.
+int LeaseAllocator::requestFrom(Volume& volume, int peer, int missing) {
+    VolumeLimit& limit = volume.limit;
+    HeldLease& lease = limit.held[peer];
+    const Micros now = context_.now;
+    const bool running = lease.chunks > 0 && lease.until > now;
+    const bool renews = running && lease.until - now < kRenewBefore;
+    if (missing == 0 && !renews) return 0;
+    if (lease.requested && now - lease.requestedAt < kRequestTimeout) return 0;
+    if (!renews && running && lease.chunks >= limit.homeChunks) return 0;
+    const int held = running ? lease.chunks : 0;
+    const int wanted = std::min(limit.homeChunks, held + missing);
+    lease.stamp = newStamp();
+    lease.requested = true;
+    lease.requestedAt = now;
+    limit.lastRequestAt = now;
+    limit.lastPeerAsked = peer;
+    state_.requestBytes -= double(peer::LeaseRequest::kEncodedBytes);
+    outbox_.send(peer, peer::LeaseRequest{volume.hash, std::uint8_t(wanted), lease.stamp});
+    return (wanted - held + 1) / 2;  // a peer may grant less: twice what lacks is requested
+}
+
+void LeaseAllocator::earnRequestBytes() {
+    state_.requestBytes = std::min(kMaxRequestBytes, state_.requestBytes + kBytesPerRequest);
+}
+
+bool LeaseAllocator::onGrant(int from, const peer::LeaseGrant& grant) {
+    Volume* const volume = volumes_.find(grant.volume);
+    if (!volume) return false;
+    refill(*volume);
+    const auto held = volume->limit.held.find(from);
+    if (held == volume->limit.held.end()) return false;
+    HeldLease& lease = held->second;
+    if (!lease.requested || lease.stamp != grant.stamp) return false;
+    lease.requested = false;
+    // The home counts what it granted before until it hears that no more than this is used.
+    if (lease.until > context_.now && int(grant.chunks) < lease.chunks)
+        outbox_.send(from, peer::LeaseReturn{volume->hash, grant.chunks, grant.stamp});
+    lease.chunks = std::min(int(grant.chunks), volume->limit.homeChunks);
+    lease.until = lease.requestedAt + kLeaseDuration;
+    if (lease.until > context_.now) volume->limit.bucket.tokens += grant.tokens.value();
+    refill(*volume);
+    return true;
+}
+
+void LeaseAllocator::onPeerRestarted(int peer) {
+    for (auto& [name, volume] : volumes_.all()) {
+        refill(volume);
+        volume.limit.held.erase(peer);
+    }
+}
+
+// ---- leases of peers
+
+void LeaseAllocator::serveRequests() {
+    std::stable_sort(requests_.begin(), requests_.end(),
+                     [](const auto& left, const auto& right) { return left.from < right.from; });
+    for (const PendingRequest& pending : requests_)
+        serve(pending);
+    requests_.clear();
+}
+
+void LeaseAllocator::serve(const PendingRequest& pending) {
+    const auto& [peer, request] = pending;
+    Volume* const volume = volumes_.find(request.volume);
+    if (!volume || volume->limit.chunkRate <= 0 || !recovery_.mayLend(context_.now)) return;
+    VolumeLimit& limit = volume->limit;
+    volume->neededAt = context_.now;
+    refill(*volume);
+    const int granted = grantable(*volume, peer, request.chunks);
+    const int grantedBefore = limit.chunksGranted() - limit.chunksGranted(peer);
+    if (granted == 0 && grantedBefore == 0) return;
+    const auto saved = splitSavedTokens(*volume, std::max(0, granted - grantedBefore));
+    limit.granted.push_back({peer, granted, context_.now + kLeaseDuration, request.stamp});
+    refill(*volume);
+    outbox_.send(peer, peer::LeaseGrant{volume->hash, std::uint8_t(granted), saved, request.stamp});
+}
+
+int LeaseAllocator::grantable(const Volume& volume, int peer, int wanted) const {
+    const VolumeLimit& limit = volume.limit;
+    const double ownDemand = std::max(0.0, demandOf(volume) - limit.baseRate);
+    const int ownChunks = std::min(limit.homeChunks, int(std::ceil(ownDemand / limit.chunkRate)));
+    return std::clamp(limit.homeChunks - limit.chunksGranted(peer) - ownChunks, 0, wanted);
+}
+
+// What a newly granted chunk has saved up goes with it, so that the busy host can use the burst.
+peer::FixedPoint LeaseAllocator::splitSavedTokens(Volume& volume, int newChunks) const {
+    VolumeLimit& limit = volume.limit;
+    const double part = newChunks * limit.chunkBurst / limit.burstOf(std::max(1, chunksInUse(volume)));
+    const auto saved = peer::FixedPoint::of(limit.bucket.tokens * std::min(1.0, part));
+    limit.bucket.tokens -= saved.value();
+    return saved;
+}
+
+void LeaseAllocator::onReturn(int from, const peer::LeaseReturn& returned) {
+    Volume* const volume = volumes_.find(returned.volume);
+    if (!volume) return;
+    refill(*volume);
+    volume->limit.onReturned(from, returned.chunks, returned.stamp);
+    refill(*volume);
+}
+
+// ---- restart and hot restart
+
+void LeaseAllocator::useHomeOnceRecovered() {
+    if (state_.recoveredAt <= context_.now || !recovery_.isRecovered(context_.now)) return;
+    for (auto& [name, volume] : volumes_.all())
+        refill(volume);  // until now without the home
+    state_.recoveredAt = context_.now;
+}
+
+std::map<Volume*, double> LeaseAllocator::reserveForOpenRequests() {
+    std::map<Volume*, double> reserved;
+    for (auto& [name, volume] : volumes_.all()) {
+        refill(volume);
+        VolumeLimit& limit = volume.limit;
+        double& tokens = limit.bucket.tokens;
+        const double wanted = std::max(limit.queuedUnits, kReservePart * tokens);
+        reserved[&volume] = std::clamp(wanted, 0.0, std::max(0.0, tokens));
+        tokens -= reserved[&volume];
+    }
+    return reserved;
+}
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/lease_allocator.h
@@ -0,0 +1,118 @@
+/// \file
+/// Cuts a volume's limit into chunks, and leases them between the hosts that serve it (docs/design.md).
+///
+/// Each host has a base and a home, a number of chunks that belong to it. It spends both, but for the chunks
+/// that it leased to peers. The sum over all hosts is the limit, whichever messages are lost: a home grants a
+/// chunk once, and the lease ends at the borrower first, which counts from its request, the home from its
+/// grant.
+#pragma once
+
+#include <map>
+#include <string>
+#include <vector>
+
+#include "policy/peer_outbox.h"
+#include "policy/volume_table.h"
+
+namespace wingproxy {
+
+/// Owns the limits of the volumes in a `VolumeTable`, and the leases of chunks.
+class LeaseAllocator {
+public:
+    /// \param recovery says when leases of an earlier process of this host are over
+    LeaseAllocator(const Context& context, const fleet::RestartRecovery& recovery, UsageTable& usage,
+                   VolumeTable& volumes, PeerOutbox& outbox);
+
+    /// The longest time that a chunk is leased for, in microseconds.
+    static Micros leaseDuration();
+
+    // -- limits
+    /// Sets up the limit of a volume that was just opened.
+    void open(Volume& volume);
+    /// Whether the volume may spend `units` now. Brings its bucket up to date.
+    [[nodiscard]] bool hasTokens(Volume& volume, double units);
+    static void spend(Volume& volume, double units) {
+        if (volume.limit.limited) volume.limit.bucket.tokens -= units;
+    }
+    /// Units of requests that wait without tokens: a demand beyond what arrives.
+    static void addQueuedUnits(Volume& volume, double units) { volume.limit.queuedUnits += units; }
+    static void removeQueuedUnits(Volume& volume, double units) {
+        volume.limit.queuedUnits = std::max(0.0, volume.limit.queuedUnits - units);
+    }
+    /// Microseconds until the volume has tokens for `units`. A request for chunks that is under way counts as
+    /// granted, as far as the other hosts leave of the limit.
+    [[nodiscard]] double timeToTokens(const Volume& volume, double units) const;
+
+    // -- leases
+    /// Requests chunks where demand passes the claim, returns them where it fell below.
+    void rebalance(Volume& volume);
+    /// Rebalances all volumes.
+    void rebalanceAll() {
+        for (auto& [name, volume] : volumes_.all())
+            rebalance(volume);
+    }
+    /// A request came from a client: it pays for requests of chunks.
+    void earnRequestBytes();
+    /// Keeps a peer's request until the batch ends.
+    void onRequest(int from, const peer::LeaseRequest& request) { requests_.push_back({from, request}); }
+    /// Grants what this host does not need itself, to lower host numbers first.
+    void serveRequests();
+    /// \return whether a request may have become possible
+    bool onGrant(int from, const peer::LeaseGrant& grant);
+    void onReturn(int from, const peer::LeaseReturn& returned);
+    /// A peer's new process knows nothing of the chunks that it granted: they go back to it.
+    void onPeerRestarted(int peer);
+
+    // -- restart and hot restart
+    /// Uses the chunks of this host once no lease of an earlier process is out.
+    void useHomeOnceRecovered();
+    /// Takes from each volume what open requests may need yet; the rest goes to the successor process.
+    /// \return units kept, by volume
+    std::map<Volume*, double> reserveForOpenRequests();
+    /// Leaves the reserved units here, and no other right.
+    static void keepOnly(const std::map<Volume*, double>& reserved) {
+        for (const auto& [volume, units] : reserved)
+            volume->limit.keepOnly(units);
+    }
+
+    /// What is not in the volumes; for the snapshot.
+    struct State {
+        Micros recoveredAt = -kNever;  ///< since then this host spends its own chunks
+        double requestBytes = 0;       ///< that requests for chunks may still cost
+    };
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(const State& state) { state_ = state; }
+
+private:
+    struct PendingRequest {
+        int from;
+        peer::LeaseRequest request;
+    };
+    static void cut(VolumeLimit& limit, const PlanInfo& plan, int hosts);
+    void refill(Volume& volume) const;
+    [[nodiscard]] bool mayUseHome(const Volume& volume) const {
+        return state_.recoveredAt <= context_.now || volume.hosts == 1;
+    }
+    [[nodiscard]] int chunksInUse(const Volume& volume) const {
+        return volume.limit.chunksInUse(mayUseHome(volume), context_.now);
+    }
+    [[nodiscard]] double demandOf(const Volume& volume) const;
+    bool returnIdleChunks(Volume& volume, double surplus);
+    void requestChunks(Volume& volume, int missing);
+    int requestFrom(Volume& volume, int peer, int missing);
+    void serve(const PendingRequest& pending);
+    [[nodiscard]] int grantable(const Volume& volume, int peer, int wanted) const;
+    peer::FixedPoint splitSavedTokens(Volume& volume, int newChunks) const;
+    // Milliseconds, and never 0.
+    [[nodiscard]] std::uint32_t newStamp() const { return std::uint32_t(context_.now / 1000) | 1u; }
+
+    const Context& context_;
+    const fleet::RestartRecovery& recovery_;
+    UsageTable& usage_;
+    VolumeTable& volumes_;
+    PeerOutbox& outbox_;
+    State state_;
+    std::vector<PendingRequest> requests_;  // of this batch
+};
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/load_shedder.cpp
@@ -0,0 +1,87 @@
+#include "policy/load_shedder.h"
+
+#include <algorithm>
+
+namespace wingproxy {
+namespace {
+
+constexpr double kMinUnitsPerSecond = 1e-3;  // no division by less
+
+}  // namespace
+
+// In the batch in which they came: a client's last attempt may have only a few milliseconds left.
+std::vector<PendingRequest*> LoadShedder::expiring(const RequestQueue& queue) const {
+    std::vector<PendingRequest*> found;
+    for (const auto& [key, request] : queue.entries())
+        if (request->info.deadlineUs - context_.now < 2 * kTickInterval) found.push_back(request);
+    return found;
+}
+
+LoadShedder::Capacity LoadShedder::capacityOf(const Cell& cell) const {
+    Capacity capacity{kMinUnitsPerSecond, 0};
+    for (const int index : cell.nodes) {
+        const Node& node = cluster_.node(index);
+        if (!cluster_.acceptsRequests(node)) continue;
+        // A suspect answers no sooner than it is tried.
+        const double trialRate =
+            node.concurrency.estimate().units * 1e6 / double(OutlierDetector::trialInterval());
+        capacity.unitsPerSecond += cluster_.isSuspect(node) ? trialRate : cluster_.unitsPerSecond(node);
+        const double latency = cluster_.expectedLatency(node) + node.outliers.ejectionLeft(context_.now);
+        capacity.latency = capacity.latency > 0 ? std::min(capacity.latency, latency) : latency;
+    }
+    return capacity;
+}
+
+LoadShedder::Overload LoadShedder::overload(const Cell& cell, const RequestQueue& queue) const {
+    const Capacity capacity = capacityOf(cell);
+    Overload overload;
+    Backlog backlog;
+    for (const auto& [key, request] : queue.entries()) {
+        backlog.add(*request);
+        for (bool isIn = true; isIn;) {
+            const Position victim = victimFor(backlog, capacity);
+            if (victim == backlog.requests.end()) break;
+            isIn = *victim != request;
+            overload.requests.push_back(*victim);
+            backlog.remove(victim);
+        }
+    }
+    overload.backlog = Micros(backlog.units * 1e6 / capacity.unitsPerSecond);
+    return overload;
+}
+
+LoadShedder::Position LoadShedder::victimFor(Backlog& backlog, const Capacity& capacity) const {
+    const PendingRequest& request = *backlog.requests.back();
+    const double left = double(request.due - context_.now) - capacity.latency;
+    const double unitsAhead = backlog.units - request.info.units;
+    if (unitsAhead * 1e6 / capacity.unitsPerSecond > left ||
+        capacity.latency > admission_.longestLatency(request))
+        return leastValuable(backlog);
+    if (request.needsTokens() &&
+        leases_.timeToTokens(*request.volume, backlog.tokensNeeded[request.volume]) > std::max(0.0, left))
+        return lowestPriorityOfVolume(backlog);
+    return backlog.requests.end();
+}
+
+// The latest of equals.
+LoadShedder::Position LoadShedder::leastValuable(Backlog& backlog) const {
+    const auto isLess = [&](const PendingRequest* left, const PendingRequest* right) {
+        return admission_.value(*left) < admission_.value(*right);
+    };
+    const auto found = std::min_element(backlog.requests.rbegin(), backlog.requests.rend(), isLess);
+    return std::prev(found.base());
+}
+
+// The last request of the backlog, or the first one of its volume that has lower priority than all others.
+LoadShedder::Position LoadShedder::lowestPriorityOfVolume(Backlog& backlog) {
+    auto& requests = backlog.requests;
+    Position lowest = std::prev(requests.end());
+    const Volume* const volume = (*lowest)->volume;
+    for (auto it = requests.begin(); it != requests.end(); ++it)
+        if ((*it)->volume == volume && !(*it)->hasTokens &&
+            (*it)->priorityWeight() < (*lowest)->priorityWeight())
+            lowest = it;
+    return lowest;
+}
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/load_shedder.h
@@ -0,0 +1,68 @@
+/// \file
+/// Finds the waiting requests that cannot be answered in time, so that they are rejected at once.
+#pragma once
+
+#include <map>
+#include <vector>
+
+#include "policy/admission.h"
+#include "policy/lease_allocator.h"
+
+namespace wingproxy {
+
+/// Looks at the queue of a cell in the order of sending. For each request that would come too late, the least
+/// valuable one at or before it is shed; for each whose volume has no tokens in time, the one of least
+/// priority of that volume.
+class LoadShedder {
+public:
+    LoadShedder(const Context& context, const ClusterView& cluster, const Admission& admission,
+                const LeaseAllocator& leases)
+        : context_(context), cluster_(cluster), admission_(admission), leases_(leases) {}
+
+    /// Waiting requests whose deadline comes before another look at the queue, in the order of the queue.
+    [[nodiscard]] std::vector<PendingRequest*> expiring(const RequestQueue& queue) const;
+
+    struct Overload {
+        std::vector<PendingRequest*> requests;  ///< to be shed, in this order
+        Micros backlog = 0;                     ///< time that the rest of the queue takes
+    };
+    [[nodiscard]] Overload overload(const Cell& cell, const RequestQueue& queue) const;
+
+private:
+    /// What a cell can do.
+    struct Capacity {
+        double unitsPerSecond;
+        double latency;  ///< of its quickest node, microseconds
+    };
+    /// The requests that stay, as far as the queue was looked at.
+    struct Backlog {
+        std::vector<PendingRequest*> requests;
+        double units = 0;
+        std::map<const Volume*, double> tokensNeeded;
+
+        void add(PendingRequest& request) {
+            requests.push_back(&request);
+            units += request.info.units;
+            if (request.needsTokens()) tokensNeeded[request.volume] += request.info.units;
+        }
+        void remove(std::vector<PendingRequest*>::iterator position) {
+            const PendingRequest& request = **position;
+            units -= request.info.units;
+            if (request.needsTokens()) tokensNeeded[request.volume] -= request.info.units;
+            requests.erase(position);
+        }
+    };
+    using Position = std::vector<PendingRequest*>::iterator;
+    [[nodiscard]] Capacity capacityOf(const Cell& cell) const;
+    /// The request to shed for the last one of the backlog; its end if that one can be answered in time.
+    [[nodiscard]] Position victimFor(Backlog& backlog, const Capacity& capacity) const;
+    [[nodiscard]] Position leastValuable(Backlog& backlog) const;
+    [[nodiscard]] static Position lowestPriorityOfVolume(Backlog& backlog);
+
+    const Context& context_;
+    const ClusterView& cluster_;
+    const Admission& admission_;
+    const LeaseAllocator& leases_;
+};
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/node.h
@@ -0,0 +1,41 @@
+/// \file
+/// One storage node as this host sees it, and a cell of nodes that hold the same objects.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <vector>
+
+#include "policy/concurrency_limit.h"
+#include "policy/outlier_detector.h"
+#include "policy/slow_start.h"
+#include "policy/usage_table.h"
+
+namespace wingproxy {
+
+/// A node, listed or remembered. Its index stays the same until it is forgotten.
+struct Node {
+    explicit Node(int attempts = 0) : outstanding(attempts) {}
+
+    NodeInfo info;
+    bool listed = false;
+    int outstanding = 0;       ///< attempts of this host whose bodies are complete and that have no answer
+    Micros listedAt = kNever;  ///< last time that it was seen on the list
+    Micros servesDrainUntil = kNever;  ///< while draining it may get new requests until then
+    ConcurrencyLimit concurrency;
+    OutlierDetector outliers;
+    SlowStartLimiter slowStart;
+
+    [[nodiscard]] bool isReady() const { return listed && info.state == NodeState::Ready; }
+};
+
+/// Nodes that hold the same objects.
+struct Cell {
+    std::vector<int> nodes;    ///< indices of nodes
+    std::ptrdiff_t ready = 0;  ///< how many of them are ready
+    std::uint32_t key = 0;     ///< of its use; 0: not in use yet
+    KeyUsage* usage =
+        nullptr;  ///< units due that are asked of it; owned by `UsageTable`; null: not in use yet
+};
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/node_table.h
@@ -0,0 +1,66 @@
+/// \file
+/// The tables of nodes and cells.
+#pragma once
+
+#include <map>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "policy/node.h"
+
+namespace wingproxy {
+
+/// Owns nodes and cells. A node's index stays the same until the node is forgotten; a cell's number is its
+/// index.
+class NodeTable {
+public:
+    explicit NodeTable(UsageTable& usage) : usage_(usage) {}
+
+    struct Added {
+        Node& node;
+        bool isNew;
+    };
+    /// The node with the name and cell of `info`, made if there is none.
+    Added add(const NodeInfo& info);
+    [[nodiscard]] Node& node(int index) { return nodes_.at(std::size_t(index)); }
+    [[nodiscard]] const Node& node(int index) const { return nodes_.at(std::size_t(index)); }
+    /// The node of this name, or null.
+    [[nodiscard]] Node* find(const std::string& id);
+    [[nodiscard]] const std::vector<Node>& nodes() const { return nodes_; }
+    [[nodiscard]] std::size_t namedNodes() const { return indexById_.size(); }
+    /// Marks all nodes as not listed, before a whole list is taken over.
+    void unlistAll();
+    /// Forgets nodes that were not listed for `period`, but for those with attempts outstanding or in
+    /// `pinned`.
+    void forgetUnlisted(Micros period, const std::set<int>& pinned, Micros now);
+
+    /// The cell of this number, in use from now on.
+    Cell& cell(int number);
+    [[nodiscard]] const std::vector<Cell>& cells() const { return cells_; }
+    [[nodiscard]] std::vector<Cell>& cells() { return cells_; }
+    /// Counts the ready nodes of each cell anew.
+    void countReady();
+    /// Attempts of this host that are outstanding in a cell.
+    [[nodiscard]] int outstandingIn(const Cell& cell) const;
+
+    /// All of it, for the snapshot.
+    struct State {
+        std::vector<Node> nodes;
+        std::vector<int> unusedNodes;  ///< indices that are free
+        std::map<std::string, int> indexById;
+        std::vector<Cell> cells;
+    };
+    [[nodiscard]] State state() const { return {nodes_, unusedNodes_, indexById_, cells_}; }
+    /// Takes a state over; the usage table must have been restored before.
+    void restore(State state);
+
+private:
+    UsageTable& usage_;
+    std::vector<Node> nodes_;
+    std::vector<int> unusedNodes_;
+    std::map<std::string, int> indexById_;
+    std::vector<Cell> cells_;
+};
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/outlier_detector.cpp
@@ -0,0 +1,73 @@
+#include "policy/outlier_detector.h"
+
+#include <algorithm>
+
+namespace wingproxy {
+namespace {
+
+// Silence with work outstanding: beyond an ordinary pause, or so many latencies where a node is slow by
+// nature.
+constexpr Micros kMinSilence = 400'000;
+constexpr double kSilenceLatencies = 4;
+// A suspect still gets one request this often, which shows its recovery.
+constexpr Micros kTrialInterval = 300'000;
+constexpr int kMaxFailures = 4;          // the ejection doubles with each up to this one
+constexpr double kErrorSmoothing = 0.2;  // weight of the newest answer
+// A node of whose answers all are errors looks so many objectives further away to a new object, until it was
+// not heard from for so long.
+constexpr double kErrorObjectives = 4;
+constexpr Micros kErrorMemory = 5'000'000;
+
+}  // namespace
+
+OutlierDetector OutlierDetector::startingAt(Micros now) {
+    OutlierDetector fresh;
+    fresh.state_.progressAt = now;
+    return fresh;
+}
+
+bool OutlierDetector::isSuspect(int outstanding, double latency, Micros now) const {
+    const double patience = std::max(double(kMinSilence), kSilenceLatencies * latency);
+    return now < state_.ejectedUntil || (outstanding > 0 && double(now - state_.progressAt) > patience);
+}
+
+bool OutlierDetector::mayTry(Micros now) const { return now - state_.lastTrialAt >= kTrialInterval; }
+
+Micros OutlierDetector::trialInterval() { return kTrialInterval; }
+
+bool OutlierDetector::wasUsedWithin(Micros period, Micros now) const {
+    return now - std::max(state_.lastTrialAt, state_.progressAt) < period;
+}
+
+double OutlierDetector::ejectionLeft(Micros now) const {
+    return std::max(0.0, double(state_.ejectedUntil - now));
+}
+
+double OutlierDetector::errorPenalty(double latencyObjective, Micros now) const {
+    if (now - state_.progressAt >= kErrorMemory) return 0;
+    return kErrorObjectives * state_.errorShare * latencyObjective;
+}
+
+void OutlierDetector::onHealthCheckAnswered(Micros sentAt) {
+    state_.newestAnswered = std::max(state_.newestAnswered, sentAt);
+}
+
+void OutlierDetector::onAnswer(bool error, Micros sentAt, Micros now) {
+    state_.newestAnswered = std::max(state_.newestAnswered, sentAt);
+    state_.failures = 0;
+    state_.ejectedUntil = kNever;
+    state_.errorShare += kErrorSmoothing * ((error ? 1 : 0) - state_.errorShare);
+    state_.progressAt = now;
+}
+
+bool OutlierDetector::onFailure(Outcome outcome, Micros sentAt, Micros now) {
+    // Where the node answered what was sent later, the answer was lost and the node is well.
+    if (outcome == Outcome::Cancelled || sentAt < state_.newestAnswered) return false;
+    state_.failures = std::min(state_.failures + 1, kMaxFailures);
+    // A lone reset may be one damaged answer; those of a dead node follow each other.
+    if (outcome == Outcome::Reset && state_.failures == 1) return false;
+    state_.ejectedUntil = now + (kTrialInterval << state_.failures) / 2;
+    return true;
+}
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/outlier_detector.h
@@ -0,0 +1,63 @@
+/// \file
+/// Finds a node that fails or falls silent, and lets a trial request through from time to time.
+#pragma once
+
+#include "policy/micros.h"
+
+namespace wingproxy {
+
+/// One node's failures and signs of life, as this host sees them. Times are microseconds.
+class OutlierDetector {
+public:
+    /// All that it knows; for the snapshot.
+    struct State {
+        double errorShare = 0;  ///< part of the answers that are errors, smoothed
+        Micros progressAt = 0;  ///< last sign of life, or begin of the present work
+        Micros lastTrialAt = kNever;
+        Micros newestAnswered = kNever;  ///< when the latest request was sent that was answered
+        Micros lastHealthCheckAt = kNever;
+        Micros ejectedUntil = kNever;
+        int failures = 0;  ///< in a row
+    };
+    OutlierDetector() = default;
+    explicit OutlierDetector(const State& state) : state_(state) {}
+    /// A node whose process began, as far as is known, at `now`.
+    static OutlierDetector startingAt(Micros now);
+
+    /// Whether the node was ejected, or is silent with work outstanding.
+    /// \param latency that the node usually takes; 0: unknown
+    [[nodiscard]] bool isSuspect(int outstanding, double latency, Micros now) const;
+    /// Whether a suspect may get one more trial request.
+    [[nodiscard]] bool mayTry(Micros now) const;
+    /// Least time between two trial requests.
+    static Micros trialInterval();
+    /// Whether it was tried, or gave a sign of life, within `period`.
+    [[nodiscard]] bool wasUsedWithin(Micros period, Micros now) const;
+    /// How long the ejection lasts yet, in microseconds; 0: none.
+    [[nodiscard]] double ejectionLeft(Micros now) const;
+    /// By how much longer a new object should wait elsewhere than go to a node that fails, in microseconds.
+    [[nodiscard]] double errorPenalty(double latencyObjective, Micros now) const;
+    /// Whether the node has answered what was sent more than `margin` microseconds after `sentAt`.
+    [[nodiscard]] bool answeredLaterThan(Micros sentAt, double margin) const {
+        return double(state_.newestAnswered - sentAt) > margin;
+    }
+    [[nodiscard]] bool wasCheckedSince(Micros at) const { return state_.lastHealthCheckAt >= at; }
+
+    /// Its first outstanding request was sent: silence counts from now on.
+    void onWorkBegan(Micros now) { state_.progressAt = now; }
+    void onTrialSent(Micros now) { state_.lastTrialAt = now; }
+    void onHealthCheckSent(Micros now) { state_.lastHealthCheckAt = now; }
+    void onHealthCheckAnswered(Micros sentAt);
+    /// An answer, also an error status, to what was sent at `sentAt`.
+    void onAnswer(bool error, Micros sentAt, Micros now);
+    /// An attempt that got no answer.
+    /// \return whether it counts against the node, which is then ejected for a while
+    bool onFailure(Outcome outcome, Micros sentAt, Micros now);
+
+    [[nodiscard]] const State& state() const { return state_; }
+
+private:
+    State state_;
+};
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/pending_request.h
@@ -0,0 +1,113 @@
+/// \file
+/// A request that has no final answer yet, or whose attempts are not over, and the queue in which it waits.
+#pragma once
+
+#include <compare>
+#include <map>
+#include <string>
+#include <utility>
+
+#include "policy/volume.h"
+
+namespace wingproxy {
+
+/// Where a request lies in what its volume may ask for.
+enum class QuotaClass {
+    Guaranteed,  ///< inside the guaranteed rate
+    Share,       ///< inside the weighted share of a cell
+    Spare,       ///< beyond it: served while nothing else needs the capacity
+};
+
+/// One request of a client.
+struct PendingRequest {
+    Request info;
+    const ClassInfo* classInfo = nullptr;  ///< null: unknown class
+    Volume* volume = nullptr;
+    QuotaClass quota = QuotaClass::Share;
+    std::uint64_t sequence = 0;   ///< order of arrival
+    Micros due = 0;               ///< should be answered by then, at the latest
+    int cell = -1;                ///< where it is to be served
+    bool bodyIncomplete = false;  ///< takes no place at a node yet
+    bool queued = false;
+    bool hasTokens = false;  ///< its units were taken from the volume's limit
+    bool finished = false;   ///< it has its final answer; attempts may be outstanding
+
+    int attempts = 0;
+    int outstanding = 0;          ///< attempts without an outcome
+    Micros sentAt = 0;            ///< last attempt
+    Micros firstSentAt = kNever;  ///< first attempt that may have run
+    int pinnedNode = -1;          ///< the node of that attempt; -1: none
+    bool mayHaveRun = false;
+    bool streaming = false;            ///< the response reaches the client already
+    bool nodeDone = false;             ///< the node has done its work, only bytes follow
+    std::map<int, int> nodeByAttempt;  ///< of outstanding attempts
+
+    [[nodiscard]] RetrySafety retrySafety() const {
+        return classInfo ? classInfo->retrySafety : RetrySafety::NotIdempotent;
+    }
+    /// Value of a unit of its work that is answered in time.
+    [[nodiscard]] double priorityWeight() const { return classInfo ? classInfo->priorityWeight : 1; }
+    /// The latency objective of its class; `otherwise` where it has none.
+    [[nodiscard]] Micros latencyObjective(Micros otherwise) const {
+        return classInfo && classInfo->latencyObjectiveUs > 0 ? classInfo->latencyObjectiveUs : otherwise;
+    }
+    /// Until when nodes recognise its idempotency key; 0: it has none, or needs none.
+    [[nodiscard]] Micros repeatableUntil() const {
+        return retrySafety() == RetrySafety::IdempotentWithKey ? firstSentAt + classInfo->keyWindowUs : 0;
+    }
+    /// Whether nothing of it ran, or may run yet.
+    [[nodiscard]] bool isUntouched() const { return !mayHaveRun && outstanding == 0; }
+    /// Whether it waits for tokens of a limited volume.
+    [[nodiscard]] bool needsTokens() const { return volume->limit.limited && !hasTokens; }
+
+    /// An attempt was sent to a node.
+    void onSent(int node, Micros now) {
+        if (pinnedNode < 0) {
+            pinnedNode = node;
+            firstSentAt = now;
+        }
+        nodeByAttempt[attempts++] = node;
+        sentAt = now;
+        ++outstanding;
+    }
+    /// An attempt is over: whether its node did any work.
+    void onRan(bool ran) {
+        if (ran)
+            mayHaveRun = true;
+        else if (!mayHaveRun)
+            pinnedNode = -1;
+    }
+    /// An attempt is over.
+    /// \return whether it still held a place at its node
+    bool onAttemptEnded(int attempt) {
+        nodeByAttempt.erase(attempt);
+        --outstanding;
+        return !bodyIncomplete && !std::exchange(nodeDone, false);
+    }
+};
+
+/// Requests that wait for a cell, earliest due first.
+class RequestQueue {
+public:
+    struct Key {
+        Micros due;
+        std::uint64_t sequence;
+        auto operator<=>(const Key&) const = default;
+    };
+    void add(PendingRequest& request) { requests_.emplace(Key{request.due, request.sequence}, &request); }
+    void remove(const PendingRequest& request) { requests_.erase({request.due, request.sequence}); }
+    [[nodiscard]] bool empty() const { return requests_.empty(); }
+    [[nodiscard]] const std::map<Key, PendingRequest*>& entries() const { return requests_; }
+    /// Units of all that waits.
+    [[nodiscard]] double units() const {
+        double sum = 0;
+        for (const auto& [key, request] : requests_)
+            sum += request->info.units;
+        return sum;
+    }
+
+private:
+    std::map<Key, PendingRequest*> requests_;
+};
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/retry_policy.cpp
@@ -0,0 +1,92 @@
+#include "policy/retry_policy.h"
+
+namespace wingproxy {
+
+bool RetryPolicy::maySend(const PendingRequest& request, int index) {
+    Node& node = cluster_.node(index);
+    if (request.finished || request.outstanding > 0 || context_.now >= request.info.deadlineUs) return false;
+    if (request.attempts >= context_.settings.maxAttempts) return false;
+    if (!isRepeatable(request) || (request.mayHaveRun && !knowsKey(request, node.info))) return false;
+    if (!cluster_.acceptsRequests(node)) return false;
+    if (request.info.cell >= 0 && request.info.cell != node.info.cell) return false;
+    if (!cluster_.slowStartAdmits(node, request.info.units)) return false;
+    if (request.needsTokens() && !leases_.hasTokens(*request.volume, request.info.units)) return false;
+    if (isOrdered(request) && !keys_.isNext(request.info.key, request.info.id, context_.now)) return false;
+    return request.attempts == 0 || isInRetryBudget();
+}
+
+bool RetryPolicy::isRepeatable(const PendingRequest& request) const {
+    if (!request.mayHaveRun || request.retrySafety() == RetrySafety::Idempotent) return true;
+    return request.retrySafety() == RetrySafety::IdempotentWithKey &&
+           context_.now < request.repeatableUntil();
+}
+
+// Whether the node recognises the idempotency key of an attempt that the pinned node got.
+bool RetryPolicy::knowsKey(const PendingRequest& request, const NodeInfo& node) const {
+    if (request.retrySafety() != RetrySafety::IdempotentWithKey || request.pinnedNode < 0) return true;
+    const NodeInfo& first = cluster_.node(request.pinnedNode).info;
+    switch (request.classInfo->keyScope) {
+        case KeyScope::Global:
+            return true;
+        case KeyScope::Zone:
+            return first.zone == node.zone;
+        case KeyScope::Cell:
+            return first.cell == node.cell;
+    }
+    return false;
+}
+
+// A request that is exactly one window old counts no more, a retry still does: the client's side errs on
+// safety.
+bool RetryPolicy::isInRetryBudget() {
+    const Settings& settings = context_.settings;
+    if (settings.retryWindowUs <= 0) return true;
+    const Micros windowStart = context_.now - settings.retryWindowUs;
+    budget_.requests.dropBefore(windowStart + 1);
+    budget_.retries.dropBefore(windowStart);
+    return budget_.retries.count() + 1 <=
+           settings.retryAllowance + settings.retryRatio * budget_.requests.count();
+}
+
+bool RetryPolicy::mayRetry(const PendingRequest& request) const {
+    if (request.streaming || request.attempts >= context_.settings.maxAttempts) return false;
+    return isRepeatable(request) && request.info.deadlineUs - context_.now >= 2 * kTickInterval;
+}
+
+bool RetryPolicy::mayRepeatLost(const PendingRequest& request) const {
+    return request.attempts < context_.settings.maxAttempts &&
+           request.retrySafety() != RetrySafety::NotIdempotent;
+}
+
+bool RetryPolicy::mayReject(const PendingRequest& request) {
+    if (!request.classInfo) return request.attempts == 0;
+    if (request.retrySafety() == RetrySafety::Idempotent || request.isUntouched()) return true;
+    return request.retrySafety() == RetrySafety::IdempotentWithKey &&
+           request.classInfo->keyScope == KeyScope::Global;
+}
+
+void RetryPolicy::onReceived(const PendingRequest& request) {
+    if (context_.settings.retryWindowUs > 0) budget_.requests.record(context_.now);
+    if (isOrdered(request)) keys_.add(request.info.key, request.info.id);
+}
+
+void RetryPolicy::onSent(const PendingRequest& request) {
+    if (request.attempts > 0 && context_.settings.retryWindowUs > 0) budget_.retries.record(context_.now);
+}
+
+void RetryPolicy::onAttemptEnded(const PendingRequest& request, Outcome outcome) {
+    if (!isOrdered(request)) return;
+    const bool mayRunYet =
+        outcome == Outcome::Timeout || outcome == Outcome::Reset || outcome == Outcome::Cancelled;
+    if (mayRunYet)
+        keys_.pause(request.info.key, context_.now + context_.settings.keyCooldownUs,
+                    request.finished ? 0 : request.info.id);
+    if (request.finished) keys_.onAbandonedAttemptEnded(request.info.key);
+}
+
+void RetryPolicy::onFinished(const PendingRequest& request) {
+    if (isOrdered(request))
+        keys_.remove(request.info.key, request.info.id, request.outstanding, context_.now);
+}
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/snapshot_archive.cpp
@@ -0,0 +1,160 @@
+#include "policy/snapshot_archive.h"
+
+#include <cereal/archives/portable_binary.hpp>
+#include <cereal/types/deque.hpp>
+#include <cereal/types/map.hpp>
+#include <cereal/types/set.hpp>
+#include <cereal/types/string.hpp>
+#include <cereal/types/utility.hpp>
+#include <cereal/types/vector.hpp>
+#include <sstream>
+
+#include "policy/node_info_archive.h"
+
+namespace wingproxy {
+
+// One function for each type writes and reads it; cereal calls them by their name.
+
+template <typename Archive>
+void serialize(Archive& archive, DecayingRate& rate) {
+    archive(rate.value, rate.at);
+}
+template <typename Archive>
+void serialize(Archive& archive, TimedValue& value) {
+    archive(value.value, value.at);
+}
+template <typename Archive>
+void serialize(Archive& archive, TokenBucket& bucket) {
+    archive(bucket.tokens, bucket.at);
+}
+template <typename Archive>
+void serialize(Archive& archive, CellQuota& quota) {
+    archive(quota.demand, quota.share);
+}
+template <typename Archive>
+void serialize(Archive& archive, GrantedLease& lease) {
+    archive(lease.peer, lease.chunks, lease.until, lease.stamp);
+}
+template <typename Archive>
+void serialize(Archive& archive, HeldLease& lease) {
+    archive(lease.chunks, lease.until, lease.stamp, lease.requested, lease.requestedAt);
+}
+template <typename Archive>
+void serialize(Archive& archive, PeerUsage& usage) {
+    archive(usage.rate, usage.at, usage.slowStartRate);
+}
+template <typename Archive>
+void serialize(Archive& archive, KeyUsage& usage) {
+    archive(usage.demand, usage.reported, usage.others, usage.slowStartUnits, usage.peers, usage.cell,
+            usage.reportedOutstanding, usage.volumes);
+}
+template <typename Archive>
+void serialize(Archive& archive, HostUsage& usage) {
+    archive(usage.rate, usage.outstanding);
+}
+template <typename Archive>
+void serialize(Archive& archive, KeyAggregate& aggregate) {
+    archive(aggregate.hosts, aggregate.joined, aggregate.sentRate, aggregate.sentSlowStartRate,
+            aggregate.meanWait, aggregate.meanOutstanding, aggregate.sentWait, aggregate.slowStart,
+            aggregate.slowStartUntil);
+}
+template <typename Archive>
+void serialize(Archive& archive, Volume& volume) {
+    VolumeLimit& limit = volume.limit;
+    archive(volume.hash, volume.plan, volume.hosts, volume.demand, volume.quota.byCell,
+            volume.quota.demandByClass, limit.lastPeerAsked, volume.quota.guaranteed, limit.lastRequestAt,
+            limit.bucket.at, volume.neededAt, limit.limited, limit.bucket.tokens, limit.baseRate,
+            limit.baseBurst, limit.chunkRate, limit.chunkBurst, limit.homeChunks, limit.granted, limit.held);
+}
+template <typename Archive>
+void serialize(Archive& archive, SlowStartWindow::Sample& sample) {
+    archive(sample.at, sample.units);
+}
+template <typename Archive>
+void serialize(Archive& archive, Node& node) {
+    ConcurrencyLimit::State concurrency = node.concurrency.state();
+    OutlierDetector::State outliers = node.outliers.state();
+    SlowStartLimiter::State slowStart = node.slowStart.state();
+    LatencyEstimate& estimate = concurrency.estimate;
+    archive(node.listed, node.info, concurrency.limit, estimate.latency, estimate.units, estimate.perUnit,
+            outliers.errorShare, estimate.floor.current, estimate.floor.previous, estimate.floor.spanStart,
+            outliers.progressAt, concurrency.loweredAt, outliers.lastTrialAt, estimate.heardAt,
+            outliers.newestAnswered, outliers.lastHealthCheckAt, outliers.ejectedUntil, node.listedAt,
+            node.servesDrainUntil, outliers.failures, slowStart.window.samples, slowStart.turnUnits,
+            slowStart.turnRounding);
+    node.concurrency = ConcurrencyLimit(concurrency);
+    node.outliers = OutlierDetector(outliers);
+    node.slowStart = SlowStartLimiter(std::move(slowStart));
+}
+template <typename Archive>
+void serialize(Archive& archive, CellState& state) {
+    archive(state.cell.nodes, state.cell.ready, state.cell.key, state.level.mostAsked, state.level.level);
+}
+template <typename Archive>
+void serialize(Archive& archive, PolicyState& state) {
+    archive(state.startedAt, state.leasesRecoveredAt, state.lastReportAt, state.lastForgetAt, state.recovery,
+            state.nextSequence, state.nodes, state.unusedNodes, state.nodeIndexById, state.cells,
+            state.volumes, state.usage, state.aggregates, state.requestBytes, state.requestTimes,
+            state.retryTimes);
+}
+
+namespace {
+
+// Of what is written above: to be raised with every change there, as a process of the version before hands
+// over too.
+constexpr double kLayout = 2;
+
+// Both processes must mean the same by an index of a plan, a class, a cell or a host, and write the same
+// fields.
+std::vector<double> fingerprint(const Settings& settings) {
+    std::vector<double> numbers{kLayout, double(settings.hostIndex), double(settings.hostCount),
+                                double(settings.cellCount), double(settings.classes.size())};
+    for (const PlanInfo& plan : settings.plans)
+        numbers.insert(numbers.end(), {plan.baseRate, plan.guaranteedRate, plan.limit, plan.limitBurst});
+    return numbers;
+}
+
+// Whether every index lies inside what it points into.
+bool isConsistent(const Settings& settings, const PolicyState& state) {
+    const auto isNode = [&](int index) { return index >= 0 && std::size_t(index) < state.nodes.size(); };
+    const auto areNodes = [&](const std::vector<int>& indices) {
+        return std::all_of(indices.begin(), indices.end(), isNode);
+    };
+    const auto isSound = [&](const Volume& volume) {
+        return volume.plan < int(settings.plans.size()) && volume.hosts >= 1;
+    };
+    return areNodes(state.unusedNodes) &&
+           std::ranges::all_of(state.nodeIndexById,
+                               [&](const auto& entry) { return isNode(entry.second); }) &&
+           std::ranges::all_of(state.cells, [&](const auto& entry) { return areNodes(entry.cell.nodes); }) &&
+           std::ranges::all_of(state.volumes, [&](const auto& entry) { return isSound(entry.second); }) &&
+           std::ranges::all_of(
+               state.usage, [&](const auto& entry) { return entry.second.cell < int(state.cells.size()); });
+}
+
+}  // namespace
+
+std::string encodeSnapshot(const Settings& settings, const PolicyState& state) {
+    std::ostringstream out;
+    cereal::PortableBinaryOutputArchive archive(out);
+    archive(fingerprint(settings), const_cast<PolicyState&>(state));  // one function writes and reads
+    return out.str();
+}
+
+std::optional<PolicyState> decodeSnapshot(const Settings& settings, const std::string& bytes) {
+    PolicyState state;
+    try {
+        std::istringstream in(bytes);
+        cereal::PortableBinaryInputArchive archive(in);
+        std::vector<double> theirs;
+        archive(theirs);
+        if (theirs != fingerprint(settings)) return std::nullopt;
+        archive(state);
+    } catch (const std::exception&) {  // cut short, or sizes that cannot be
+        return std::nullopt;
+    }
+    if (!isConsistent(settings, state)) return std::nullopt;
+    return state;
+}
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/volume.h
@@ -0,0 +1,120 @@
+/// \file
+/// A volume as this host knows it, with the records of its leases and of its quota.
+#pragma once
+
+#include <algorithm>
+#include <cstdint>
+#include <map>
+#include <vector>
+
+#include "policy/decaying_rate.h"
+#include "policy/token_bucket.h"
+#include "policy/usage_table.h"
+
+namespace wingproxy {
+
+/// Chunks of this host that a peer holds.
+struct GrantedLease {
+    int peer = 0;
+    int chunks = 0;
+    Micros until = 0;
+    std::uint32_t stamp = 0;  ///< of the peer's request
+};
+
+/// Chunks of a peer that this host holds.
+struct HeldLease {
+    int chunks = 0;
+    Micros until = 0;
+    std::uint32_t stamp = 0;  ///< of the last request
+    bool requested = false;   ///< and not answered yet
+    Micros requestedAt = 0;
+};
+
+/// The part of a volume's limit that this host may spend: a base of its own, and chunks. `LeaseAllocator`
+/// cuts and moves the chunks; here are only their records and the bucket that they fill. Rates are in units a
+/// second.
+struct VolumeLimit {
+    bool limited = false;
+    double baseRate = 0;
+    double baseBurst = 0;  ///< units
+    double chunkRate = 0;
+    double chunkBurst = 0;  ///< units
+    int homeChunks = 0;     ///< that belong to this host
+    TokenBucket bucket;
+    double queuedUnits = 0;  ///< of requests that wait here without tokens
+    std::vector<GrantedLease> granted;
+    std::map<int, HeldLease> held;  ///< by the peer whose chunks they are
+    int lastPeerAsked = -1;         ///< requests go round
+    Micros lastRequestAt = kNever;
+
+    /// Chunks granted to peers, but for one peer's: of each the largest grant still running at the last
+    /// refill, so that a chunk never fills two buckets for the same time.
+    [[nodiscard]] int chunksGranted(int exceptPeer = -1) const {
+        std::map<int, int> largest;
+        for (const GrantedLease& lease : granted)
+            if (lease.until > bucket.at && lease.peer != exceptPeer)
+                largest[lease.peer] = std::max(largest[lease.peer], lease.chunks);
+        int sum = 0;
+        for (const auto& [peer, chunks] : largest)
+            sum += chunks;
+        return sum;
+    }
+    /// Chunks that fill the bucket.
+    /// \param homeUsable whether this host may spend its own chunks
+    [[nodiscard]] int chunksInUse(bool homeUsable, Micros now) const {
+        int chunks = homeUsable ? std::max(0, homeChunks - chunksGranted()) : 0;
+        for (const auto& [peer, lease] : held)
+            if (lease.until > now) chunks += lease.chunks;
+        return chunks;
+    }
+    /// Rate of a claim of so many chunks.
+    [[nodiscard]] double rateOf(int chunks) const { return baseRate + chunks * chunkRate; }
+    /// Capacity of the bucket that goes with it.
+    [[nodiscard]] double burstOf(int chunks) const { return baseBurst + chunks * chunkBurst; }
+    /// A peer keeps only so many of the chunks granted up to its request `stamp`.
+    void onReturned(int peer, int chunks, std::uint32_t stamp) {
+        for (GrantedLease& lease : granted)
+            if (lease.peer == peer && std::int32_t(stamp - lease.stamp) >= 0)
+                lease.chunks = std::min(lease.chunks, chunks);
+    }
+    void dropExpiredGrants(Micros now) {
+        std::erase_if(granted, [&](const GrantedLease& lease) { return lease.until <= now; });
+    }
+    /// Leaves these tokens, which do not grow any more, and no chunks.
+    void keepOnly(double tokens) {
+        bucket.tokens = tokens;
+        baseBurst = tokens;
+        baseRate = 0;
+        chunkRate = 0;
+        chunkBurst = 0;
+        granted.clear();
+        held.clear();
+    }
+};
+
+/// A volume's use of one cell through this host, and what of its weighted share is left there.
+struct CellQuota {
+    DecayingRate demand;
+    TokenBucket share;
+};
+
+/// What is left of a volume's guaranteed rate and shares; `Admission` fills and spends it.
+struct VolumeQuota {
+    std::map<int, CellQuota> byCell;
+    std::vector<DecayingRate> demandByClass;
+    TokenBucket guaranteed;
+};
+
+/// A volume that was asked for here, or by a peer, not long ago.
+struct Volume {
+    std::uint64_t hash = 0;
+    int plan = -1;              ///< into `Settings::plans`; -1: unknown
+    int hosts = 1;              ///< that serve it
+    Micros neededAt = 0;        ///< asked for last, here or by a peer
+    DecayingRate demand;        ///< through this host
+    KeyUsage* usage = nullptr;  ///< owned by `UsageTable`
+    VolumeLimit limit;
+    VolumeQuota quota;
+};
+
+}  // namespace wingproxy
--- /dev/null
+++ b/src/policy/volume_table.cpp
@@ -0,0 +1,56 @@
+#include "policy/volume_table.h"
+
+#include <algorithm>
+
+#include "policy/peer_message.h"
+
+namespace wingproxy {
+
+VolumeTable::Opened VolumeTable::open(const Request& request) {
+    const auto [entry, isNew] = volumes_.try_emplace(request.volume);
+    Volume& volume = entry->second;
+    if (!isNew) return {volume, false};
+    volume.hash = peer::hashOf(request.volume);
+    byHash_.emplace(volume.hash, &volume);
+    volume.plan = request.planIndex;
+    volume.hosts = std::max(1, request.volumeHosts);
+    volume.usage = &usage_.entry(std::uint32_t(volume.hash));
+    ++volume.usage->volumes;
+    return {volume, true};
+}
+
+Volume* VolumeTable::find(std::uint64_t hash) {
+    const auto entry = byHash_.find(hash);
+    return entry == byHash_.end() ? nullptr : entry->second;
+}
+
+// A bucket is full again when its volume is forgotten, so a volume that comes back gains nothing.
+void VolumeTable::forgetUnneeded(Micros period, const std::set<const Volume*>& inUse) {
+    for (auto entry = volumes_.begin(); entry != volumes_.end();) {
+        const Volume& volume = entry->second;
+        double secondsToFill = 0;
+        if (volume.limit.limited) {
+            const PlanInfo& plan = context_.settings.plans.at(std::size_t(volume.plan));
+            secondsToFill = plan.limitBurst / plan.limit;
+        }
+        const Micros keptFor = period + Micros(secondsToFill * 1e6);
+        if (context_.now - volume.neededAt < keptFor || inUse.contains(&volume)) {
+            ++entry;
+            continue;
+        }
+        usage_.releaseVolume(std::uint32_t(volume.hash));
+        byHash_.erase(volume.hash);
+        entry = volumes_.erase(entry);
+    }
+}
+
+void VolumeTable::restore(VolumeByName volumes) {
+    volumes_ = std::move(volumes);
+    byHash_.clear();
+    for (auto& [name, volume] : volumes_) {
+        byHash_.emplace(volume.hash, &volume);
+        volume.usage = &usage_.entry(std::uint32_t(volume.hash));
+    }
+}
+
+}  // namespace wingproxy
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -242,7 +242,7 @@
         h.batch({ended(id, 0, "a", Outcome::Ok)});
     }
     auto told = peer::header(1);
-    peer::add(told, {peer::kOthers, std::uint32_t(peer::hashOf("1")), 16, 8});      // a wait of one millisecond
+    peer::append(told, peer::UsageAggregate{std::uint32_t(peer::hashOf("1")), {16}, {8}, {}});      // a wait of one millisecond
     h.batch({request(5, 0, 1, h.now, 2, 1), PeerMessageReceived{1, told}});     // it has been asked for the cell once
     h.runTo(h.now + kSecond);
     for (RequestId id = 10; id < 20; ++id) {
@@ -259,7 +259,7 @@
     Host h(settings(0, 100), kStart);
     h.batch({nodes({node("a", 0), node("b", 1)})});
     auto told = peer::header(1);
-    peer::add(told, {peer::kOthers, std::uint32_t(peer::hashOf("0")), 16 * 100, 0});
+    peer::append(told, peer::UsageAggregate{std::uint32_t(peer::hashOf("0")), {16 * 100}, {}, {}});
     h.batch({request(1, 0, 1, h.now)});
     h.now += took;
     h.batch({ended(1, 0, "a", Outcome::Ok, took), PeerMessageReceived{1, told}});
