--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -74,13 +74,6 @@
                               cluster_.conditionsOf(node));
 }
 
-void AttemptTracker::onBodyCompleted(const PendingRequest& request) {
-    for (const auto& [attempt, index] : request.nodeByAttempt) {
-        Node& node = cluster_.node(index);
-        if (node.outstanding++ == 0) node.outliers.onWorkBegan(context_.now);
-    }
-}
-
 AttemptTracker::Verdict AttemptTracker::judge(const PendingRequest& request, const Node& node) const {
     const double age = double(context_.now - request.sentAt);
     const double usual = node.concurrency.estimate().usual(request.info.units);
@@ -95,7 +88,7 @@
 void AttemptTracker::cancelLost(const RequestTable& requests) {
     std::map<std::uint64_t, CancelAttempt> lost;  // by order of arrival
     std::set<int> unsure;
-    for (const auto& [id, request] : requests) {
+    for (const auto& [id, request] : requests.all()) {
         if (request.outstanding != 1 || request.streaming || request.bodyIncomplete || request.nodeDone)
             continue;
         const auto& [attempt, index] = *request.nodeByAttempt.begin();
--- a/src/policy/attempt_tracker.h
+++ b/src/policy/attempt_tracker.h
@@ -2,18 +2,13 @@
 /// Sends attempts to nodes, learns from how they end, and finds those whose answers are lost.
 #pragma once
 
-#include <unordered_map>
-
 #include "policy/gossip.h"
 #include "policy/lease_allocator.h"
-#include "policy/pending_request.h"
+#include "policy/request_table.h"
 #include "policy/retry_policy.h"
 
 namespace wingproxy {
 
-/// Open requests by id. Its order is not the same on every build: nothing may depend on it.
-using RequestTable = std::unordered_map<RequestId, PendingRequest>;
-
 /// Keeps the counts of attempts at nodes, and passes what they show to the node's limits and to gossip.
 class AttemptTracker {
 public:
@@ -31,7 +26,12 @@
     /// \param elapsed since it was sent, in microseconds
     void onOutcome(Node& node, double units, Micros elapsed, Outcome outcome);
     /// A request body is complete: from now on its attempts hold places at their nodes.
-    void onBodyCompleted(const PendingRequest& request);
+    void onBodyCompleted(const PendingRequest& request) {
+        for (const auto& [attempt, index] : request.nodeByAttempt) {
+            Node& node = cluster_.node(index);
+            if (node.outstanding++ == 0) node.outliers.onWorkBegan(context_.now);
+        }
+    }
     /// Cancels attempts whose answers are lost, so that their places are free and the time that is left goes
     /// to another attempt. Checks the health of nodes where that is not sure.
     void cancelLost(const RequestTable& requests);
--- /dev/null
+++ b/src/policy/cell_queues.h
@@ -0,0 +1,85 @@
+/// \file
+/// The queues of waiting requests, one for each cell, and the cells that have changed.
+#pragma once
+
+#include <compare>
+#include <map>
+#include <set>
+#include <vector>
+
+#include "policy/pending_request.h"
+
+namespace wingproxy {
+
+/// Requests that wait for a cell, earliest due first.
+class RequestQueue {
+public:
+    struct Key {
+        Micros due;
+        std::uint64_t sequence;
+        auto operator<=>(const Key&) const = default;
+    };
+    void add(PendingRequest& request) { requests_.emplace(Key{request.due, request.sequence}, &request); }
+    void remove(const PendingRequest& request) { requests_.erase({request.due, request.sequence}); }
+    [[nodiscard]] bool empty() const { return requests_.empty(); }
+    [[nodiscard]] const std::map<Key, PendingRequest*>& entries() const { return requests_; }
+    /// Units of all that waits.
+    [[nodiscard]] double units() const {
+        double sum = 0;
+        for (const auto& [key, request] : requests_)
+            sum += request->info.units;
+        return sum;
+    }
+
+private:
+    std::map<Key, PendingRequest*> requests_;
+};
+
+/// Owns the queues, and the set of cells that are to be looked at when the batch ends. Cells are named by
+/// their numbers.
+class CellQueues {
+public:
+    RequestQueue& of(int cell) {
+        if (std::size_t(cell) >= queues_.size()) queues_.resize(std::size_t(cell) + 1);
+        return queues_[std::size_t(cell)];
+    }
+    /// Queues a request in its cell.
+    void add(PendingRequest& request) {
+        request.queued = true;
+        of(request.cell).add(request);
+        markChanged(request.cell);
+    }
+    void remove(PendingRequest& request) {
+        request.queued = false;
+        of(request.cell).remove(request);
+    }
+    /// The waiting request with the least value, the first of equals; null if none waits.
+    template <typename ValueOf>
+    [[nodiscard]] PendingRequest* least(ValueOf valueOf) const {
+        PendingRequest* least = nullptr;
+        for (const RequestQueue& queue : queues_)
+            for (const auto& [key, request] : queue.entries())
+                if (!least || valueOf(*request) < valueOf(*least)) least = request;
+        return least;
+    }
+
+    void markChanged(int cell) { changed_.insert(cell); }
+    void markAllChanged(int cells) {
+        for (int cell = 0; cell < cells; ++cell)
+            markChanged(cell);
+    }
+    /// Marks the cells in which requests wait.
+    void markWaiting() {
+        for (std::size_t cell = 0; cell < queues_.size(); ++cell)
+            if (!queues_[cell].empty()) markChanged(int(cell));
+    }
+    [[nodiscard]] bool hasChanged() const { return !changed_.empty(); }
+    /// Takes the lowest changed cell from the set, which must not be empty.
+    int takeChanged() { return changed_.extract(changed_.begin()).value(); }
+
+private:
+    std::vector<RequestQueue> queues_;
+    std::set<int> changed_;
+};
+
+}  // namespace wingproxy
--- a/src/policy/cluster_view.cpp
+++ b/src/policy/cluster_view.cpp
@@ -67,7 +67,8 @@
 bool ClusterView::applyNode(const NodeInfo& info, bool drainIsNew) {
     const auto [node, isNew] = table_.add(info);
     const bool started = isNew || node.info.startedUs != info.startedUs;
-    if (started) resetNode(node, info);
+    if (started)
+        node.restart(context_.now, peer::fractionOf(info.id + std::to_string(context_.settings.seed)));
     if (node.isReady() && info.state == NodeState::Draining && drainIsNew)
         node.servesDrainUntil = context_.now + Micros(kDrainPart * double(context_.settings.drainGraceUs));
     node.info = info;
@@ -75,14 +76,6 @@
     return started;
 }
 
-void ClusterView::resetNode(Node& node, const NodeInfo& info) const {
-    node = Node(node.outstanding);
-    node.concurrency = ConcurrencyLimit::startingAt(context_.now);
-    node.outliers = OutlierDetector::startingAt(context_.now);
-    node.slowStart =
-        SlowStartLimiter::withRounding(peer::fractionOf(info.id + std::to_string(context_.settings.seed)));
-}
-
 // ---- what may be expected of a node
 
 bool ClusterView::acceptsRequests(const Node& node) const {
@@ -112,24 +105,4 @@
     }
 }
 
-ConcurrencyLimit::Conditions ClusterView::conditionsOf(const Node& node) const {
-    const bool hasCell = node.info.cell >= 0 && node.info.cell < cellCount();
-    const KeyUsage* usage = hasCell ? cells()[std::size_t(node.info.cell)].usage : nullptr;
-    return {context_.now, context_.latencyObjective, usage ? usage_.ownShare(*usage) : 1};
-}
-
-std::size_t ClusterView::avoidedNodes() const {
-    const auto isAvoided = [&](const Node& node) {
-        if (!node.listed) return false;
-        const bool inUse = node.outliers.wasUsedWithin(kRateMemory, context_.now);
-        return !node.isReady() || (isSuspect(node) && !inUse);
-    };
-    return std::size_t(std::count_if(table_.nodes().begin(), table_.nodes().end(), isAvoided));
-}
-
-void ClusterView::onWaitReported(int cell, double waitUs) {
-    for (const int index : cells().at(std::size_t(cell)).nodes)
-        node(index).concurrency.onWaitReported(waitUs, context_.now);
-}
-
 }  // namespace wingproxy
--- a/src/policy/cluster_view.h
+++ b/src/policy/cluster_view.h
@@ -3,6 +3,7 @@
 /// now.
 #pragma once
 
+#include <algorithm>
 #include <set>
 #include <string>
 #include <vector>
@@ -71,19 +72,31 @@
     [[nodiscard]] double unitsPerSecond(const Node& node) const {
         return node.concurrency.unitsPerSecond(conditionsOf(node));
     }
-    [[nodiscard]] ConcurrencyLimit::Conditions conditionsOf(const Node& node) const;
+    [[nodiscard]] ConcurrencyLimit::Conditions conditionsOf(const Node& node) const {
+        const bool hasCell = node.info.cell >= 0 && node.info.cell < cellCount();
+        const KeyUsage* usage = hasCell ? cells()[std::size_t(node.info.cell)].usage : nullptr;
+        return {context_.now, context_.latencyObjective, usage ? usage_.ownShare(*usage) : 1};
+    }
     /// Listed nodes that get no requests, or only trial ones.
-    [[nodiscard]] std::size_t avoidedNodes() const;
+    [[nodiscard]] std::size_t avoidedNodes() const {
+        const auto isAvoided = [&](const Node& node) {
+            const bool inUse = node.outliers.wasUsedWithin(kRateMemory, context_.now);
+            return node.listed && (!node.isReady() || (isSuspect(node) && !inUse));
+        };
+        return std::size_t(std::count_if(table_.nodes().begin(), table_.nodes().end(), isAvoided));
+    }
 
     // -- what happened
     /// Units that a cell is asked for: each of its starting nodes earns a turn's part of them.
     void earnSlowStartTurns(const Cell& cell, double units);
     /// A peer says how long requests wait in a cell.
-    void onWaitReported(int cell, double waitUs);
+    void onWaitReported(int cell, double waitUs) {
+        for (const int index : cells().at(std::size_t(cell)).nodes)
+            node(index).concurrency.onWaitReported(waitUs, context_.now);
+    }
 
 private:
     bool applyNode(const NodeInfo& info, bool drainIsNew);
-    void resetNode(Node& node, const NodeInfo& info) const;
     [[nodiscard]] Micros watchSpread() const;
     [[nodiscard]] Micros jitter(Micros span) const;
 
--- a/src/policy/dispatcher.cpp
+++ b/src/policy/dispatcher.cpp
@@ -21,7 +21,7 @@
     double leastWait = kNoNodeWait;
     for (std::size_t k = 0; k < cells; ++k) {  // from another one each time, so that equals share
         const int number = int((k + nextSequence_ * kCellStride + host) % cells);
-        const double unitsAhead = queue(number).units();
+        const double unitsAhead = queues_.of(number).units();
         for (const int index : cluster_.cells()[std::size_t(number)].nodes) {
             Node& node = cluster_.node(index);
             if (!node.isReady()) continue;
@@ -50,20 +50,6 @@
     return wait;
 }
 
-void Dispatcher::enqueue(PendingRequest& request) {
-    if (request.cell < 0) request.cell = cellForNewObject(request.info.units);
-    request.queued = true;
-    if (!request.hasTokens) LeaseAllocator::addQueuedUnits(*request.volume, request.info.units);
-    queue(request.cell).add(request);
-    markChanged(request.cell);
-}
-
-void Dispatcher::dequeue(PendingRequest& request) {
-    if (!std::exchange(request.queued, false)) return;
-    if (!request.hasTokens) LeaseAllocator::removeQueuedUnits(*request.volume, request.info.units);
-    queue(request.cell).remove(request);
-}
-
 bool Dispatcher::maySendNow(const PendingRequest& request, int index) const {
     const Node& node = cluster_.node(index);
     if (!cluster_.acceptsRequests(node)) return false;
@@ -94,7 +80,7 @@
 
 bool Dispatcher::sendNext(int number) {
     const Cell& cell = cluster_.cell(number);
-    for (const auto& [key, request] : queue(number).entries()) {
+    for (const auto& [key, request] : queues_.of(number).entries()) {
         const int node = chooseNode(*request, cell);
         if (node < 0) continue;
         dequeue(*request);
@@ -108,27 +94,8 @@
     while (sendNext(cell)) {}
 }
 
-PendingRequest* Dispatcher::leastValuable() const {
-    PendingRequest* least = nullptr;
-    for (const RequestQueue& queue : queues_)
-        for (const auto& [key, request] : queue.entries())
-            if (!least || admission_.value(*request) < admission_.value(*least)) least = request;
-    return least;
-}
-
-void Dispatcher::markAllChanged() {
-    for (int i = 0; i < cluster_.cellCount(); ++i)
-        markChanged(i);
-}
-
-void Dispatcher::markWaiting() {
-    for (std::size_t i = 0; i < queues_.size(); ++i)
-        if (!queues_[i].empty()) markChanged(int(i));
-}
-
-int Dispatcher::takeChanged() {
-    if (changed_.empty()) return -1;
-    return changed_.extract(changed_.begin()).value();
+PendingRequest* Dispatcher::leastValuable() {
+    return queues_.least([&](const PendingRequest& request) { return admission_.value(request); });
 }
 
 }  // namespace wingproxy
--- a/src/policy/dispatcher.h
+++ b/src/policy/dispatcher.h
@@ -2,15 +2,13 @@
 /// The queues of waiting requests: where a new object goes, which request leaves next, and to which node.
 #pragma once
 
-#include <set>
-#include <vector>
-
 #include "policy/admission.h"
 #include "policy/attempt_tracker.h"
+#include "policy/cell_queues.h"
 
 namespace wingproxy {
 
-/// Owns the queue of each cell and the set of cells that are to be looked at when the batch ends.
+/// Owns the queues of the cells.
 class Dispatcher {
 public:
     Dispatcher(const Context& context, ClusterView& cluster, const Admission& admission, RetryPolicy& retries,
@@ -24,28 +22,23 @@
     /// The cell with the shortest wait for a new object of this size.
     [[nodiscard]] int cellForNewObject(double units);
     /// Queues a request, in a cell of its choice where none is set.
-    void enqueue(PendingRequest& request);
+    void enqueue(PendingRequest& request) {
+        if (request.cell < 0) request.cell = cellForNewObject(request.info.units);
+        if (!request.hasTokens) LeaseAllocator::addQueuedUnits(*request.volume, request.info.units);
+        queues_.add(request);
+    }
     /// Takes a request out of its queue, if it is in one.
-    void dequeue(PendingRequest& request);
+    void dequeue(PendingRequest& request) {
+        if (!request.queued) return;
+        if (!request.hasTokens) LeaseAllocator::removeQueuedUnits(*request.volume, request.info.units);
+        queues_.remove(request);
+    }
     /// Sends what may leave a cell's queue, earliest due first.
     void dispatch(int cell);
 
-    /// The queue of a cell.
-    RequestQueue& queue(int cell) {
-        if (std::size_t(cell) >= queues_.size()) queues_.resize(std::size_t(cell) + 1);
-        return queues_[std::size_t(cell)];
-    }
     /// The least valuable of all requests that wait, the first of equals; null if none waits.
-    [[nodiscard]] PendingRequest* leastValuable() const;
-
-    /// A cell is to be looked at when the batch ends.
-    void markChanged(int cell) { changed_.insert(cell); }
-    void markAllChanged();
-    /// Marks the cells in which requests wait.
-    void markWaiting();
-    /// Takes the lowest changed cell from the set.
-    /// \return -1: none is left
-    int takeChanged();
+    [[nodiscard]] PendingRequest* leastValuable();
+    [[nodiscard]] CellQueues& queues() { return queues_; }
 
     /// The number of a new request in the order of arrival.
     std::uint64_t nextSequence() { return nextSequence_++; }
@@ -63,8 +56,7 @@
     const Admission& admission_;
     RetryPolicy& retries_;
     AttemptTracker& attempts_;
-    std::vector<RequestQueue> queues_;  // by cell
-    std::set<int> changed_;
+    CellQueues queues_;
     std::uint64_t nextSequence_ = 0;
 };
 
--- a/src/policy/gossip.h
+++ b/src/policy/gossip.h
@@ -7,43 +7,13 @@
 #pragma once
 
 #include <map>
-#include <set>
 
 #include "policy/cluster_view.h"
+#include "policy/key_aggregate.h"
 #include "policy/peer_outbox.h"
 
 namespace wingproxy {
 
-/// One host's use of a key, as the rendezvous host knows it.
-struct HostUsage {
-    DecayingRate rate;
-    int outstanding = 0;
-};
-
-/// Kept by the rendezvous host of a key.
-struct KeyAggregate {
-    std::map<int, HostUsage> hosts;
-    std::set<int> joined;  ///< hosts that want to know each other
-    double sentRate = 0;   ///< as last sent to the hosts
-    double sentSlowStartRate = 0;
-    double meanWait = 0;         ///< of answers, microseconds, smoothed
-    double meanOutstanding = 0;  ///< while these waited, smoothed
-    TimedValue sentWait;
-    DecayingRate slowStart;          ///< units completed by starting nodes for all hosts
-    Micros slowStartUntil = kNever;  ///< end of the slow start of the cell's newest node
-
-    /// Sum of all hosts.
-    /// \param memory of the rates, in microseconds
-    [[nodiscard]] HostUsage sum(Micros now, Micros memory) const {
-        HostUsage all{{0, now}};
-        for (const auto& [host, usage] : hosts) {
-            all.rate.value += usage.rate.rate(now, memory);
-            all.outstanding += usage.outstanding;
-        }
-        return all;
-    }
-};
-
 using AggregateByKey = std::map<std::uint32_t, KeyAggregate>;
 
 /// Owns the aggregates of the keys whose rendezvous host this is.
@@ -92,15 +62,17 @@
 
 private:
     template <typename Message>
-    void send(int to, const Message& message);
-    void sendAggregate(std::uint32_t key, const KeyAggregate& aggregate, int to);
+    void send(int to, const Message& message) {
+        if (to == context_.settings.hostIndex)
+            handle(to, message);
+        else
+            outbox_.send(to, message);
+    }
     void introduce(std::uint32_t key, const KeyAggregate& aggregate, int newcomer);
+    void sendAggregate(std::uint32_t key, const KeyAggregate& aggregate, const UsageTotals& totals, int to);
+    [[nodiscard]] UsageTotals totalsOf(const KeyAggregate& aggregate) const;
     [[nodiscard]] bool isDue(const KeyUsage& usage, const Observation& observation) const;
-    [[nodiscard]] bool hasChanged(const KeyAggregate& aggregate) const;
-    [[nodiscard]] bool hasNewWait(const KeyAggregate& aggregate) const;
-    [[nodiscard]] HostUsage sumOf(const KeyAggregate& aggregate) const;
-    [[nodiscard]] double expectedWait(const KeyAggregate& aggregate) const;
-    [[nodiscard]] double slowStartRate(const KeyAggregate& aggregate) const;
+    [[nodiscard]] bool isDue(const KeyAggregate& aggregate, const UsageTotals& totals) const;
     [[nodiscard]] double notableWait() const;
     [[nodiscard]] double notableRate() const;
 
--- a/src/policy/load_shedder.h
+++ b/src/policy/load_shedder.h
@@ -6,6 +6,7 @@
 #include <vector>
 
 #include "policy/admission.h"
+#include "policy/cell_queues.h"
 #include "policy/lease_allocator.h"
 
 namespace wingproxy {
--- a/src/policy/node.h
+++ b/src/policy/node.h
@@ -26,6 +26,14 @@
     OutlierDetector outliers;
     SlowStartLimiter slowStart;
 
+    /// Its process is new: nothing that was learnt of the one before holds.
+    /// \param turnRounding see `SlowStartLimiter::withRounding`
+    void restart(Micros now, double turnRounding) {
+        *this = Node(outstanding);
+        concurrency = ConcurrencyLimit::startingAt(now);
+        outliers = OutlierDetector::startingAt(now);
+        slowStart = SlowStartLimiter::withRounding(turnRounding);
+    }
     [[nodiscard]] bool isReady() const { return listed && info.state == NodeState::Ready; }
 };
 
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -1,7 +1,5 @@
 #include "policy/outlier_detector.h"
 
-#include <algorithm>
-
 namespace wingproxy {
 namespace {
 
@@ -20,38 +18,19 @@
 
 }  // namespace
 
-OutlierDetector OutlierDetector::startingAt(Micros now) {
-    OutlierDetector fresh;
-    fresh.state_.progressAt = now;
-    return fresh;
-}
-
 bool OutlierDetector::isSuspect(int outstanding, double latency, Micros now) const {
     const double patience = std::max(double(kMinSilence), kSilenceLatencies * latency);
     return now < state_.ejectedUntil || (outstanding > 0 && double(now - state_.progressAt) > patience);
 }
 
 bool OutlierDetector::mayTry(Micros now) const { return now - state_.lastTrialAt >= kTrialInterval; }
-
 Micros OutlierDetector::trialInterval() { return kTrialInterval; }
 
-bool OutlierDetector::wasUsedWithin(Micros period, Micros now) const {
-    return now - std::max(state_.lastTrialAt, state_.progressAt) < period;
-}
-
-double OutlierDetector::ejectionLeft(Micros now) const {
-    return std::max(0.0, double(state_.ejectedUntil - now));
-}
-
 double OutlierDetector::errorPenalty(double latencyObjective, Micros now) const {
     if (now - state_.progressAt >= kErrorMemory) return 0;
     return kErrorObjectives * state_.errorShare * latencyObjective;
 }
 
-void OutlierDetector::onHealthCheckAnswered(Micros sentAt) {
-    state_.newestAnswered = std::max(state_.newestAnswered, sentAt);
-}
-
 void OutlierDetector::onAnswer(bool error, Micros sentAt, Micros now) {
     state_.newestAnswered = std::max(state_.newestAnswered, sentAt);
     state_.failures = 0;
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -2,6 +2,8 @@
 /// Finds a node that fails or falls silent, and lets a trial request through from time to time.
 #pragma once
 
+#include <algorithm>
+
 #include "policy/micros.h"
 
 namespace wingproxy {
@@ -22,7 +24,11 @@
     OutlierDetector() = default;
     explicit OutlierDetector(const State& state) : state_(state) {}
     /// A node whose process began, as far as is known, at `now`.
-    static OutlierDetector startingAt(Micros now);
+    static OutlierDetector startingAt(Micros now) {
+        OutlierDetector fresh;
+        fresh.state_.progressAt = now;
+        return fresh;
+    }
 
     /// Whether the node was ejected, or is silent with work outstanding.
     /// \param latency that the node usually takes; 0: unknown
@@ -32,9 +38,13 @@
     /// Least time between two trial requests.
     static Micros trialInterval();
     /// Whether it was tried, or gave a sign of life, within `period`.
-    [[nodiscard]] bool wasUsedWithin(Micros period, Micros now) const;
+    [[nodiscard]] bool wasUsedWithin(Micros period, Micros now) const {
+        return now - std::max(state_.lastTrialAt, state_.progressAt) < period;
+    }
     /// How long the ejection lasts yet, in microseconds; 0: none.
-    [[nodiscard]] double ejectionLeft(Micros now) const;
+    [[nodiscard]] double ejectionLeft(Micros now) const {
+        return std::max(0.0, double(state_.ejectedUntil - now));
+    }
     /// By how much longer a new object should wait elsewhere than go to a node that fails, in microseconds.
     [[nodiscard]] double errorPenalty(double latencyObjective, Micros now) const;
     /// Whether the node has answered what was sent more than `margin` microseconds after `sentAt`.
@@ -47,7 +57,9 @@
     void onWorkBegan(Micros now) { state_.progressAt = now; }
     void onTrialSent(Micros now) { state_.lastTrialAt = now; }
     void onHealthCheckSent(Micros now) { state_.lastHealthCheckAt = now; }
-    void onHealthCheckAnswered(Micros sentAt);
+    void onHealthCheckAnswered(Micros sentAt) {
+        state_.newestAnswered = std::max(state_.newestAnswered, sentAt);
+    }
     /// An answer, also an error status, to what was sent at `sentAt`.
     void onAnswer(bool error, Micros sentAt, Micros now);
     /// An attempt that got no answer.
--- a/src/policy/pending_request.h
+++ b/src/policy/pending_request.h
@@ -1,8 +1,7 @@
 /// \file
-/// A request that has no final answer yet, or whose attempts are not over, and the queue in which it waits.
+/// A request that has no final answer yet, or whose attempts are not over.
 #pragma once
 
-#include <compare>
 #include <map>
 #include <string>
 #include <utility>
@@ -86,28 +85,4 @@
     }
 };
 
-/// Requests that wait for a cell, earliest due first.
-class RequestQueue {
-public:
-    struct Key {
-        Micros due;
-        std::uint64_t sequence;
-        auto operator<=>(const Key&) const = default;
-    };
-    void add(PendingRequest& request) { requests_.emplace(Key{request.due, request.sequence}, &request); }
-    void remove(const PendingRequest& request) { requests_.erase({request.due, request.sequence}); }
-    [[nodiscard]] bool empty() const { return requests_.empty(); }
-    [[nodiscard]] const std::map<Key, PendingRequest*>& entries() const { return requests_; }
-    /// Units of all that waits.
-    [[nodiscard]] double units() const {
-        double sum = 0;
-        for (const auto& [key, request] : requests_)
-            sum += request->info.units;
-        return sum;
-    }
-
-private:
-    std::map<Key, PendingRequest*> requests_;
-};
-
 }  // namespace wingproxy
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -34,17 +34,7 @@
     : context_(contextOf(settings, now)),
       recovery_({settings.hostIndex, settings.hostCount, LeaseAllocator::leaseDuration(), settings.mayGossip},
                 now),
-      outbox_(context_, recovery_, kMaxMessageBytes),
-      usage_(context_, Gossip::usageMemory()),
-      cluster_(context_, usage_),
-      gossip_(context_, usage_, cluster_, outbox_),
-      volumes_(context_, usage_),
-      leases_(context_, recovery_, usage_, volumes_, outbox_),
-      admission_(context_, usage_, cluster_),
-      retries_(context_, cluster_, leases_),
-      attempts_(context_, cluster_, gossip_, retries_),
-      dispatcher_(context_, cluster_, admission_, retries_, attempts_),
-      shedder_(context_, cluster_, admission_, leases_) {
+      outbox_(context_, recovery_, kMaxMessageBytes) {
     context_.emit(SetTimer{kTickInterval, kTickToken});
     cluster_.renewWatch();
     leases_.useHomeOnceRecovered();
@@ -53,11 +43,6 @@
 
 // ---- requests
 
-PendingRequest* Policy::Impl::find(RequestId id) {
-    const auto entry = requests_.find(id);
-    return entry == requests_.end() ? nullptr : &entry->second;
-}
-
 Volume& Policy::Impl::volumeOf(const Request& request) {
     const auto [volume, isNew] = volumes_.open(request);
     if (isNew) {
@@ -67,24 +52,17 @@
     return volume;
 }
 
-PendingRequest* Policy::Impl::open(const Request& info) {
-    const auto [entry, isNew] = requests_.try_emplace(info.id);
-    if (!isNew) return nullptr;
-    PendingRequest& request = entry->second;
-    request.info = info;
-    request.bodyIncomplete = info.bodyIncomplete;
-    if (info.classIndex >= 0) request.classInfo = &context_.settings.classes.at(std::size_t(info.classIndex));
-    request.volume = &volumeOf(info);
-    const Micros untilDeadline = info.deadlineUs - context_.now;
-    request.due = std::min(context_.now + request.latencyObjective(untilDeadline), info.deadlineUs);
-    request.sequence = dispatcher_.nextSequence();
-    request.cell = info.cell >= 0 ? info.cell : dispatcher_.cellForNewObject(info.units);
-    return &request;
-}
-
 void Policy::Impl::handle(const RequestReceived& event) {
-    PendingRequest* const request = open(event.request);
+    const Request& info = event.request;
+    PendingRequest* const request = requests_.open(info);
     if (!request) return;
+    if (info.classIndex >= 0)
+        request->classInfo = &context_.settings.classes.at(std::size_t(info.classIndex));
+    request->volume = &volumeOf(info);
+    const Micros untilDeadline = info.deadlineUs - context_.now;
+    request->due = std::min(context_.now + request->latencyObjective(untilDeadline), info.deadlineUs);
+    request->sequence = dispatcher_.nextSequence();
+    request->cell = info.cell >= 0 ? info.cell : dispatcher_.cellForNewObject(info.units);
     const Cell& cell = cluster_.cell(request->cell);
     retries_.onReceived(*request);
     leases_.earnRequestBytes();
@@ -110,7 +88,7 @@
 }
 
 void Policy::Impl::handle(const RequestBodyCompleted& event) {
-    PendingRequest* const request = find(event.id);
+    PendingRequest* const request = requests_.find(event.id);
     if (!request || !request->bodyIncomplete) return;
     const bool wasQueued = request->queued;
     dispatcher_.dequeue(*request);
@@ -123,25 +101,25 @@
 }
 
 void Policy::Impl::handle(const ResponseStarted& event) {
-    PendingRequest* const request = find(event.id);
-    if (!request || !request->nodeByAttempt.contains(event.attempt)) return;
+    PendingRequest* const request = requests_.findAttempt(event.id, event.attempt);
+    if (!request) return;
     request->streaming = request->streaming || event.forwarding;
     if (!event.nodeDone || request->bodyIncomplete || std::exchange(request->nodeDone, true)) return;
     Node& node = cluster_.node(request->nodeByAttempt.at(event.attempt));
     attempts_.onOutcome(node, request->info.units, event.elapsedUs, Outcome::Ok);
     --node.outstanding;
-    dispatcher_.markChanged(node.info.cell);
+    dispatcher_.queues().markChanged(node.info.cell);
 }
 
 void Policy::Impl::handle(const AttemptOutcome& event) {
-    PendingRequest* const request = find(event.id);
-    if (!request || !request->nodeByAttempt.contains(event.attempt)) return;
+    PendingRequest* const request = requests_.findAttempt(event.id, event.attempt);
+    if (!request) return;
     Node& node = cluster_.node(request->nodeByAttempt.at(event.attempt));
     const bool heldPlace = request->onAttemptEnded(event.attempt);
     if (heldPlace) --node.outstanding;
     if (attempts_.isTelling(event, heldPlace))
         attempts_.onOutcome(node, request->info.units, event.elapsedUs, event.outcome);
-    dispatcher_.markChanged(node.info.cell);
+    dispatcher_.queues().markChanged(node.info.cell);
     retries_.onAttemptEnded(*request, event.outcome);
     if (request->finished) {
         if (request->outstanding == 0) requests_.erase(event.id);
@@ -162,7 +140,7 @@
 // Another attempt where the class, the budget and the time left allow one; else the final answer, now.
 void Policy::Impl::retryOrGiveUp(PendingRequest& request) {
     if (!retries_.mayRetry(request)) {
-        giveUp(request, 0);
+        giveUp(request, 0, kMinRetryAfter);
         return;
     }
     if (request.info.cell < 0 && !request.mayHaveRun)
@@ -180,10 +158,6 @@
     finish(request);
 }
 
-void Policy::Impl::giveUp(PendingRequest& request, Micros retryAfter) {
-    giveUp(request, retryAfter, kMinRetryAfter);
-}
-
 // The request may be gone afterwards.
 void Policy::Impl::finish(PendingRequest& request) {
     if (request.finished) return;
@@ -194,23 +168,19 @@
     if (request.outstanding == 0) requests_.erase(request.info.id);
 }
 
-void Policy::Impl::handle(const RequestCancelled& event) {
-    if (PendingRequest* const request = find(event.id)) finish(*request);
-}
-
 void Policy::Impl::handle(const CapacityNeeded& event) {
     for (int i = 0; i < event.connections; ++i)
-        if (PendingRequest* const least = dispatcher_.leastValuable()) giveUp(*least, 0);
+        if (PendingRequest* const least = dispatcher_.leastValuable()) giveUp(*least, 0, kMinRetryAfter);
 }
 
 void Policy::Impl::shedLoad(int cell) {
-    const RequestQueue& queue = dispatcher_.queue(cell);
+    const RequestQueue& queue = dispatcher_.queues().of(cell);
     for (PendingRequest* const request : shedder_.expiring(queue))
-        giveUp(*request, 0);
+        giveUp(*request, 0, kMinRetryAfter);
     if (queue.empty()) return;
     const auto overload = shedder_.overload(cluster_.cell(cell), queue);
     for (PendingRequest* const request : overload.requests)
-        giveUp(*request, overload.backlog);
+        giveUp(*request, overload.backlog, kMinRetryAfter);
 }
 
 // ---- cluster and peers
@@ -222,48 +192,18 @@
     }
     for (const NodeInfo& info : cluster_.apply(event.list))
         if (info.cell >= 0) gossip_.onNodeStarted(cluster_.cell(info.cell), info.startedUs);
-    dispatcher_.markAllChanged();
-}
-
-void Policy::Impl::handle(const HealthCheckCompleted& event) {
-    Node* const node = cluster_.findNode(event.node);
-    if (node && event.outcome == Outcome::Ok)
-        node->outliers.onHealthCheckAnswered(context_.now - event.elapsedUs);
-}
-
-void Policy::Impl::handle(const ShutdownStarted& event) {
-    recovery_.startShutdown(event.servesUntilUs, context_.now);
+    dispatcher_.queues().markAllChanged(cluster_.cellCount());
 }
 
 void Policy::Impl::handle(const PeerMessageReceived& event) {
-    using fleet::RestartRecovery;
-    if (event.from == context_.settings.hostIndex || event.from < 0 ||
-        event.from >= context_.settings.hostCount)
-        return;
-    std::optional<peer::Message> message = peer::Message();
-    RestartRecovery::DatagramResult result;
-    if (RestartRecovery::isRecoveryDatagram(event.bytes)) {
-        result = recovery_.handleDatagram(event.from, event.bytes, context_.now);
-    } else {
-        message = peer::decode(event.bytes);  // all of it or nothing
-        if (!message) return recovery_.countMalformed();
-        result.status =
-            recovery_.observeIncarnation(event.from, std::uint32_t(message->incarnation), context_.now);
-    }
-    if (result.status == RestartRecovery::IncarnationStatus::Stale) return;
-    if (result.status == RestartRecovery::IncarnationStatus::New) leases_.onPeerRestarted(event.from);
-    for (const auto& reply : result.replies)
-        context_.emit(SendPeerMessage{reply.to, reply.bytes});
+    const PeerDatagram datagram = inbox_.receive(event);
+    if (!datagram.isAccepted) return;
+    if (datagram.senderRestarted) leases_.onPeerRestarted(event.from);
     leases_.useHomeOnceRecovered();
-    for (const peer::Record& record : message->records)
+    for (const peer::Record& record : datagram.records)
         std::visit([&](const auto& typed) { handleRecord(event.from, typed); }, record);
 }
 
-void Policy::Impl::sendRecoveryDatagrams() {
-    for (const auto& datagram : recovery_.dueDatagrams(context_.now))
-        context_.emit(SendPeerMessage{datagram.to, datagram.bytes});
-}
-
 // ---- time
 
 void Policy::Impl::handle(const TimerFired& event) {
@@ -279,7 +219,7 @@
     if (context_.settings.mayCancel) attempts_.cancelLost(requests_);
     leases_.rebalanceAll();
     if (context_.now - lastReportAt_ >= Gossip::reportInterval() / 2) reportUsage();
-    dispatcher_.markWaiting();
+    dispatcher_.queues().markWaiting();
 }
 
 void Policy::Impl::reportUsage() {
@@ -293,21 +233,16 @@
 // What an open request needs stays: one with an idempotency key may be sent again only near its first node.
 void Policy::Impl::forgetUnused() {
     lastForgetAt_ = context_.now;
-    std::set<const Volume*> volumesInUse;
-    std::set<int> pinnedNodes;
-    for (const auto& [id, request] : requests_) {
-        volumesInUse.insert(request.volume);
-        pinnedNodes.insert(request.pinnedNode);
-    }
-    cluster_.forgetUnlisted(kForgetAfter, pinnedNodes);
-    volumes_.forgetUnneeded(kForgetAfter, volumesInUse);
+    cluster_.forgetUnlisted(kForgetAfter, requests_.pinnedNodes());
+    volumes_.forgetUnneeded(kForgetAfter, requests_.volumes());
     gossip_.forgetUnused();
     retries_.forgetIdleKeys();
 }
 
 std::vector<Action> Policy::Impl::finishBatch() {
     leases_.serveRequests();
-    for (int cell = dispatcher_.takeChanged(); cell >= 0; cell = dispatcher_.takeChanged()) {
+    while (dispatcher_.queues().hasChanged()) {
+        const int cell = dispatcher_.queues().takeChanged();
         dispatcher_.dispatch(cell);
         shedLoad(cell);
     }
@@ -315,31 +250,4 @@
     return std::exchange(context_.actions, {});
 }
 
-// ---- interface
-
-Policy::Policy(const Settings& settings, Micros now) : impl_(std::make_unique<Impl>(settings, now)) {}
-Policy::~Policy() = default;
-Policy::Policy(Policy&&) noexcept = default;
-Policy& Policy::operator=(Policy&&) noexcept = default;
-
-void Policy::on(Micros now, const Event& event) {
-    impl_->setTime(now);
-    std::visit([this](const auto& typed) { impl_->handle(typed); }, event);
-}
-
-std::vector<Action> Policy::finish(Micros now) {
-    impl_->setTime(now);
-    return impl_->finishBatch();
-}
-
-std::string Policy::takeSnapshot(Micros now) {
-    impl_->setTime(now);
-    return impl_->handOver();
-}
-
-bool Policy::restore(const std::string& snapshot) { return impl_->restore(snapshot); }
-std::size_t Policy::tableEntries() const { return impl_->tableEntries(); }
-std::size_t Policy::avoidedNodes() const { return impl_->avoidedNodes(); }
-const fleet::RestartRecovery& Policy::recovery() const { return impl_->recovery(); }
-
 }  // namespace wingproxy
--- a/src/policy/policy_impl.h
+++ b/src/policy/policy_impl.h
@@ -7,6 +7,7 @@
 
 #include "policy/dispatcher.h"
 #include "policy/load_shedder.h"
+#include "policy/peer_inbox.h"
 #include "policy/snapshot_archive.h"
 
 namespace wingproxy {
@@ -24,12 +25,18 @@
     void handle(const RequestBodyCompleted& event);
     void handle(const AttemptOutcome& event);
     void handle(const ResponseStarted& event);
-    void handle(const RequestCancelled& event);
-    void handle(const ShutdownStarted& event);
+    void handle(const RequestCancelled& event) {
+        if (PendingRequest* const request = requests_.find(event.id)) finish(*request);
+    }
+    void handle(const ShutdownStarted& event) { recovery_.startShutdown(event.servesUntilUs, context_.now); }
     void handle(const CapacityNeeded& event);
     void handle(const TimerFired& event);
     void handle(const PeerMessageReceived& event);
-    void handle(const HealthCheckCompleted& event);
+    void handle(const HealthCheckCompleted& event) {
+        Node* const node = cluster_.findNode(event.node);
+        if (node && event.outcome == Outcome::Ok)
+            node->outliers.onHealthCheckAnswered(context_.now - event.elapsedUs);
+    }
     /// Sends what may leave, sheds load, and returns the batch's actions.
     std::vector<Action> finishBatch();
 
@@ -43,25 +50,25 @@
     [[nodiscard]] const fleet::RestartRecovery& recovery() const { return recovery_; }
 
 private:
-    [[nodiscard]] PendingRequest* find(RequestId id);
     [[nodiscard]] Volume& volumeOf(const Request& request);
-    PendingRequest* open(const Request& request);
     void admit(PendingRequest& request);
     void retryOrGiveUp(PendingRequest& request);
     void giveUp(PendingRequest& request, Micros retryAfter, Micros minRetryAfter);
-    void giveUp(PendingRequest& request, Micros retryAfter);
     void finish(PendingRequest& request);
     void shedLoad(int cell);
     void handleRecord(int from, const peer::LeaseRequest& request) { leases_.onRequest(from, request); }
     void handleRecord(int from, const peer::LeaseReturn& returned) { leases_.onReturn(from, returned); }
     void handleRecord(int from, const peer::LeaseGrant& grant) {
-        if (leases_.onGrant(from, grant)) dispatcher_.markAllChanged();
+        if (leases_.onGrant(from, grant)) dispatcher_.queues().markAllChanged(cluster_.cellCount());
     }
     template <typename GossipRecord>
     void handleRecord(int from, const GossipRecord& record) {
         gossip_.handle(from, record);
     }
-    void sendRecoveryDatagrams();
+    void sendRecoveryDatagrams() {
+        for (const auto& datagram : recovery_.dueDatagrams(context_.now))
+            context_.emit(SendPeerMessage{datagram.to, datagram.bytes});
+    }
     void tick();
     void reportUsage();
     void forgetUnused();
@@ -70,16 +77,17 @@
     Context context_;
     fleet::RestartRecovery recovery_;
     PeerOutbox outbox_;
-    UsageTable usage_;
-    ClusterView cluster_;
-    Gossip gossip_;
-    VolumeTable volumes_;
-    LeaseAllocator leases_;
-    Admission admission_;
-    RetryPolicy retries_;
-    AttemptTracker attempts_;
-    Dispatcher dispatcher_;
-    LoadShedder shedder_;
+    PeerInbox inbox_{context_, recovery_};
+    UsageTable usage_{context_, Gossip::usageMemory()};
+    ClusterView cluster_{context_, usage_};
+    Gossip gossip_{context_, usage_, cluster_, outbox_};
+    VolumeTable volumes_{context_, usage_};
+    LeaseAllocator leases_{context_, recovery_, usage_, volumes_, outbox_};
+    Admission admission_{context_, usage_, cluster_};
+    RetryPolicy retries_{context_, cluster_, leases_};
+    AttemptTracker attempts_{context_, cluster_, gossip_, retries_};
+    Dispatcher dispatcher_{context_, cluster_, admission_, retries_, attempts_};
+    LoadShedder shedder_{context_, cluster_, admission_, leases_};
     RequestTable requests_;
     Micros lastReportAt_ = kNever;
     Micros lastForgetAt_ = kNever;
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -65,28 +65,4 @@
            request.classInfo->keyScope == KeyScope::Global;
 }
 
-void RetryPolicy::onReceived(const PendingRequest& request) {
-    if (context_.settings.retryWindowUs > 0) budget_.requests.record(context_.now);
-    if (isOrdered(request)) keys_.add(request.info.key, request.info.id);
-}
-
-void RetryPolicy::onSent(const PendingRequest& request) {
-    if (request.attempts > 0 && context_.settings.retryWindowUs > 0) budget_.retries.record(context_.now);
-}
-
-void RetryPolicy::onAttemptEnded(const PendingRequest& request, Outcome outcome) {
-    if (!isOrdered(request)) return;
-    const bool mayRunYet =
-        outcome == Outcome::Timeout || outcome == Outcome::Reset || outcome == Outcome::Cancelled;
-    if (mayRunYet)
-        keys_.pause(request.info.key, context_.now + context_.settings.keyCooldownUs,
-                    request.finished ? 0 : request.info.id);
-    if (request.finished) keys_.onAbandonedAttemptEnded(request.info.key);
-}
-
-void RetryPolicy::onFinished(const PendingRequest& request) {
-    if (isOrdered(request))
-        keys_.remove(request.info.key, request.info.id, request.outstanding, context_.now);
-}
-
 }  // namespace wingproxy
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -16,12 +16,6 @@
 
 }  // namespace
 
-SlowStartLimiter SlowStartLimiter::withRounding(double turnRounding) {
-    SlowStartLimiter fresh;
-    fresh.state_.turnRounding = turnRounding;
-    return fresh;
-}
-
 bool SlowStartLimiter::admits(const Settings& settings, double units, Micros now) {
     const auto [outstanding, completed] = state_.window.sums(settings.slowStartWindowUs, now);
     const double ahead =
@@ -45,9 +39,4 @@
     state_.turnUnits = std::min(state_.turnUnits + earned, settings.maxUnits);
 }
 
-void SlowStartLimiter::onSent(const Settings& settings, double units, Micros now) {
-    state_.window.addSent(units, now);
-    state_.turnUnits = std::max(state_.turnUnits - units, -settings.maxUnits);
-}
-
 }  // namespace wingproxy
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -26,7 +26,11 @@
     SlowStartLimiter() = default;
     explicit SlowStartLimiter(State state) : state_(std::move(state)) {}
     /// \param turnRounding from 0 to 1; differs from host to host, so that their turns do not come at once
-    static SlowStartLimiter withRounding(double turnRounding);
+    static SlowStartLimiter withRounding(double turnRounding) {
+        SlowStartLimiter fresh;
+        fresh.state_.turnRounding = turnRounding;
+        return fresh;
+    }
 
     /// Whether a request of `units` may be sent without exceeding this host's share.
     [[nodiscard]] bool admits(const Settings& settings, double units, Micros now);
@@ -35,7 +39,10 @@
     /// \param own what the cell is asked for through this host, in units a second
     void earnTurn(const Settings& settings, double units, double own, const PeerUsage& others,
                   Micros startedUs, Micros now);
-    void onSent(const Settings& settings, double units, Micros now);
+    void onSent(const Settings& settings, double units, Micros now) {
+        state_.window.addSent(units, now);
+        state_.turnUnits = std::max(state_.turnUnits - units, -settings.maxUnits);
+    }
     void onCompleted(double units, Micros now) { state_.window.addCompleted(units, now); }
 
     [[nodiscard]] const State& state() const { return state_; }
