--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -5,10 +5,8 @@
 namespace wingproxy {
 namespace {
 
-constexpr double kHigherClassSeconds =
-    0.5;  // of their demand is left in a quota to classes of higher priority
-// Spare work is sent while an answer takes at most this part of the shortest objective, shared work this
-// part.
+constexpr double kHigherClassSeconds = 0.5;  // of the demand of higher classes is left to them in a quota
+// Work is sent while an answer takes at most this part of the shortest objective.
 constexpr double kSpareLatencyPart = 0.7;
 constexpr double kShareLatencyPart = 1;
 // Steps of a level: slower up than down, as what all hosts admit at once fills any queue, and faster where
@@ -18,23 +16,8 @@
 constexpr double kIdleLevelIncrease = 1.08;
 constexpr double kMostAskedDecay = 0.97;
 
-// Spends `units` if the bucket has them, and leaves in it what other classes may need.
-bool takeTokens(TokenBucket& bucket, double capacity, double units, double reserved) {
-    if (bucket.tokens < std::min(capacity, units + reserved)) return false;
-    bucket.tokens -= units;
-    return true;
-}
-
 }  // namespace
 
-void Admission::open(Volume& volume) const {
-    volume.quota.guaranteed.at = context_.now;
-    if (volume.plan < 0) return;
-    const PlanInfo& plan = context_.settings.plans.at(std::size_t(volume.plan));
-    volume.quota.guaranteed.tokens = plan.guaranteedRate / volume.hosts + context_.settings.maxUnits;
-}
-
-// This host keeps its part of both quotas, by its part of the volume's use.
 double Admission::classify(PendingRequest& request) {
     Volume& volume = *request.volume;
     const Settings& settings = context_.settings;
@@ -43,24 +26,24 @@
     const double ownShare = usage_.ownShare(*volume.usage);
     const double reserved = reservedForHigherClasses(volume, request);
 
-    const double guaranteedRate = plan.guaranteedRate * ownShare;
     TokenBucket& guaranteed = volume.quota.guaranteed;
+    const double guaranteedRate = plan.guaranteedRate * ownShare;
     const double guaranteedCapacity = guaranteedRate + settings.maxUnits;
     guaranteed.refill(guaranteedRate, guaranteedCapacity, context_.now);
-    request.quota = QuotaClass::Spare;
-    if (plan.guaranteedRate > 0 && takeTokens(guaranteed, guaranteedCapacity, units, reserved))
-        request.quota = QuotaClass::Guaranteed;
+    const bool isGuaranteed =
+        plan.guaranteedRate > 0 && guaranteed.tryTake(units, reserved, guaranteedCapacity);
 
     CellQuota& cell = volume.quota.byCell[request.cell];
-    cell.demand.add(context_.now, kRateMemory, units);
     WaterLevel& level = levelAt(request.cell);
-    const double shareRate = level.level * plan.shares * ownShare;
-    cell.share.refill(shareRate, shareRate + settings.maxUnits, context_.now);
+    cell.demand.add(context_.now, kRateMemory, units);
     const double asked = cell.demand.rate(context_.now, kRateMemory);
     level.mostAsked = std::max(level.mostAsked, asked / std::max(plan.shares * ownShare, kNegligibleRate));
-    if (request.quota == QuotaClass::Spare &&
-        takeTokens(cell.share, shareRate + settings.maxUnits, units, reserved))
-        request.quota = QuotaClass::Share;
+    const double shareRate = level.level * plan.shares * ownShare;
+    const double shareCapacity = shareRate + settings.maxUnits;
+    cell.share.refill(shareRate, shareCapacity, context_.now);
+    const bool isShare = !isGuaranteed && cell.share.tryTake(units, reserved, shareCapacity);
+
+    request.setQuota(isGuaranteed, isShare);
     if (request.quota != QuotaClass::Spare) return units;
     return units * (settings.spareWeight / std::max(settings.shareWeight, kNegligibleRate));
 }
@@ -78,22 +61,6 @@
     return reserved;
 }
 
-void Admission::giveBack(const PendingRequest& request) const {
-    VolumeQuota& quota = request.volume->quota;
-    if (request.quota == QuotaClass::Guaranteed) quota.guaranteed.tokens += request.info.units;
-    if (request.quota == QuotaClass::Share) quota.byCell[request.cell].share.tokens += request.info.units;
-}
-
-Admission::WaterLevel& Admission::levelAt(int cell) {
-    if (std::size_t(cell) >= levels_.size()) levels_.resize(std::size_t(cell) + 1);
-    return levels_[std::size_t(cell)];
-}
-
-void Admission::updateLevels() {
-    for (int i = 0; i < cluster_.cellCount(); ++i)
-        updateLevel(cluster_.cells()[std::size_t(i)], levelAt(i));
-}
-
 void Admission::updateLevel(const Cell& cell, WaterLevel& level) const {
     double latency = kUnlimited;
     double unqueued = 0;
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -29,14 +29,27 @@
         : context_(context), usage_(usage), cluster_(cluster) {}
 
     /// Sets up the quota of a volume that was just opened.
-    void open(Volume& volume) const;
-    /// Counts a request that arrived, and gives it its quota class. It must have a cell.
-    /// \return units that are due to it in its cell: spare ones count for less
+    void open(Volume& volume) const {
+        volume.quota.guaranteed.at = context_.now;
+        if (volume.plan < 0) return;
+        const PlanInfo& plan = context_.settings.plans.at(std::size_t(volume.plan));
+        volume.quota.guaranteed.tokens = plan.guaranteedRate / volume.hosts + context_.settings.maxUnits;
+    }
+    /// Counts a request that arrived, and gives it its quota class. It must have a cell. This host keeps its
+    /// part of each quota, by its part of the volume's use. \return units that are due to it in its cell:
+    /// spare ones count for less
     double classify(PendingRequest& request);
     /// A request is over of which nothing ran: its units go back to the quota.
-    void giveBack(const PendingRequest& request) const;
+    void giveBack(const PendingRequest& request) const {
+        VolumeQuota& quota = request.volume->quota;
+        if (request.quota == QuotaClass::Guaranteed) quota.guaranteed.tokens += request.info.units;
+        if (request.quota == QuotaClass::Share) quota.byCell[request.cell].share.tokens += request.info.units;
+    }
     /// Adapts the water levels to the latency of each cell; to be called at an interval.
-    void updateLevels();
+    void updateLevels() {
+        for (int i = 0; i < cluster_.cellCount(); ++i)
+            updateLevel(cluster_.cells()[std::size_t(i)], levelAt(i));
+    }
 
     /// What a unit of work on a request is worth, if it is answered in time.
     [[nodiscard]] double value(const PendingRequest& request) const;
@@ -52,7 +65,10 @@
 
 private:
     [[nodiscard]] double reservedForHigherClasses(Volume& volume, const PendingRequest& request) const;
-    WaterLevel& levelAt(int cell);
+    WaterLevel& levelAt(int cell) {
+        if (std::size_t(cell) >= levels_.size()) levels_.resize(std::size_t(cell) + 1);
+        return levels_[std::size_t(cell)];
+    }
     void updateLevel(const Cell& cell, WaterLevel& level) const;
 
     const Context& context_;
--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -6,33 +6,18 @@
 namespace wingproxy {
 namespace {
 
-// An answer is lost, or its connection fell silent, when the node has answered what was sent later: after
-// this part of the shortest objective, for another attempt to be in time, and this multiple of what it takes
-// there.
+// An answer is lost when the node has answered what was sent later, and this part of the shortest objective
+// is over, so that another attempt is in time, and this multiple of what it takes there.
 constexpr double kLostObjectivePart = 0.5;
 constexpr double kLostLatencies = 4;
-// So much older, where the node got nothing later from here, its health is checked: a check waits there as a
-// request.
+// So much older, where the node got nothing later, its health is checked: a check waits there as a request
+// does.
 constexpr double kHealthCheckFactor = 1.5;
 constexpr double kRejectionObjectives = 2;  // reported as the wait at a node that rejects
 constexpr double kMinReportedTicks = 0.01;  // a wait that was measured is never reported as none
 
 }  // namespace
 
-void AttemptTracker::send(PendingRequest& request, int index) {
-    Node& node = cluster_.node(index);
-    const double units = request.info.units;
-    if (!std::exchange(request.hasTokens, true)) LeaseAllocator::spend(*request.volume, units);
-    if (cluster_.isSuspect(node)) node.outliers.onTrialSent(context_.now);
-    if (node.outstanding == 0) node.outliers.onWorkBegan(context_.now);
-    if (!request.bodyIncomplete) ++node.outstanding;
-    if (cluster_.isWarmingUp(node)) node.slowStart.onSent(context_.settings, units, context_.now);
-    retries_.onSent(request);
-    request.onSent(index, context_.now);
-    const Micros lastByteBy = request.mayHaveRun ? request.repeatableUntil() : 0;
-    context_.emit(ForwardRequest{request.info.id, node.info.id, 0, lastByteBy});
-}
-
 bool AttemptTracker::isTelling(const AttemptOutcome& event, bool heldPlace) {
     if (event.outcome == Outcome::NotStarted) return false;
     if (heldPlace) return !event.requestSpent || event.outcome != Outcome::Rejected;
@@ -53,8 +38,7 @@
 void AttemptTracker::onFailure(Node& node, Micros sentAt, Outcome outcome) {
     if (!node.outliers.onFailure(outcome, sentAt, context_.now)) return;
     node.concurrency.onFailure();
-    // Silence is not reported as a wait, as the answer may have been lost; outstanding attempts speak for
-    // themselves.
+    // Silence is not reported as a wait, as the answer may have been lost.
     if (outcome == Outcome::Rejected || outcome == Outcome::ConnectFailed)
         gossip_.reportCell(cluster_.cell(node.info.cell), kRejectionObjectives * context_.latencyObjective);
 }
@@ -84,7 +68,6 @@
     return checks ? Verdict::Unsure : Verdict::Waiting;
 }
 
-// May be wrong where a node takes what was sent later first, by far.
 void AttemptTracker::cancelLost(const RequestTable& requests) {
     std::map<std::uint64_t, CancelAttempt> lost;  // by order of arrival
     std::set<int> unsure;
@@ -103,11 +86,4 @@
         checkHealth(index);
 }
 
-void AttemptTracker::checkHealth(int index) {
-    Node& node = cluster_.node(index);
-    if (!context_.settings.mayCheckHealth || !node.isReady()) return;
-    node.outliers.onHealthCheckSent(context_.now);
-    context_.emit(StartHealthCheck{node.info.id});
-}
-
 }  // namespace wingproxy
--- a/src/policy/attempt_tracker.h
+++ b/src/policy/attempt_tracker.h
@@ -16,7 +16,19 @@
         : context_(context), cluster_(cluster), gossip_(gossip), retries_(retries) {}
 
     /// Sends a request to a node; the guards were asked before.
-    void send(PendingRequest& request, int node);
+    void send(PendingRequest& request, int index) {
+        Node& node = cluster_.node(index);
+        const double units = request.info.units;
+        if (!std::exchange(request.hasTokens, true)) LeaseAllocator::spend(*request.volume, units);
+        if (cluster_.isSuspect(node)) node.outliers.onTrialSent(context_.now);
+        if (node.outstanding == 0) node.outliers.onWorkBegan(context_.now);
+        if (!request.bodyIncomplete) ++node.outstanding;
+        if (cluster_.isWarmingUp(node)) node.slowStart.onSent(context_.settings, units, context_.now);
+        retries_.onSent(request);
+        request.onSent(index, context_.now);
+        const Micros lastByteBy = request.mayHaveRun ? request.repeatableUntil() : 0;
+        context_.emit(ForwardRequest{request.info.id, node.info.id, 0, lastByteBy});
+    }
     /// Whether an outcome says anything of its node.
     /// \param heldPlace whether the attempt was complete and unanswered: else a rejection or an answer says
     /// nothing
@@ -41,7 +53,12 @@
     void onFailure(Node& node, Micros sentAt, Outcome outcome);
     void onAnswer(Node& node, double units, Micros elapsed);
     [[nodiscard]] Verdict judge(const PendingRequest& request, const Node& node) const;
-    void checkHealth(int node);
+    void checkHealth(int index) {
+        Node& node = cluster_.node(index);
+        if (!context_.settings.mayCheckHealth || !node.isReady()) return;
+        node.outliers.onHealthCheckSent(context_.now);
+        context_.emit(StartHealthCheck{node.info.id});
+    }
 
     Context& context_;
     ClusterView& cluster_;
--- a/src/policy/cluster_view.cpp
+++ b/src/policy/cluster_view.cpp
@@ -33,10 +33,6 @@
     return std::min(spread, settings.pollIntervalUs / 2);
 }
 
-Micros ClusterView::jitter(Micros span) const {
-    return Micros(double(span) * peer::fractionOf(context_.settings.seed + std::uint64_t(context_.now)));
-}
-
 void ClusterView::renewWatch() {
     const Settings& settings = context_.settings;
     if (!settings.pollsEndpointList || context_.now < nextWatchAt_) return;
@@ -84,25 +80,9 @@
            cells()[std::size_t(node.info.cell)].ready == 0;
 }
 
-bool ClusterView::isWarmingUp(const Node& node) const {
-    return node.info.startedUs > 0 &&
-           context_.now - node.info.startedUs < context_.settings.slowStartDurationUs;
-}
-
 bool ClusterView::slowStartAdmits(Node& node, double units) const {
     if (!isWarmingUp(node) || context_.settings.slowStartWindowUs <= 0) return true;
     return !context_.handedOver && node.slowStart.admits(context_.settings, units, context_.now);
 }
 
-void ClusterView::earnSlowStartTurns(const Cell& cell, double units) {
-    if (context_.settings.slowStartWindowUs <= 0) return;
-    for (const int index : cell.nodes) {
-        Node& member = node(index);
-        if (!isWarmingUp(member)) continue;
-        const KeyUsage& usage = *this->cell(member.info.cell).usage;
-        member.slowStart.earnTurn(context_.settings, units, usage_.ownRate(usage),
-                                  usage_.othersOrAssumed(usage), member.info.startedUs, context_.now);
-    }
-}
-
 }  // namespace wingproxy
--- a/src/policy/cluster_view.h
+++ b/src/policy/cluster_view.h
@@ -10,6 +10,7 @@
 
 #include "policy/context.h"
 #include "policy/node_table.h"
+#include "policy/peer_message.h"
 
 namespace wingproxy {
 
@@ -54,7 +55,10 @@
     /// Whether it may get new requests. A draining node serves on for a part of its grace where its cell has
     /// no other.
     [[nodiscard]] bool acceptsRequests(const Node& node) const;
-    [[nodiscard]] bool isWarmingUp(const Node& node) const;
+    [[nodiscard]] bool isWarmingUp(const Node& node) const {
+        return node.info.startedUs > 0 &&
+               context_.now - node.info.startedUs < context_.settings.slowStartDurationUs;
+    }
     /// Whether slow start allows one more request of `units`.
     [[nodiscard]] bool slowStartAdmits(Node& node, double units) const;
     [[nodiscard]] bool isSuspect(const Node& node) const {
@@ -88,7 +92,16 @@
 
     // -- what happened
     /// Units that a cell is asked for: each of its starting nodes earns a turn's part of them.
-    void earnSlowStartTurns(const Cell& cell, double units);
+    void earnSlowStartTurns(const Cell& cell, double units) {
+        if (context_.settings.slowStartWindowUs <= 0) return;
+        for (const int index : cell.nodes) {
+            Node& member = node(index);
+            if (!isWarmingUp(member)) continue;
+            const KeyUsage& usage = *this->cell(member.info.cell).usage;
+            member.slowStart.earnTurn(context_.settings, units, usage_.ownRate(usage),
+                                      usage_.othersOrAssumed(usage), member.info.startedUs, context_.now);
+        }
+    }
     /// A peer says how long requests wait in a cell.
     void onWaitReported(int cell, double waitUs) {
         for (const int index : cells().at(std::size_t(cell)).nodes)
@@ -98,7 +111,10 @@
 private:
     bool applyNode(const NodeInfo& info, bool drainIsNew);
     [[nodiscard]] Micros watchSpread() const;
-    [[nodiscard]] Micros jitter(Micros span) const;
+    // A part of the span that is the same for the same seed and time.
+    [[nodiscard]] Micros jitter(Micros span) const {
+        return Micros(double(span) * peer::fractionOf(context_.settings.seed + std::uint64_t(context_.now)));
+    }
 
     Context& context_;
     UsageTable& usage_;
--- a/src/policy/dispatcher.cpp
+++ b/src/policy/dispatcher.cpp
@@ -17,21 +17,16 @@
     const std::size_t cells = std::size_t(cluster_.cellCount());
     if (cells == 0) return 0;
     const std::size_t host = std::size_t(context_.settings.hostIndex);
-    int best = int((nextSequence_ + host) % cells);
-    double leastWait = kNoNodeWait;
+    LeastWait best{int((nextSequence_ + host) % cells), kNoNodeWait};
     for (std::size_t k = 0; k < cells; ++k) {  // from another one each time, so that equals share
         const int number = int((k + nextSequence_ * kCellStride + host) % cells);
         const double unitsAhead = queues_.of(number).units();
         for (const int index : cluster_.cells()[std::size_t(number)].nodes) {
             Node& node = cluster_.node(index);
-            if (!node.isReady()) continue;
-            const double wait = waitForNewObject(node, unitsAhead, units);
-            if (wait >= leastWait) continue;
-            leastWait = wait;
-            best = number;
+            if (node.isReady()) best.offer(number, waitForNewObject(node, unitsAhead, units));
         }
     }
-    return best;
+    return best.choice;
 }
 
 double Dispatcher::waitForNewObject(Node& node, double unitsAhead, double units) const {
@@ -63,19 +58,15 @@
 }
 
 int Dispatcher::chooseNode(const PendingRequest& request, const Cell& cell) const {
-    int best = -1;
-    double leastWait = 0;
+    LeastWait best;
     for (const int index : cell.nodes) {
         if (!maySendNow(request, index)) continue;
         const Node& node = cluster_.node(index);
-        const double wait = cluster_.expectedLatency(node) * (node.outstanding + 1) /
-                            cluster_.attemptsAllowed(node) *
-                            (cluster_.isSuspect(node) ? kSuspectWaitFactor : 1);
-        if (best >= 0 && wait >= leastWait) continue;
-        best = index;
-        leastWait = wait;
+        const double factor = cluster_.isSuspect(node) ? kSuspectWaitFactor : 1;
+        const double latency = cluster_.expectedLatency(node);
+        best.offer(index, latency * (node.outstanding + 1) / cluster_.attemptsAllowed(node) * factor);
     }
-    return best;
+    return best.choice;
 }
 
 bool Dispatcher::sendNext(int number) {
@@ -90,12 +81,4 @@
     return false;
 }
 
-void Dispatcher::dispatch(int cell) {
-    while (sendNext(cell)) {}
-}
-
-PendingRequest* Dispatcher::leastValuable() {
-    return queues_.least([&](const PendingRequest& request) { return admission_.value(request); });
-}
-
 }  // namespace wingproxy
--- a/src/policy/dispatcher.h
+++ b/src/policy/dispatcher.h
@@ -5,6 +5,7 @@
 #include "policy/admission.h"
 #include "policy/attempt_tracker.h"
 #include "policy/cell_queues.h"
+#include "policy/least_wait.h"
 
 namespace wingproxy {
 
@@ -34,10 +35,14 @@
         queues_.remove(request);
     }
     /// Sends what may leave a cell's queue, earliest due first.
-    void dispatch(int cell);
+    void dispatch(int cell) {
+        while (sendNext(cell)) {}
+    }
 
     /// The least valuable of all requests that wait, the first of equals; null if none waits.
-    [[nodiscard]] PendingRequest* leastValuable();
+    [[nodiscard]] PendingRequest* leastValuable() {
+        return queues_.least([&](const PendingRequest& request) { return admission_.value(request); });
+    }
     [[nodiscard]] CellQueues& queues() { return queues_; }
 
     /// The number of a new request in the order of arrival.
--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -55,27 +55,8 @@
     send(rendezvous, peer::UsageReport{key, observation.joins, rate, wait, outstanding, slowStartUnits});
 }
 
-void Gossip::handle(int /*from*/, const peer::UsageAggregate& aggregate) {
-    KeyUsage* const usage = usage_.find(aggregate.key);
-    if (!usage) return;
-    usage->others = {aggregate.rate.value(), context_.now, aggregate.slowStartRate.rate()};
-    if (usage->cell >= 0 && aggregate.wait.code > 0)
-        cluster_.onWaitReported(usage->cell, aggregate.wait.us());
-}
-
-void Gossip::handle(int /*from*/, const peer::MembershipNotice& notice) {
-    KeyUsage* const usage = usage_.find(notice.key);
-    const int host = notice.host;
-    const bool isPeer = host < context_.settings.hostCount && host != context_.settings.hostIndex;
-    if (usage && isPeer) usage->peers.insert(host);
-}
-
 // ---- the rendezvous host
 
-UsageTotals Gossip::totalsOf(const KeyAggregate& aggregate) const {
-    return aggregate.totals(context_.now, kUsageMemory, kRateMemory);
-}
-
 void Gossip::handle(int from, const peer::UsageReport& report) {
     KeyAggregate& aggregate = aggregates_[report.key];
     const bool isNew = aggregate.record(from, report.rate.value(), report.outstanding, context_.now);
@@ -86,13 +67,6 @@
     if (isNew) sendAggregate(report.key, aggregate, totalsOf(aggregate), from);
 }
 
-void Gossip::introduce(std::uint32_t key, const KeyAggregate& aggregate, int newcomer) {
-    for (const int other : aggregate.joined) {
-        send(newcomer, peer::MembershipNotice{key, std::uint16_t(other)});
-        send(other, peer::MembershipNotice{key, std::uint16_t(newcomer)});
-    }
-}
-
 void Gossip::sendAggregate(std::uint32_t key, const KeyAggregate& aggregate, const UsageTotals& totals,
                            int to) {
     const double others = totals.rate - aggregate.hosts.at(to).rate.rate(context_.now, kUsageMemory);
@@ -122,10 +96,4 @@
     }
 }
 
-void Gossip::onNodeStarted(const Cell& cell, Micros startedUs) {
-    aggregates_[cell.key].restartSlowStart(startedUs + context_.settings.slowStartDurationUs);
-    cell.usage->slowStartUnits = 0;
-    cell.usage->others.slowStartRate = 0;
-}
-
 }  // namespace wingproxy
--- a/src/policy/gossip.h
+++ b/src/policy/gossip.h
@@ -43,11 +43,26 @@
 
     /// \param from the host that sent it
     void handle(int from, const peer::UsageReport& report);
-    void handle(int from, const peer::UsageAggregate& aggregate);
-    void handle(int from, const peer::MembershipNotice& notice);
+    void handle(int /*from*/, const peer::UsageAggregate& aggregate) {
+        KeyUsage* const usage = usage_.find(aggregate.key);
+        if (!usage) return;
+        usage->others = {aggregate.rate.value(), context_.now, aggregate.slowStartRate.rate()};
+        if (usage->cell >= 0 && aggregate.wait.code > 0)
+            cluster_.onWaitReported(usage->cell, aggregate.wait.us());
+    }
+    void handle(int /*from*/, const peer::MembershipNotice& notice) {
+        KeyUsage* const usage = usage_.find(notice.key);
+        const int host = notice.host;
+        const bool isPeer = host < context_.settings.hostCount && host != context_.settings.hostIndex;
+        if (usage && isPeer) usage->peers.insert(host);
+    }
 
     /// A new process of a node in this cell: what its predecessor completed says nothing of it.
-    void onNodeStarted(const Cell& cell, Micros startedUs);
+    void onNodeStarted(const Cell& cell, Micros startedUs) {
+        aggregates_[cell.key].restartSlowStart(startedUs + context_.settings.slowStartDurationUs);
+        cell.usage->slowStartUnits = 0;
+        cell.usage->others.slowStartRate = 0;
+    }
     /// Forgets keys that no host uses.
     void forgetUnused() {
         std::erase_if(aggregates_, [](const auto& entry) { return entry.second.hosts.empty(); });
@@ -68,9 +83,16 @@
         else
             outbox_.send(to, message);
     }
-    void introduce(std::uint32_t key, const KeyAggregate& aggregate, int newcomer);
+    void introduce(std::uint32_t key, const KeyAggregate& aggregate, int newcomer) {
+        for (const int other : aggregate.joined) {
+            send(newcomer, peer::MembershipNotice{key, std::uint16_t(other)});
+            send(other, peer::MembershipNotice{key, std::uint16_t(newcomer)});
+        }
+    }
     void sendAggregate(std::uint32_t key, const KeyAggregate& aggregate, const UsageTotals& totals, int to);
-    [[nodiscard]] UsageTotals totalsOf(const KeyAggregate& aggregate) const;
+    [[nodiscard]] UsageTotals totalsOf(const KeyAggregate& aggregate) const {
+        return aggregate.totals(context_.now, usageMemory().ownRate, kRateMemory);
+    }
     [[nodiscard]] bool isDue(const KeyUsage& usage, const Observation& observation) const;
     [[nodiscard]] bool isDue(const KeyAggregate& aggregate, const UsageTotals& totals) const;
     [[nodiscard]] double notableWait() const;
--- a/src/policy/lease_allocator.cpp
+++ b/src/policy/lease_allocator.cpp
@@ -13,8 +13,7 @@
 // What a dead borrower or a restarted home costs. Long against a message, short for a surge.
 constexpr Micros kLeaseDuration = 2'000'000;
 constexpr Micros kRenewBefore = kLeaseDuration / 2;
-constexpr Micros kRequestInterval =
-    50'000;  // between two requests for a volume: two crossings of the network
+constexpr Micros kRequestInterval = 50'000;  // for a volume: two crossings of the network
 constexpr Micros kRequestTimeout = 2 * kRequestInterval;
 constexpr double kDemandMargin = 1.25;     // claims follow demand with a margin for chance
 constexpr double kBacklogSeconds = 0.5;    // a backlog requests chunks that would clear it in this time
@@ -36,8 +35,6 @@
 
 // ---- limits
 
-// Base and home together are limit / hosts at every host, in rate and burst: the sum needs no message to
-// arrive.
 void LeaseAllocator::cut(VolumeLimit& limit, const PlanInfo& plan, int hosts) {
     const double hostRate = plan.limit / hosts;
     const double hostBurst = plan.limitBurst / hosts;
@@ -62,27 +59,13 @@
     if (context_.handedOver) limit.keepOnly(0);
 }
 
-void LeaseAllocator::refill(Volume& volume) const {
-    VolumeLimit& limit = volume.limit;
-    if (!limit.limited) return;
-    const int chunks = chunksInUse(volume);
-    limit.bucket.refill(limit.rateOf(chunks), limit.burstOf(chunks), context_.now);
-}
-
-bool LeaseAllocator::hasTokens(Volume& volume, double units) {
-    if (!volume.limit.limited) return true;
-    refill(volume);
-    return volume.limit.bucket.tokens >= units;
-}
-
 double LeaseAllocator::timeToTokens(const Volume& volume, double units) const {
     const VolumeLimit& limit = volume.limit;
     double fillRate = limit.rateOf(chunksInUse(volume));
     const double othersLeave =
         context_.settings.plans.at(std::size_t(volume.plan)).limit - usage_.othersRate(*volume.usage);
     for (const auto& [peer, lease] : limit.held)
-        if (lease.requested && context_.now - lease.requestedAt < kRequestTimeout)
-            fillRate = std::max(fillRate, othersLeave);
+        if (lease.isAwaited(context_.now, kRequestTimeout)) fillRate = std::max(fillRate, othersLeave);
     return std::max(0.0, units - limit.bucket.tokens) * 1e6 / std::max(fillRate, kMinFillRate);
 }
 
@@ -109,9 +92,8 @@
 bool LeaseAllocator::returnIdleChunks(Volume& volume, double surplus) {
     const int idle = int(surplus / volume.limit.chunkRate) - kIdleChunksKept;
     for (auto& [peer, lease] : volume.limit.held) {
-        if (lease.chunks == 0 || lease.until <= context_.now || idle < 1) continue;
-        lease.chunks = std::max(0, lease.chunks - idle);
-        lease.requested = false;
+        if (!lease.isRunning(context_.now) || idle < 1) continue;
+        lease.reduceTo(std::max(0, lease.chunks - idle));
         outbox_.send(peer, peer::LeaseReturn{volume.hash, std::uint8_t(lease.chunks), lease.stamp});
         return true;
     }
@@ -127,21 +109,17 @@
     }
 }
 
-// Returns how many chunks may be expected of the peer beyond those that it granted already.
 int LeaseAllocator::requestFrom(Volume& volume, int peer, int missing) {
     VolumeLimit& limit = volume.limit;
     HeldLease& lease = limit.held[peer];
     const Micros now = context_.now;
-    const bool running = lease.chunks > 0 && lease.until > now;
+    const bool running = lease.isRunning(now);
     const bool renews = running && lease.until - now < kRenewBefore;
-    if (missing == 0 && !renews) return 0;
-    if (lease.requested && now - lease.requestedAt < kRequestTimeout) return 0;
+    if ((missing == 0 && !renews) || lease.isAwaited(now, kRequestTimeout)) return 0;
     if (!renews && running && lease.chunks >= limit.homeChunks) return 0;
     const int held = running ? lease.chunks : 0;
     const int wanted = std::min(limit.homeChunks, held + missing);
-    lease.stamp = newStamp();
-    lease.requested = true;
-    lease.requestedAt = now;
+    lease.onRequested(newStamp(), now);
     limit.lastRequestAt = now;
     limit.lastPeerAsked = peer;
     state_.requestBytes -= double(peer::LeaseRequest::kEncodedBytes);
@@ -157,28 +135,17 @@
     Volume* const volume = volumes_.find(grant.volume);
     if (!volume) return false;
     refill(*volume);
-    const auto held = volume->limit.held.find(from);
-    if (held == volume->limit.held.end()) return false;
-    HeldLease& lease = held->second;
-    if (!lease.requested || lease.stamp != grant.stamp) return false;
-    lease.requested = false;
+    HeldLease* const lease = volume->limit.findRequested(from, grant.stamp);
+    if (!lease) return false;
     // The home counts what it granted before until it hears that no more than this is used.
-    if (lease.until > context_.now && int(grant.chunks) < lease.chunks)
+    if (lease->until > context_.now && int(grant.chunks) < lease->chunks)
         outbox_.send(from, peer::LeaseReturn{volume->hash, grant.chunks, grant.stamp});
-    lease.chunks = std::min(int(grant.chunks), volume->limit.homeChunks);
-    lease.until = lease.requestedAt + kLeaseDuration;
-    if (lease.until > context_.now) volume->limit.bucket.tokens += grant.tokens.value();
+    lease->onGranted(std::min(int(grant.chunks), volume->limit.homeChunks), kLeaseDuration);
+    if (lease->until > context_.now) volume->limit.bucket.tokens += grant.tokens.value();
     refill(*volume);
     return true;
 }
 
-void LeaseAllocator::onPeerRestarted(int peer) {
-    for (auto& [name, volume] : volumes_.all()) {
-        refill(volume);
-        volume.limit.held.erase(peer);
-    }
-}
-
 // ---- leases of peers
 
 void LeaseAllocator::serveRequests() {
@@ -212,7 +179,6 @@
     return std::clamp(limit.homeChunks - limit.chunksGranted(peer) - ownChunks, 0, wanted);
 }
 
-// What a newly granted chunk has saved up goes with it, so that the busy host can use the burst.
 peer::FixedPoint LeaseAllocator::splitSavedTokens(Volume& volume, int newChunks) const {
     VolumeLimit& limit = volume.limit;
     const double part = newChunks * limit.chunkBurst / limit.burstOf(std::max(1, chunksInUse(volume)));
@@ -221,23 +187,8 @@
     return saved;
 }
 
-void LeaseAllocator::onReturn(int from, const peer::LeaseReturn& returned) {
-    Volume* const volume = volumes_.find(returned.volume);
-    if (!volume) return;
-    refill(*volume);
-    volume->limit.onReturned(from, returned.chunks, returned.stamp);
-    refill(*volume);
-}
-
 // ---- restart and hot restart
 
-void LeaseAllocator::useHomeOnceRecovered() {
-    if (state_.recoveredAt <= context_.now || !recovery_.isRecovered(context_.now)) return;
-    for (auto& [name, volume] : volumes_.all())
-        refill(volume);  // until now without the home
-    state_.recoveredAt = context_.now;
-}
-
 std::map<Volume*, double> LeaseAllocator::reserveForOpenRequests() {
     std::map<Volume*, double> reserved;
     for (auto& [name, volume] : volumes_.all()) {
--- a/src/policy/lease_allocator.h
+++ b/src/policy/lease_allocator.h
@@ -30,7 +30,11 @@
     /// Sets up the limit of a volume that was just opened.
     void open(Volume& volume);
     /// Whether the volume may spend `units` now. Brings its bucket up to date.
-    [[nodiscard]] bool hasTokens(Volume& volume, double units);
+    [[nodiscard]] bool hasTokens(Volume& volume, double units) {
+        if (!volume.limit.limited) return true;
+        refill(volume);
+        return volume.limit.bucket.tokens >= units;
+    }
     static void spend(Volume& volume, double units) {
         if (volume.limit.limited) volume.limit.bucket.tokens -= units;
     }
@@ -59,13 +63,29 @@
     void serveRequests();
     /// \return whether a request may have become possible
     bool onGrant(int from, const peer::LeaseGrant& grant);
-    void onReturn(int from, const peer::LeaseReturn& returned);
+    void onReturn(int from, const peer::LeaseReturn& returned) {
+        Volume* const volume = volumes_.find(returned.volume);
+        if (!volume) return;
+        refill(*volume);
+        volume->limit.onReturned(from, returned.chunks, returned.stamp);
+        refill(*volume);
+    }
     /// A peer's new process knows nothing of the chunks that it granted: they go back to it.
-    void onPeerRestarted(int peer);
+    void onPeerRestarted(int peer) {
+        for (auto& [name, volume] : volumes_.all()) {
+            refill(volume);
+            volume.limit.held.erase(peer);
+        }
+    }
 
     // -- restart and hot restart
     /// Uses the chunks of this host once no lease of an earlier process is out.
-    void useHomeOnceRecovered();
+    void useHomeOnceRecovered() {
+        if (state_.recoveredAt <= context_.now || !recovery_.isRecovered(context_.now)) return;
+        for (auto& [name, volume] : volumes_.all())
+            refill(volume);  // until now without the home
+        state_.recoveredAt = context_.now;
+    }
     /// Takes from each volume what open requests may need yet; the rest goes to the successor process.
     /// \return units kept, by volume
     std::map<Volume*, double> reserveForOpenRequests();
@@ -88,8 +108,15 @@
         int from;
         peer::LeaseRequest request;
     };
+    // Base and home together are limit / hosts at every host, in rate and burst: the sum needs no message to
+    // arrive.
     static void cut(VolumeLimit& limit, const PlanInfo& plan, int hosts);
-    void refill(Volume& volume) const;
+    void refill(Volume& volume) const {
+        VolumeLimit& limit = volume.limit;
+        if (!limit.limited) return;
+        const int chunks = chunksInUse(volume);
+        limit.bucket.refill(limit.rateOf(chunks), limit.burstOf(chunks), context_.now);
+    }
     [[nodiscard]] bool mayUseHome(const Volume& volume) const {
         return state_.recoveredAt <= context_.now || volume.hosts == 1;
     }
@@ -99,9 +126,11 @@
     [[nodiscard]] double demandOf(const Volume& volume) const;
     bool returnIdleChunks(Volume& volume, double surplus);
     void requestChunks(Volume& volume, int missing);
+    // Returns how many chunks may be expected of the peer beyond those that it granted already.
     int requestFrom(Volume& volume, int peer, int missing);
     void serve(const PendingRequest& pending);
     [[nodiscard]] int grantable(const Volume& volume, int peer, int wanted) const;
+    // What a newly granted chunk has saved up goes with it, so that the busy host can use the burst.
     peer::FixedPoint splitSavedTokens(Volume& volume, int newChunks) const;
     // Milliseconds, and never 0.
     [[nodiscard]] std::uint32_t newStamp() const { return std::uint32_t(context_.now / 1000) | 1u; }
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -9,7 +9,6 @@
 
 }  // namespace
 
-// In the batch in which they came: a client's last attempt may have only a few milliseconds left.
 std::vector<PendingRequest*> LoadShedder::expiring(const RequestQueue& queue) const {
     std::vector<PendingRequest*> found;
     for (const auto& [key, request] : queue.entries())
@@ -63,7 +62,6 @@
     return backlog.requests.end();
 }
 
-// The latest of equals.
 LoadShedder::Position LoadShedder::leastValuable(Backlog& backlog) const {
     const auto isLess = [&](const PendingRequest* left, const PendingRequest* right) {
         return admission_.value(*left) < admission_.value(*right);
@@ -72,7 +70,6 @@
     return std::prev(found.base());
 }
 
-// The last request of the backlog, or the first one of its volume that has lower priority than all others.
 LoadShedder::Position LoadShedder::lowestPriorityOfVolume(Backlog& backlog) {
     auto& requests = backlog.requests;
     Position lowest = std::prev(requests.end());
--- a/src/policy/load_shedder.h
+++ b/src/policy/load_shedder.h
@@ -21,6 +21,8 @@
         : context_(context), cluster_(cluster), admission_(admission), leases_(leases) {}
 
     /// Waiting requests whose deadline comes before another look at the queue, in the order of the queue.
+    /// They are given up in the batch in which they came: a client's last attempt may have only a few
+    /// milliseconds left.
     [[nodiscard]] std::vector<PendingRequest*> expiring(const RequestQueue& queue) const;
 
     struct Overload {
@@ -57,7 +59,10 @@
     [[nodiscard]] Capacity capacityOf(const Cell& cell) const;
     /// The request to shed for the last one of the backlog; its end if that one can be answered in time.
     [[nodiscard]] Position victimFor(Backlog& backlog, const Capacity& capacity) const;
+    /// The latest of equals.
     [[nodiscard]] Position leastValuable(Backlog& backlog) const;
+    /// The last request of the backlog, or the first one of its volume that has lower priority than all
+    /// others.
     [[nodiscard]] static Position lowestPriorityOfVolume(Backlog& backlog);
 
     const Context& context_;
--- a/src/policy/node.h
+++ b/src/policy/node.h
@@ -37,6 +37,19 @@
     [[nodiscard]] bool isReady() const { return listed && info.state == NodeState::Ready; }
 };
 
+/// Whether two nodes lie in the same scope of an idempotency key.
+inline bool isInScope(KeyScope scope, const NodeInfo& one, const NodeInfo& other) {
+    switch (scope) {
+        case KeyScope::Global:
+            return true;
+        case KeyScope::Zone:
+            return one.zone == other.zone;
+        case KeyScope::Cell:
+            return one.cell == other.cell;
+    }
+    return false;
+}
+
 /// Nodes that hold the same objects.
 struct Cell {
     std::vector<int> nodes;    ///< indices of nodes
--- a/src/policy/pending_request.h
+++ b/src/policy/pending_request.h
@@ -50,6 +50,10 @@
     [[nodiscard]] Micros latencyObjective(Micros otherwise) const {
         return classInfo && classInfo->latencyObjectiveUs > 0 ? classInfo->latencyObjectiveUs : otherwise;
     }
+    void setQuota(bool isGuaranteed, bool isShare) {
+        const QuotaClass beyondGuaranteed = isShare ? QuotaClass::Share : QuotaClass::Spare;
+        quota = isGuaranteed ? QuotaClass::Guaranteed : beyondGuaranteed;
+    }
     /// Until when nodes recognise its idempotency key; 0: it has none, or needs none.
     [[nodiscard]] Micros repeatableUntil() const {
         return retrySafety() == RetrySafety::IdempotentWithKey ? firstSentAt + classInfo->keyWindowUs : 0;
@@ -69,9 +73,11 @@
         sentAt = now;
         ++outstanding;
     }
-    /// An attempt is over: whether its node did any work.
-    void onRan(bool ran) {
-        if (ran)
+    /// An attempt ended in this way: whether its node may have done any work.
+    void onEnded(Outcome outcome) {
+        const bool neverRan = outcome == Outcome::Rejected || outcome == Outcome::ConnectFailed ||
+                              outcome == Outcome::NotStarted;
+        if (!neverRan)
             mayHaveRun = true;
         else if (!mayHaveRun)
             pinnedNode = -1;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -30,6 +30,8 @@
 
 }  // namespace
 
+Micros Policy::Impl::defaultLatencyObjective() { return kDefaultObjective; }
+
 Policy::Impl::Impl(const Settings& settings, Micros now)
     : context_(contextOf(settings, now)),
       recovery_({settings.hostIndex, settings.hostCount, LeaseAllocator::leaseDuration(), settings.mayGossip},
@@ -43,15 +45,6 @@
 
 // ---- requests
 
-Volume& Policy::Impl::volumeOf(const Request& request) {
-    const auto [volume, isNew] = volumes_.open(request);
-    if (isNew) {
-        admission_.open(volume);
-        leases_.open(volume);
-    }
-    return volume;
-}
-
 void Policy::Impl::handle(const RequestReceived& event) {
     const Request& info = event.request;
     PendingRequest* const request = requests_.open(info);
@@ -87,30 +80,6 @@
         gossip_.reportUsage(std::uint32_t(volume.hash), *volume.usage, {volume.limit.limited, 0, 0});
 }
 
-void Policy::Impl::handle(const RequestBodyCompleted& event) {
-    PendingRequest* const request = requests_.find(event.id);
-    if (!request || !request->bodyIncomplete) return;
-    const bool wasQueued = request->queued;
-    dispatcher_.dequeue(*request);
-    request->info.deadlineUs = event.deadlineUs;
-    request->due = std::min(context_.now + request->latencyObjective(kDefaultObjective), event.deadlineUs);
-    request->bodyIncomplete = false;
-    request->sentAt = context_.now;
-    if (wasQueued) dispatcher_.enqueue(*request);
-    attempts_.onBodyCompleted(*request);
-}
-
-void Policy::Impl::handle(const ResponseStarted& event) {
-    PendingRequest* const request = requests_.findAttempt(event.id, event.attempt);
-    if (!request) return;
-    request->streaming = request->streaming || event.forwarding;
-    if (!event.nodeDone || request->bodyIncomplete || std::exchange(request->nodeDone, true)) return;
-    Node& node = cluster_.node(request->nodeByAttempt.at(event.attempt));
-    attempts_.onOutcome(node, request->info.units, event.elapsedUs, Outcome::Ok);
-    --node.outstanding;
-    dispatcher_.queues().markChanged(node.info.cell);
-}
-
 void Policy::Impl::handle(const AttemptOutcome& event) {
     PendingRequest* const request = requests_.findAttempt(event.id, event.attempt);
     if (!request) return;
@@ -125,26 +94,20 @@
         if (request->outstanding == 0) requests_.erase(event.id);
         return;
     }
-    const Outcome outcome = event.outcome;
-    const bool neverRan =
-        outcome == Outcome::Rejected || outcome == Outcome::ConnectFailed || outcome == Outcome::NotStarted;
-    request->onRan(!neverRan);
-    if (event.requestClosed || outcome == Outcome::Ok)
+    request->onEnded(event.outcome);
+    if (event.requestClosed || event.outcome == Outcome::Ok)
         finish(*request);
     else if (event.requestSpent)
-        giveUp(*request, 0, outcome == Outcome::Rejected ? kMinRetryAfterMoved : kMinRetryAfter);
+        giveUp(*request, 0, event.outcome == Outcome::Rejected ? kMinRetryAfterMoved : kMinRetryAfter);
     else
         retryOrGiveUp(*request);
 }
 
 // Another attempt where the class, the budget and the time left allow one; else the final answer, now.
 void Policy::Impl::retryOrGiveUp(PendingRequest& request) {
-    if (!retries_.mayRetry(request)) {
-        giveUp(request, 0, kMinRetryAfter);
-        return;
-    }
-    if (request.info.cell < 0 && !request.mayHaveRun)
-        request.cell = -1;  // a new object that never ran: any cell
+    if (!retries_.mayRetry(request)) return giveUp(request, 0, kMinRetryAfter);
+    const bool mayMove = request.info.cell < 0 && !request.mayHaveRun;  // a new object that never ran
+    if (mayMove) request.cell = -1;
     dispatcher_.enqueue(request);
 }
 
@@ -158,16 +121,6 @@
     finish(request);
 }
 
-// The request may be gone afterwards.
-void Policy::Impl::finish(PendingRequest& request) {
-    if (request.finished) return;
-    dispatcher_.dequeue(request);
-    request.finished = true;
-    if (request.isUntouched()) admission_.giveBack(request);
-    retries_.onFinished(request);
-    if (request.outstanding == 0) requests_.erase(request.info.id);
-}
-
 void Policy::Impl::handle(const CapacityNeeded& event) {
     for (int i = 0; i < event.connections; ++i)
         if (PendingRequest* const least = dispatcher_.leastValuable()) giveUp(*least, 0, kMinRetryAfter);
@@ -183,27 +136,6 @@
         giveUp(*request, overload.backlog, kMinRetryAfter);
 }
 
-// ---- cluster and peers
-
-void Policy::Impl::handle(const EndpointListReceived& event) {
-    if (event.list.kind == EndpointListKind::Unavailable) {
-        cluster_.onListUnavailable();
-        return;
-    }
-    for (const NodeInfo& info : cluster_.apply(event.list))
-        if (info.cell >= 0) gossip_.onNodeStarted(cluster_.cell(info.cell), info.startedUs);
-    dispatcher_.queues().markAllChanged(cluster_.cellCount());
-}
-
-void Policy::Impl::handle(const PeerMessageReceived& event) {
-    const PeerDatagram datagram = inbox_.receive(event);
-    if (!datagram.isAccepted) return;
-    if (datagram.senderRestarted) leases_.onPeerRestarted(event.from);
-    leases_.useHomeOnceRecovered();
-    for (const peer::Record& record : datagram.records)
-        std::visit([&](const auto& typed) { handleRecord(event.from, typed); }, record);
-}
-
 // ---- time
 
 void Policy::Impl::handle(const TimerFired& event) {
--- a/src/policy/policy_interface.cpp
+++ b/src/policy/policy_events.cpp
@@ -1,9 +1,77 @@
-// The public interface of the policy, and its snapshot: the state of all parts is collected, and given back
-// to them.
+// The public interface of the policy, the events of which it only keeps account, and the snapshot. What is
+// decided on other events stands in policy.cpp. The public interface of the policy, and its snapshot: the
+// state of all parts is collected, and given back to them.
 #include "policy/policy_impl.h"
 
 namespace wingproxy {
 
+// ---- events that are passed on to the parts
+
+Volume& Policy::Impl::volumeOf(const Request& request) {
+    const auto [volume, isNew] = volumes_.open(request);
+    if (isNew) {
+        admission_.open(volume);
+        leases_.open(volume);
+    }
+    return volume;
+}
+
+void Policy::Impl::handle(const ResponseStarted& event) {
+    PendingRequest* const request = requests_.findAttempt(event.id, event.attempt);
+    if (!request) return;
+    request->streaming = request->streaming || event.forwarding;
+    if (!event.nodeDone || request->bodyIncomplete || std::exchange(request->nodeDone, true)) return;
+    Node& node = cluster_.node(request->nodeByAttempt.at(event.attempt));
+    attempts_.onOutcome(node, request->info.units, event.elapsedUs, Outcome::Ok);
+    --node.outstanding;
+    dispatcher_.queues().markChanged(node.info.cell);
+}
+
+void Policy::Impl::handle(const RequestBodyCompleted& event) {
+    PendingRequest* const request = requests_.find(event.id);
+    if (!request || !request->bodyIncomplete) return;
+    const bool wasQueued = request->queued;
+    dispatcher_.dequeue(*request);
+    request->info.deadlineUs = event.deadlineUs;
+    request->due =
+        std::min(context_.now + request->latencyObjective(defaultLatencyObjective()), event.deadlineUs);
+    request->bodyIncomplete = false;
+    request->sentAt = context_.now;
+    if (wasQueued) dispatcher_.enqueue(*request);
+    attempts_.onBodyCompleted(*request);
+}
+
+// The request may be gone afterwards.
+void Policy::Impl::finish(PendingRequest& request) {
+    if (request.finished) return;
+    dispatcher_.dequeue(request);
+    request.finished = true;
+    if (request.isUntouched()) admission_.giveBack(request);
+    retries_.onFinished(request);
+    if (request.outstanding == 0) requests_.erase(request.info.id);
+}
+
+void Policy::Impl::handle(const EndpointListReceived& event) {
+    if (event.list.kind == EndpointListKind::Unavailable) {
+        cluster_.onListUnavailable();
+        return;
+    }
+    for (const NodeInfo& info : cluster_.apply(event.list))
+        if (info.cell >= 0) gossip_.onNodeStarted(cluster_.cell(info.cell), info.startedUs);
+    dispatcher_.queues().markAllChanged(cluster_.cellCount());
+}
+
+void Policy::Impl::handle(const PeerMessageReceived& event) {
+    const PeerDatagram datagram = inbox_.receive(event);
+    if (!datagram.isAccepted) return;
+    if (datagram.senderRestarted) leases_.onPeerRestarted(event.from);
+    leases_.useHomeOnceRecovered();
+    for (const peer::Record& record : datagram.records)
+        std::visit([&](const auto& typed) { handleRecord(event.from, typed); }, record);
+}
+
+// ---- snapshot
+
 PolicyState Policy::Impl::exportState() const {
     PolicyState state;
     state.startedAt = context_.startedAt;
@@ -69,6 +137,8 @@
            retries_.orderedKeys() + recovery_.tableEntries();
 }
 
+// ---- public interface
+
 Policy::Policy(const Settings& settings, Micros now) : impl_(std::make_unique<Impl>(settings, now)) {}
 Policy::~Policy() = default;
 Policy::Policy(Policy&&) noexcept = default;
--- a/src/policy/policy_impl.h
+++ b/src/policy/policy_impl.h
@@ -50,6 +50,8 @@
     [[nodiscard]] const fleet::RestartRecovery& recovery() const { return recovery_; }
 
 private:
+    /// Stands in where no class has a latency objective, in microseconds.
+    [[nodiscard]] static Micros defaultLatencyObjective();
     [[nodiscard]] Volume& volumeOf(const Request& request);
     void admit(PendingRequest& request);
     void retryOrGiveUp(PendingRequest& request);
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -24,16 +24,7 @@
 // Whether the node recognises the idempotency key of an attempt that the pinned node got.
 bool RetryPolicy::knowsKey(const PendingRequest& request, const NodeInfo& node) const {
     if (request.retrySafety() != RetrySafety::IdempotentWithKey || request.pinnedNode < 0) return true;
-    const NodeInfo& first = cluster_.node(request.pinnedNode).info;
-    switch (request.classInfo->keyScope) {
-        case KeyScope::Global:
-            return true;
-        case KeyScope::Zone:
-            return first.zone == node.zone;
-        case KeyScope::Cell:
-            return first.cell == node.cell;
-    }
-    return false;
+    return isInScope(request.classInfo->keyScope, cluster_.node(request.pinnedNode).info, node);
 }
 
 // A request that is exactly one window old counts no more, a retry still does: the client's side errs on
--- a/src/policy/token_bucket.h
+++ b/src/policy/token_bucket.h
@@ -20,6 +20,12 @@
         tokens = std::min(tokens + rate * double(now - at) / 1e6, capacity);
         at = now;
     }
+    /// Takes `units`, if the bucket has them and `reserved` more, or is full.
+    bool tryTake(double units, double reserved, double capacity) {
+        if (tokens < std::min(capacity, units + reserved)) return false;
+        tokens -= units;
+        return true;
+    }
 };
 
 }  // namespace wingproxy
--- a/src/policy/volume.h
+++ b/src/policy/volume.h
@@ -28,6 +28,29 @@
     std::uint32_t stamp = 0;  ///< of the last request
     bool requested = false;   ///< and not answered yet
     Micros requestedAt = 0;
+
+    [[nodiscard]] bool isRunning(Micros now) const { return chunks > 0 && until > now; }
+    /// Whether the answer to a request is still to be expected.
+    [[nodiscard]] bool isAwaited(Micros now, Micros timeout) const {
+        return requested && now - requestedAt < timeout;
+    }
+    void onRequested(std::uint32_t requestStamp, Micros now) {
+        stamp = requestStamp;
+        requested = true;
+        requestedAt = now;
+    }
+    /// The last request was answered.
+    /// \param duration of the lease, from its request
+    void onGranted(int grantedChunks, Micros duration) {
+        requested = false;
+        chunks = grantedChunks;
+        until = requestedAt + duration;
+    }
+    /// Gives back all but so many chunks; an answer that is on its way counts no more.
+    void reduceTo(int keptChunks) {
+        chunks = keptChunks;
+        requested = false;
+    }
 };
 
 /// The part of a volume's limit that this host may spend: a base of its own, and chunks. `LeaseAllocator`
@@ -71,6 +94,12 @@
     [[nodiscard]] double rateOf(int chunks) const { return baseRate + chunks * chunkRate; }
     /// Capacity of the bucket that goes with it.
     [[nodiscard]] double burstOf(int chunks) const { return baseBurst + chunks * chunkBurst; }
+    /// The lease that a peer's answer to the request `stamp` belongs to, or null.
+    [[nodiscard]] HeldLease* findRequested(int peer, std::uint32_t stamp) {
+        const auto entry = held.find(peer);
+        if (entry == held.end() || !entry->second.requested || entry->second.stamp != stamp) return nullptr;
+        return &entry->second;
+    }
     /// A peer keeps only so many of the chunks granted up to its request `stamp`.
     void onReturned(int peer, int chunks, std::uint32_t stamp) {
         for (GrantedLease& lease : granted)
