--- a/src/policy/cell_queues.h
+++ b/src/policy/cell_queues.h
@@ -23,6 +23,13 @@
     void remove(const PendingRequest& request) { requests_.erase({request.due, request.sequence}); }
     [[nodiscard]] bool empty() const { return requests_.empty(); }
     [[nodiscard]] const std::map<Key, PendingRequest*>& entries() const { return requests_; }
+    /// Requests whose clients wait no longer than that.
+    [[nodiscard]] std::vector<PendingRequest*> withDeadlineBefore(Micros time) const {
+        std::vector<PendingRequest*> found;
+        for (const auto& [key, request] : requests_)
+            if (request->info.deadlineUs < time) found.push_back(request);
+        return found;
+    }
     /// Units of all that waits.
     [[nodiscard]] double units() const {
         double sum = 0;
--- a/src/policy/context.h
+++ b/src/policy/context.h
@@ -18,9 +18,12 @@
 
 /// Owned by `Policy`; every part keeps a reference. Only `Policy` sets the time.
 struct Context {
-    /// \param objective the shortest latency objective, in microseconds
-    Context(Settings given, Micros start, double objective)
-        : settings(std::move(given)), now(start), startedAt(start), latencyObjective(objective) {}
+    /// \param defaultObjective stands in where no class has a latency objective, in microseconds
+    Context(const Settings& given, Micros start, Micros defaultObjective)
+        : settings(given), now(start), startedAt(start) {
+        const Micros shortest = given.shortestLatencyObjective();
+        latencyObjective = double(shortest > 0 ? shortest : defaultObjective);
+    }
 
     Settings settings;
     Micros now = 0;
--- a/src/policy/lease_allocator.cpp
+++ b/src/policy/lease_allocator.cpp
@@ -72,9 +72,8 @@
 // ---- leases of this host
 
 double LeaseAllocator::demandOf(const Volume& volume) const {
-    const VolumeLimit& limit = volume.limit;
     return volume.demand.rate(context_.now, kRateMemory) * kDemandMargin +
-           std::max(0.0, limit.queuedUnits - limit.bucket.tokens) / kBacklogSeconds;
+           volume.limit.backlog() / kBacklogSeconds;
 }
 
 void LeaseAllocator::rebalance(Volume& volume) {
@@ -180,10 +179,9 @@
 }
 
 peer::FixedPoint LeaseAllocator::splitSavedTokens(Volume& volume, int newChunks) const {
-    VolumeLimit& limit = volume.limit;
-    const double part = newChunks * limit.chunkBurst / limit.burstOf(std::max(1, chunksInUse(volume)));
-    const auto saved = peer::FixedPoint::of(limit.bucket.tokens * std::min(1.0, part));
-    limit.bucket.tokens -= saved.value();
+    const double tokens = volume.limit.tokensOf(newChunks, std::max(1, chunksInUse(volume)));
+    const auto saved = peer::FixedPoint::of(tokens);
+    spend(volume, saved.value());
     return saved;
 }
 
@@ -193,11 +191,7 @@
     std::map<Volume*, double> reserved;
     for (auto& [name, volume] : volumes_.all()) {
         refill(volume);
-        VolumeLimit& limit = volume.limit;
-        double& tokens = limit.bucket.tokens;
-        const double wanted = std::max(limit.queuedUnits, kReservePart * tokens);
-        reserved[&volume] = std::clamp(wanted, 0.0, std::max(0.0, tokens));
-        tokens -= reserved[&volume];
+        reserved[&volume] = volume.limit.setAside(kReservePart);
     }
     return reserved;
 }
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -9,13 +9,6 @@
 
 }  // namespace
 
-std::vector<PendingRequest*> LoadShedder::expiring(const RequestQueue& queue) const {
-    std::vector<PendingRequest*> found;
-    for (const auto& [key, request] : queue.entries())
-        if (request->info.deadlineUs - context_.now < 2 * kTickInterval) found.push_back(request);
-    return found;
-}
-
 LoadShedder::Capacity LoadShedder::capacityOf(const Cell& cell) const {
     Capacity capacity{kMinUnitsPerSecond, 0};
     for (const int index : cell.nodes) {
--- a/src/policy/load_shedder.h
+++ b/src/policy/load_shedder.h
@@ -20,11 +20,6 @@
                 const LeaseAllocator& leases)
         : context_(context), cluster_(cluster), admission_(admission), leases_(leases) {}
 
-    /// Waiting requests whose deadline comes before another look at the queue, in the order of the queue.
-    /// They are given up in the batch in which they came: a client's last attempt may have only a few
-    /// milliseconds left.
-    [[nodiscard]] std::vector<PendingRequest*> expiring(const RequestQueue& queue) const;
-
     struct Overload {
         std::vector<PendingRequest*> requests;  ///< to be shed, in this order
         Micros backlog = 0;                     ///< time that the rest of the queue takes
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -23,17 +23,12 @@
 constexpr Micros kMinRetryAfter = 50'000;      // coming back sooner meets the same backlog
 constexpr Micros kMinRetryAfterMoved = 1'000;  // an attempt that names its object's shard meets none
 
-Context contextOf(const Settings& settings, Micros now) {
-    const Micros objective = settings.shortestLatencyObjective();
-    return {settings, now, double(objective > 0 ? objective : kDefaultObjective)};
-}
-
 }  // namespace
 
 Micros Policy::Impl::defaultLatencyObjective() { return kDefaultObjective; }
 
 Policy::Impl::Impl(const Settings& settings, Micros now)
-    : context_(contextOf(settings, now)),
+    : context_(settings, now, kDefaultObjective),
       recovery_({settings.hostIndex, settings.hostCount, LeaseAllocator::leaseDuration(), settings.mayGossip},
                 now),
       outbox_(context_, recovery_, kMaxMessageBytes) {
@@ -128,7 +123,8 @@
 
 void Policy::Impl::shedLoad(int cell) {
     const RequestQueue& queue = dispatcher_.queues().of(cell);
-    for (PendingRequest* const request : shedder_.expiring(queue))
+    // In the batch in which they came: a client's last attempt may have only a few milliseconds left.
+    for (PendingRequest* const request : queue.withDeadlineBefore(context_.now + 2 * kTickInterval))
         giveUp(*request, 0, kMinRetryAfter);
     if (queue.empty()) return;
     const auto overload = shedder_.overload(cluster_.cell(cell), queue);
@@ -139,10 +135,7 @@
 // ---- time
 
 void Policy::Impl::handle(const TimerFired& event) {
-    if (event.token == kTickToken) tick();
-}
-
-void Policy::Impl::tick() {
+    if (event.token != kTickToken) return;
     context_.emit(SetTimer{kTickInterval, kTickToken});
     if (context_.now - lastForgetAt_ >= kForgetInterval) forgetUnused();
     leases_.useHomeOnceRecovered();
@@ -154,14 +147,6 @@
     dispatcher_.queues().markWaiting();
 }
 
-void Policy::Impl::reportUsage() {
-    lastReportAt_ = context_.now;
-    admission_.updateLevels();
-    gossip_.sendChangedAggregates();
-    for (const Cell& cell : cluster_.cells())
-        if (cell.usage) gossip_.reportCell(cell);
-}
-
 // What an open request needs stays: one with an idempotency key may be sent again only near its first node.
 void Policy::Impl::forgetUnused() {
     lastForgetAt_ = context_.now;
--- a/src/policy/policy_events.cpp
+++ b/src/policy/policy_events.cpp
@@ -70,6 +70,14 @@
         std::visit([&](const auto& typed) { handleRecord(event.from, typed); }, record);
 }
 
+void Policy::Impl::reportUsage() {
+    lastReportAt_ = context_.now;
+    admission_.updateLevels();
+    gossip_.sendChangedAggregates();
+    for (const Cell& cell : cluster_.cells())
+        if (cell.usage) gossip_.reportCell(cell);
+}
+
 // ---- snapshot
 
 PolicyState Policy::Impl::exportState() const {
--- a/src/policy/policy_impl.h
+++ b/src/policy/policy_impl.h
@@ -71,7 +71,6 @@
         for (const auto& datagram : recovery_.dueDatagrams(context_.now))
             context_.emit(SendPeerMessage{datagram.to, datagram.bytes});
     }
-    void tick();
     void reportUsage();
     void forgetUnused();
     [[nodiscard]] PolicyState exportState() const;
--- a/src/policy/volume.h
+++ b/src/policy/volume.h
@@ -109,6 +109,19 @@
     void dropExpiredGrants(Micros now) {
         std::erase_if(granted, [&](const GrantedLease& lease) { return lease.until <= now; });
     }
+    /// Units that wait beyond the tokens that there are.
+    [[nodiscard]] double backlog() const { return std::max(0.0, queuedUnits - bucket.tokens); }
+    /// The tokens that so many of the chunks in use have saved up.
+    [[nodiscard]] double tokensOf(int chunks, int chunksUsed) const {
+        return bucket.tokens * std::min(1.0, chunks * chunkBurst / burstOf(chunksUsed));
+    }
+    /// Takes the tokens of queued requests from the bucket, or a part of all if that is more.
+    double setAside(double part) {
+        const double wanted = std::max(queuedUnits, part * bucket.tokens);
+        const double taken = std::clamp(wanted, 0.0, std::max(0.0, bucket.tokens));
+        bucket.tokens -= taken;
+        return taken;
+    }
     /// Leaves these tokens, which do not grow any more, and no chunks.
     void keepOnly(double tokens) {
         bucket.tokens = tokens;
