--- a/src/policy/cell_queues.h
+++ b/src/policy/cell_queues.h
@@ -2,9 +2,9 @@
 /// The queues of waiting requests, one for each cell, and the cells that have changed.
 #pragma once
 
-#include <compare>
 #include <map>
 #include <set>
+#include <tuple>
 #include <vector>
 
 #include "policy/pending_request.h"
@@ -17,7 +17,9 @@
     struct Key {
         Micros due;
         std::uint64_t sequence;
-        auto operator<=>(const Key&) const = default;
+        bool operator<(const Key& other) const {
+            return std::tie(due, sequence) < std::tie(other.due, other.sequence);
+        }
     };
     void add(PendingRequest& request) { requests_.emplace(Key{request.due, request.sequence}, &request); }
     void remove(const PendingRequest& request) { requests_.erase({request.due, request.sequence}); }
--- a/src/policy/cluster_view.cpp
+++ b/src/policy/cluster_view.cpp
@@ -25,8 +25,6 @@
     nextWatchAt_ = context.now + jitter(watchSpread());
 }
 
-// ---- endpoint list
-
 Micros ClusterView::watchSpread() const {
     const Settings& settings = context_.settings;
     const Micros spread = kWatchSpreadPerHost * std::max(0, settings.hostCount - kUnspreadHosts);
@@ -72,8 +70,6 @@
     return started;
 }
 
-// ---- what may be expected of a node
-
 bool ClusterView::acceptsRequests(const Node& node) const {
     if (node.isReady()) return true;
     return node.listed && context_.now < node.servesDrainUntil &&
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -22,8 +22,7 @@
 constexpr Micros kFloorSpan = 5'000'000;  // pauses of a node end well within
 constexpr double kSmoothing = 0.2;        // weight of the newest latency, at the least
 constexpr double kMinUnits = 0.5;
-// A queue that was seen is worked off meanwhile: by its own length in as much time.
-constexpr double kDrainRate = 1;
+constexpr double kDrainRate = 1;  // a queue that was seen is worked off by its own length in as much time
 constexpr double kUnknownLatencyPart = 0.25;  // of the objective, where no answer came yet
 
 }  // namespace
--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -31,8 +31,6 @@
 double Gossip::notableWait() const { return kLongLatencyPart * context_.latencyObjective; }
 double Gossip::notableRate() const { return context_.settings.meanUnits * kChangedAggregateRequests; }
 
-// ---- reports to the rendezvous host
-
 bool Gossip::isDue(const KeyUsage& usage, const Observation& observation) const {
     const Micros age = context_.now - usage.reported.at;
     if (observation.outstanding != usage.reportedOutstanding) return age >= kOutstandingReportInterval;
@@ -55,8 +53,6 @@
     send(rendezvous, peer::UsageReport{key, observation.joins, rate, wait, outstanding, slowStartUnits});
 }
 
-// ---- the rendezvous host
-
 void Gossip::handle(int from, const peer::UsageReport& report) {
     KeyAggregate& aggregate = aggregates_[report.key];
     const bool isNew = aggregate.record(from, report.rate.value(), report.outstanding, context_.now);
--- a/src/policy/lease_allocator.cpp
+++ b/src/policy/lease_allocator.cpp
@@ -10,8 +10,7 @@
 // host with little demand would else need all of its home for it, and the busy one could borrow nothing.
 constexpr int kChunksOfLimit = 20;
 constexpr int kMinHomeChunks = 4;
-// What a dead borrower or a restarted home costs. Long against a message, short for a surge.
-constexpr Micros kLeaseDuration = 2'000'000;
+constexpr Micros kLeaseDuration = 2'000'000;  // long against a message, short against a surge of demand
 constexpr Micros kRenewBefore = kLeaseDuration / 2;
 constexpr Micros kRequestInterval = 50'000;  // for a volume: two crossings of the network
 constexpr Micros kRequestTimeout = 2 * kRequestInterval;
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -7,8 +7,8 @@
 // nature.
 constexpr Micros kMinSilence = 400'000;
 constexpr double kSilenceLatencies = 4;
-// A suspect still gets one request this often, which shows its recovery.
-constexpr Micros kTrialInterval = 300'000;
+constexpr Micros kTrialInterval =
+    300'000;                             // a suspect still gets one request this often, to show its recovery
 constexpr int kMaxFailures = 4;          // the ejection doubles with each up to this one
 constexpr double kErrorSmoothing = 0.2;  // weight of the newest answer
 // A node of whose answers all are errors looks so many objectives further away to a new object, until it was
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -6,10 +6,8 @@
 
 namespace wingproxy {
 
-// The guaranteed rate's bucket holds a second too.
-const Micros kRateMemory = 1'000'000;
-// Spreads a backlog, notices what is due: far below any objective, far above a batch.
-const Micros kTickInterval = 10'000;
+const Micros kRateMemory = 1'000'000;  // the bucket of the guaranteed rate holds a second too
+const Micros kTickInterval = 10'000;   // far below any objective, far above a batch
 
 namespace {
 
@@ -38,8 +36,6 @@
     sendRecoveryDatagrams();
 }
 
-// ---- requests
-
 void Policy::Impl::handle(const RequestReceived& event) {
     const Request& info = event.request;
     PendingRequest* const request = requests_.open(info);
@@ -132,8 +128,6 @@
         giveUp(*request, overload.backlog, kMinRetryAfter);
 }
 
-// ---- time
-
 void Policy::Impl::handle(const TimerFired& event) {
     if (event.token != kTickToken) return;
     context_.emit(SetTimer{kTickInterval, kTickToken});
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -1,4 +1,5 @@
-// Module tests: a hundred hosts that each see little. Hand-made events; messages between the hosts are handed on.
+// Module tests: a hundred hosts that each see little. Hand-made events; messages between the hosts are handed
+// on.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -45,33 +46,39 @@
                     if (to != m.from && (m.tell.to == to || m.tell.to < 0))
                         sentLater += give(to, {PeerMessageReceived{m.from, m.tell.bytes}}).size();
             for (int i = 0; i < kHosts; ++i)
-                for (const auto& s : take(i, hosts[std::size_t(i)]->runTo(now))) later.emplace_back(i, s), ++sentLater;
+                for (const auto& s : take(i, hosts[std::size_t(i)]->runTo(now)))
+                    later.emplace_back(i, s), ++sentLater;
         }
     }
-    struct Message { Micros at; int from; SendPeerMessage tell; };
+    struct Message {
+        Micros at;
+        int from;
+        SendPeerMessage tell;
+    };
     bool joined;
     Micros now = kStart;
     std::size_t bytes = 0, largest = 0, refused = 0, sentLater = 0;
     RequestId lastId = 0;
     std::vector<std::unique_ptr<Host>> hosts;
     std::vector<Message> wire;
-    std::vector<std::pair<int, ForwardRequest>> later;    // sent while time passed
+    std::vector<std::pair<int, ForwardRequest>> later;  // sent while time passed
 };
 
 TEST(FleetOfAHundred, BytesAreTiedToRequestsAndNotToHosts) {
     Fleet f;
-    f.runTo(kStart + 2500 * kMs);       // all have started and none waits for another any more
+    f.runTo(kStart + 2500 * kMs);  // all have started and none waits for another any more
     const auto atStart = f.bytes;
     EXPECT_LE(atStart, std::size_t(kHosts * kHosts * 40));  // once around for a start, not again and again
     f.runTo(f.now + kSecond);
-    EXPECT_EQ(f.bytes, atStart);        // idle hosts are silent
+    EXPECT_EQ(f.bytes, atStart);  // idle hosts are silent
     for (int second = 0; second < 3; ++second) {
         for (int i = 0; i < kHosts; ++i) {
             auto r = request(++f.lastId, 0, i % 2, f.now, 2, i % 2, 5);
-            r.volume = "vol-" + std::to_string(i % 20);     // of five hosts each
+            r.volume = "vol-" + std::to_string(i % 20);  // of five hosts each
             const auto sends = f.give(i, {r});
             f.runTo(f.now + 10 * kMs);
-            for (const auto& s : sends) f.give(i, {ended(s.id, 0, s.node, Outcome::Ok, 10 * kMs)});
+            for (const auto& s : sends)
+                f.give(i, {ended(s.id, 0, s.node, Outcome::Ok, 10 * kMs)});
         }
     }
     EXPECT_LE(double(f.bytes - atStart) / double(f.lastId), 256.0);
@@ -87,19 +94,22 @@
     for (int round = 0; round < 4; ++round) {
         out.clear();
         for (int i = 0; i < 40; ++i)
-            for (const auto& s : f.give(i, {request(++f.lastId, 0, 1, f.now)})) out.emplace_back(i, s);
+            for (const auto& s : f.give(i, {request(++f.lastId, 0, 1, f.now)}))
+                out.emplace_back(i, s);
         f.runTo(f.now + 450 * kMs);
-        for (const auto& [i, s] : out) f.give(i, {ended(s.id, 0, s.node, Outcome::Ok, 450 * kMs)});
+        for (const auto& [i, s] : out)
+            f.give(i, {ended(s.id, 0, s.node, Outcome::Ok, 450 * kMs)});
         f.runTo(f.now + 50 * kMs);
     }
     // Hosts that have asked for the node once, long ago in their own eyes, and have no answer of their own.
     std::size_t sent = 0;
-    for (int i = 0; i < 40; ++i) sent += f.give(i, {request(++f.lastId, 0, 1, f.now)}).size();
+    for (int i = 0; i < 40; ++i)
+        sent += f.give(i, {request(++f.lastId, 0, 1, f.now)}).size();
     return sent;
 }
 
 TEST(FleetOfAHundred, WaitsArePooledSoThatAHundredDoNotFillOneNode) {
-    EXPECT_GT(sentInto(false), 20u);    // without messages each one sends: the test can fail
+    EXPECT_GT(sentInto(false), 20u);  // without messages each one sends: the test can fail
     EXPECT_LT(sentInto(true), 20u);
 }
 
@@ -107,7 +117,7 @@
 double pushedToCold(bool joined) {
     Fleet f(joined);
     f.runTo(kStart + 100 * kMs);
-    for (int k = 0; k < 2 * kHosts; ++k) {      // before it died they had all used it, a little each
+    for (int k = 0; k < 2 * kHosts; ++k) {  // before it died they had all used it, a little each
         const int i = k % kHosts;
         for (const auto& s : f.give(i, {request(++f.lastId, 2, 1, f.now)}))
             f.give(i, {ended(s.id, 0, s.node, Outcome::Ok, 10 * kMs)});
@@ -118,7 +128,7 @@
     std::size_t sent = 0;
     for (int step = 0; step < 2 * kHosts; ++step) {
         const auto before = f.sentLater;
-        const int host = step % 2 ? step / 2 : 0;       // one has as much as all others together
+        const int host = step % 2 ? step / 2 : 0;  // one has as much as all others together
         sent += f.give(host, {request(++f.lastId, 2, 1, f.now)}).size();
         f.runTo(f.now + 20 * kMs);
         sent += f.sentLater - before;
@@ -129,43 +139,54 @@
 TEST(FleetOfAHundred, AColdNodeIsNotPushedOverAndNotLeftIdleByTheBusiest) {  // rule 4; found by hunt --rules
     const auto s = settings(0, kHosts);
     const double pushed = pushedToCold(true);
-    EXPECT_LE(pushed, 2 * s.slowStartUnits * s.slowStartOverloadFactor);     // two spans
+    EXPECT_LE(pushed, 2 * s.slowStartUnits * s.slowStartOverloadFactor);  // two spans
     EXPECT_GT(pushed, 0);
 }
 
-// A node answers in 30 ms; once it pauses and one answer takes 280 ms, with forty more out: is that taken for its pace?
-TEST(FleetOfAHundred, OnePauseOfANodeIsNotToldAsItsPace) {      // Lc69f0a
+// A node answers in 30 ms; once it pauses and one answer takes 280 ms, with forty more out: is that taken for
+// its pace?
+TEST(FleetOfAHundred, OnePauseOfANodeIsNotToldAsItsPace) {  // Lc69f0a
     Fleet f;
     f.runTo(kStart + 100 * kMs);
     for (int round = 0; round < 20; ++round) {
         std::vector<std::pair<int, ForwardRequest>> out;
         for (int i = 0; i < 10; ++i)
-            for (const auto& s : f.give(i, {request(++f.lastId, 0, 1, f.now)})) out.emplace_back(i, s);
+            for (const auto& s : f.give(i, {request(++f.lastId, 0, 1, f.now)}))
+                out.emplace_back(i, s);
         f.runTo(f.now + 30 * kMs);
-        for (const auto& [i, s] : out) f.give(i, {ended(s.id, 0, s.node, Outcome::Ok, 30 * kMs)});
+        for (const auto& [i, s] : out)
+            f.give(i, {ended(s.id, 0, s.node, Outcome::Ok, 30 * kMs)});
         f.runTo(f.now + 20 * kMs);
     }
     std::vector<ForwardRequest> paused;
     for (int i = 0; i < 40; ++i)
-        for (const auto& s : f.give(i, {request(++f.lastId, 0, 1, f.now)})) paused.push_back(s);
+        for (const auto& s : f.give(i, {request(++f.lastId, 0, 1, f.now)}))
+            paused.push_back(s);
     ASSERT_EQ(paused.size(), 40u);
     f.runTo(f.now + 280 * kMs);
     f.give(0, {ended(paused[0].id, 0, paused[0].node, Outcome::Ok, 280 * kMs)});
     f.runTo(f.now + 60 * kMs);
     std::size_t sent = 0;
-    for (int i = 0; i < 10; ++i) sent += f.give(i + 1, {request(++f.lastId, 0, 1, f.now)}).size();
+    for (int i = 0; i < 10; ++i)
+        sent += f.give(i + 1, {request(++f.lastId, 0, 1, f.now)}).size();
     EXPECT_GE(sent, 9u);
 }
 
-// A node is restarted; each of a hundred hosts has a request for it every 5 s. It can do coldUnits a span at first, or
-// so many times as much, and four times that when it is warm; what it is sent beyond that waits there.
+// A node is restarted; each of a hundred hosts has a request for it every 5 s. It can do coldUnits a span at
+// first, or so many times as much, and four times that when it is warm; what it is sent beyond that waits
+// there.
 double unitsToCold(Micros usedFor, double times = 1) {
     Fleet f;
     const auto s = settings(0, kHosts);
-    const auto capacity = [&](Micros age) {     // units in a span
-        return times * s.slowStartUnits * (1 + 3 * std::min(1.0, double(age) / double(s.slowStartDurationUs)));
+    const auto capacity = [&](Micros age) {  // units in a span
+        return times * s.slowStartUnits *
+               (1 + 3 * std::min(1.0, double(age) / double(s.slowStartDurationUs)));
+    };
+    struct Work {
+        Micros sent, done;
+        int host;
+        ForwardRequest send;
     };
-    struct Work { Micros sent, done; int host; ForwardRequest send; };
     std::vector<Work> work;
     std::vector<Micros> sentAt;
     const Micros begun = f.now, restarted = begun + usedFor;
@@ -174,77 +195,91 @@
         if (f.now == restarted)
             for (int i = 0; i < kHosts; ++i)
                 f.give(i, {nodes({node("a", 0, NodeState::Ready, restarted)}, EndpointListKind::Delta)});
-        if (step % 5 == 0)      // twenty requests a second, each host in its turn
+        if (step % 5 == 0)  // twenty requests a second, each host in its turn
             for (const auto& send : f.give(step / 5 % kHosts, {request(++f.lastId, 0, 1, f.now)}))
                 f.later.emplace_back(step / 5 % kHosts, send);
         for (const auto& [host, send] : std::exchange(f.later, {})) {
-            const double pace = f.now < restarted ? 100 : capacity(f.now - restarted) / 2;      // units a second
+            const double pace = f.now < restarted ? 100 : capacity(f.now - restarted) / 2;  // units a second
             freeAt = std::max(freeAt, f.now) + Micros(2e6 / pace);
             work.push_back({f.now, freeAt, host, send});
             if (f.now >= restarted) sentAt.push_back(f.now);
         }
         for (const auto& w : std::exchange(work, {}))
-            if (w.done > f.now) work.push_back(w);
-            else f.give(w.host, {ended(w.send.id, 0, w.send.node, Outcome::Ok, f.now - w.sent)});
+            if (w.done > f.now)
+                work.push_back(w);
+            else
+                f.give(w.host, {ended(w.send.id, 0, w.send.node, Outcome::Ok, f.now - w.sent)});
         f.runTo(f.now + 10 * kMs);
     }
-    for (std::size_t first = 0, last = 0; last < sentAt.size(); ++last) {       // every window that ends with a send
-        while (sentAt[last] - sentAt[first] > s.slowStartWindowUs) ++first;
-        EXPECT_LE(2.0 * double(last - first + 1), s.slowStartOverloadFactor * capacity(sentAt[first] - restarted));
+    for (std::size_t first = 0, last = 0; last < sentAt.size();
+         ++last) {  // every window that ends with a send
+        while (sentAt[last] - sentAt[first] > s.slowStartWindowUs)
+            ++first;
+        EXPECT_LE(2.0 * double(last - first + 1),
+                  s.slowStartOverloadFactor * capacity(sentAt[first] - restarted));
     }
     return 2.0 * double(sentAt.size());
 }
 
-TEST(FleetOfAHundred, AColdNodeIsUsedBySparseHostsAsItsCapacityGrows) {     // Lc69f0a
-    EXPECT_GE(unitsToCold(6 * kSecond), 100);   // it can do 150 in that time; by turns that did not grow it got none
+TEST(FleetOfAHundred, AColdNodeIsUsedBySparseHostsAsItsCapacityGrows) {  // Lc69f0a
+    EXPECT_GE(unitsToCold(6 * kSecond),
+              100);  // it can do 150 in that time; by turns that did not grow it got none
 }
 
-// coldUnits is what the weakest node bears: a stronger one shows it in what it answers all hosts, of which each alone
-// sees next to nothing. It is asked for 400 in that time and can do nearly all; by what each host saw it got 232.
+// coldUnits is what the weakest node bears: a stronger one shows it in what it answers all hosts, of which
+// each alone sees next to nothing. It is asked for 400 in that time and can do nearly all; by what each host
+// saw it got 232.
 TEST(FleetOfAHundred, AStrongColdNodeIsUsedByWhatItAnswersAllHosts) {
     EXPECT_GE(unitsToCold(6 * kSecond, 4), 265);
 }
 
 // What the node before it still answers while it drains says nothing of a successor in the same cell.
-TEST(FleetOfAHundred, AColdSuccessorIsNotJudgedByWhatTheDrainingNodeAnswers) {      // rule 4
+TEST(FleetOfAHundred, AColdSuccessorIsNotJudgedByWhatTheDrainingNodeAnswers) {  // rule 4
     Fleet f;
     const auto s = settings(0, kHosts);
     f.runTo(kStart + 100 * kMs);
     std::vector<std::pair<int, ForwardRequest>> out;
     for (int i = 0; i < kHosts; ++i)
-        for (const auto& send : f.give(i, {request(++f.lastId, 2, 1, f.now)})) out.emplace_back(i, send);
+        for (const auto& send : f.give(i, {request(++f.lastId, 2, 1, f.now)}))
+            out.emplace_back(i, send);
     f.runTo(f.now + 50 * kMs);
     for (int i = 0; i < kHosts; ++i)
-        f.give(i, {nodes({node("a", 0, NodeState::Draining), node("c", 0, NodeState::Ready, f.now)}, EndpointListKind::Delta)});
+        f.give(i, {nodes({node("a", 0, NodeState::Draining), node("c", 0, NodeState::Ready, f.now)},
+                         EndpointListKind::Delta)});
     f.runTo(f.now + 100 * kMs);
-    for (const auto& [i, send] : out) f.give(i, {ended(send.id, 0, "a", Outcome::Ok, 150 * kMs)});
+    for (const auto& [i, send] : out)
+        f.give(i, {ended(send.id, 0, "a", Outcome::Ok, 150 * kMs)});
     EXPECT_GE(out.size(), 50u);
     std::size_t sent = 0;
-    for (int step = 0; step < 2 * kHosts; ++step) {     // c is silent
+    for (int step = 0; step < 2 * kHosts; ++step) {  // c is silent
         const auto before = f.sentLater;
         sent += f.give(step % kHosts, {request(++f.lastId, 2, 1, f.now)}).size();
         f.runTo(f.now + 10 * kMs);
         sent += f.sentLater - before;
     }
-    const double grown = 1 + (1 / s.slowStartCapacity - 1) * double(s.slowStartWindowUs) / double(s.slowStartDurationUs);
-    EXPECT_LE(2.0 * double(sent), s.slowStartUnits * s.slowStartOverloadFactor * grown);    // of the weakest node, over one span
+    const double grown =
+        1 + (1 / s.slowStartCapacity - 1) * double(s.slowStartWindowUs) / double(s.slowStartDurationUs);
+    EXPECT_LE(2.0 * double(sent),
+              s.slowStartUnits * s.slowStartOverloadFactor * grown);  // of the weakest node, over one span
 }
 
-TEST(FleetOfAHundred, AHostThatHasNotHeardOfTheOthersDoesNotTakeAllAColdNodeBears) {    // rule 4
-    EXPECT_GE(unitsToCold(kSecond), 50);        // most hosts first ask for the node when it is cold
+TEST(FleetOfAHundred, AHostThatHasNotHeardOfTheOthersDoesNotTakeAllAColdNodeBears) {  // rule 4
+    EXPECT_GE(unitsToCold(kSecond), 50);  // most hosts first ask for the node when it is cold
 }
 
 TEST(FleetOfAHundred, AnyHostCellAndKeyInAMessageIsHarmless) {
     Fleet f;
     f.runTo(kStart + 50 * kMs);
     std::mt19937_64 random(11);
-    for (int n = 0; n < 4000; ++n) {        // well formed, with absurd contents
+    for (int n = 0; n < 4000; ++n) {  // well formed, with absurd contents
         std::string m(1, char(0xA9));
-        for (int i = 0; i < 4; ++i) m += char(random());
+        for (int i = 0; i < 4; ++i)
+            m += char(random());
         static constexpr int kBytes[] = {0, 9, 13, 15, 13, 4, 4, 9, 8, 6};
         const int tag = 1 + int(random() % 9);
         m += char(tag);
-        for (int i = 0; i < kBytes[tag]; ++i) m += char(random() % 3 ? random() : 255);
+        for (int i = 0; i < kBytes[tag]; ++i)
+            m += char(random() % 3 ? random() : 255);
         f.give(3, {PeerMessageReceived{int(random() % 104) - 2, m}});
     }
     f.now += 3 * kSecond;
--- a/tests/policy/lease_test.cpp
+++ b/tests/policy/lease_test.cpp
@@ -17,7 +17,8 @@
 // Hosts joined by a network that the test may slow, cut or drop from.
 struct Fleet {
     explicit Fleet(int n, std::uint64_t seed = 1) : random(seed) {
-        for (int i = 0; i < n; ++i) start(i);
+        for (int i = 0; i < n; ++i)
+            start(i);
     }
     void start(int i) {
         auto s = settings(i, 3);
@@ -33,7 +34,8 @@
         for (const auto& tell : only<SendPeerMessage>(actions))
             for (auto& [other, host] : hosts) {
                 if (other == i || (tell.to >= 0 && tell.to != other)) continue;
-                if (cut || cuts.count({i, other}) || (lossPercent > 0 && int(random() % 100) < lossPercent)) continue;
+                if (cut || cuts.count({i, other}) || (lossPercent > 0 && int(random() % 100) < lossPercent))
+                    continue;
                 const Micros delay = minDelay + Micros(random() % std::uint64_t(maxDelay - minDelay + 1));
                 wire.push_back({now + delay, i, other, tell.bytes});
             }
@@ -53,7 +55,10 @@
         for (const Micros end = now + span; now < end;) {
             now += kMs;
             for (std::size_t k = 0; k < wire.size();) {
-                if (wire[k].at > now) { ++k; continue; }
+                if (wire[k].at > now) {
+                    ++k;
+                    continue;
+                }
                 const auto m = wire[k];
                 wire.erase(wire.begin() + static_cast<std::ptrdiff_t>(k));
                 if (hosts.count(m.to)) deliver(m.to, {PeerMessageReceived{m.from, m.bytes}});
@@ -74,13 +79,17 @@
             }
         }
     }
-    struct Message { Micros at; int from, to; std::string bytes; };
+    struct Message {
+        Micros at;
+        int from, to;
+        std::string bytes;
+    };
     std::mt19937_64 random;
     Micros now = kStart, storeAt = kStart, minDelay = 2 * kMs, maxDelay = 20 * kMs;
     double limit = 20, burst = 48, store = 48, lowest = 48;
     int lossPercent = 0;
     bool cut = false;
-    std::set<std::pair<int, int>> cuts;     // from, to
+    std::set<std::pair<int, int>> cuts;  // from, to
     std::uint64_t lives = 0;
     RequestId lastId = 0;
     std::map<int, std::unique_ptr<Host>> hosts;
@@ -96,7 +105,8 @@
     h.batch({nodes({node("a", 0)})});
     h.runTo(h.now + 4 * kSecond);
     std::vector<AnyEvent> events;
-    for (RequestId id = 1; id <= 3; ++id) events.emplace_back(request(id, 0, 0, h.now, 6));
+    for (RequestId id = 1; id <= 3; ++id)
+        events.emplace_back(request(id, 0, 0, h.now, 6));
     EXPECT_EQ(only<ForwardRequest>(h.batch(events)).size(), 3u);
 }
 
@@ -113,7 +123,7 @@
     f.run(2 * kSecond, {{0, 2}, {1, 2}, {2, 2}});
     f.sent.clear();
     f.run(10 * kSecond, {{0, 60}, {1, 2}, {2, 2}});
-    EXPECT_GT(f.sent[0], 20.0 / 3 * 10 * 1.6);      // far beyond limit / hosts
+    EXPECT_GT(f.sent[0], 20.0 / 3 * 10 * 1.6);  // far beyond limit / hosts
     EXPECT_GE(f.lowest, 0);
 }
 
@@ -135,11 +145,12 @@
         Fleet f(3, 7 + std::uint64_t(round));
         f.run(6 * kSecond, {{0, 60}, {1, 1}, {2, 1}});
         f.sent.clear();
-        for (const double rate : {2, 3, 4, 5, 6, 7}) f.run(kSecond / 2, {{0, 60}, {1, rate}, {2, rate}});
+        for (const double rate : {2, 3, 4, 5, 6, 7})
+            f.run(kSecond / 2, {{0, 60}, {1, rate}, {2, rate}});
         sum += f.sent[0] + f.sent[1] + f.sent[2];
         EXPECT_GE(f.lowest, 0);
     }
-    EXPECT_GT(sum, 5 * 3 * 20 * 0.95);     // of the limit
+    EXPECT_GT(sum, 5 * 3 * 20 * 0.95);  // of the limit
 }
 
 // A volume that is asked for at one host alone is not forgotten at the others: they lend their part of it.
@@ -153,7 +164,7 @@
     EXPECT_GE(f.lowest, 0);
 }
 
-TEST(Leases, AVolumeThatWasForgottenStartsWithItsLimitAndItsPeers) {    // rule 5
+TEST(Leases, AVolumeThatWasForgottenStartsWithItsLimitAndItsPeers) {  // rule 5
     Fleet f(3);
     for (const int round : {1, 2}) {
         f.run(2 * kSecond, {{0, 2}, {1, 2}, {2, 2}});
@@ -161,7 +172,7 @@
         f.run(10 * kSecond, {{0, 60}, {1, 2}, {2, 2}});
         EXPECT_GT(f.sent[0], 20.0 / 3 * 10 * 1.6) << round;
         f.run(70 * kSecond, {});
-        EXPECT_LE(f.hosts[0]->policy.tableEntries(), 8u);      // its nodes and cells
+        EXPECT_LE(f.hosts[0]->policy.tableEntries(), 8u);  // its nodes and cells
     }
     EXPECT_GE(f.lowest, 0);
 }
@@ -169,7 +180,7 @@
 TEST(Leases, TheSumKeepsTheLimitThroughLossCrossingCutsAndRestarts) {  // rule 5
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         Fleet f(3, seed);
-        f.maxDelay = 400 * kMs;                     // messages overtake one another
+        f.maxDelay = 400 * kMs;  // messages overtake one another
         f.lossPercent = 20;
         std::mt19937_64 random(seed);
         for (int step = 0; step < 40; ++step) {
@@ -177,20 +188,21 @@
             f.run(Micros(300 + random() % 900) * kMs,
                   {{int(random() % 3), high}, {int(random() % 3), high / 2}, {2, 3}});
             f.cut = random() % 5 == 0;
-            if (random() % 4 == 0) f.start(int(random() % 3));     // killed and up again at once
+            if (random() % 4 == 0) f.start(int(random() % 3));  // killed and up again at once
         }
         EXPECT_GE(f.lowest, 0) << "seed " << seed;
     }
 }
 
-// Rule 5 over every way in which a host ends: told before and served on for a while, told and killed at once, or not
-// told; messages lost, and late by up to 2 s, shutdown notices among them. Host 0 has borrowed all there is and keeps the
-// store near its end, so that a chunk in two hands shows: with a host that is clear at once the store is overdrawn.
+// Rule 5 over every way in which a host ends: told before and served on for a while, told and killed at once,
+// or not told; messages lost, and late by up to 2 s, shutdown notices among them. Host 0 has borrowed all
+// there is and keeps the store near its end, so that a chunk in two hands shows: with a host that is clear at
+// once the store is overdrawn.
 TEST(Leases, TheSumKeepsTheLimitThroughShutdownNoticesAndDeaths) {
     std::map<fleet::RestartRecovery::RecoveryCause, int> by;
     for (std::uint64_t seed = 1; seed <= 120; ++seed) {
         Fleet f(3, seed);
-        f.store = f.lowest = 0;     // as the hosts' buckets: no more is due to them than what fills from here on
+        f.store = f.lowest = 0;  // as the hosts' buckets: no more is due to them than what fills from here on
         std::mt19937_64 random(seed * 31);
         f.run(2 * kSecond, {{0, 4}, {1, 4}, {2, 4}});
         f.run(5 * kSecond, {{0, 80}, {1, 1}, {2, 1}});
@@ -201,7 +213,7 @@
             f.deliver(who, {ShutdownStarted{f.now + Micros(random() % 4'000) * kMs}});
             f.run(Micros(random() % 3'000) * kMs, {{0, 80}});
         }
-        if (seed % 5 > 0) f.cuts = {{who, 0}, {0, who}};    // 0 never hears that its lender began anew
+        if (seed % 5 > 0) f.cuts = {{who, 0}, {0, who}};  // 0 never hears that its lender began anew
         f.hosts.erase(who);
         f.run(Micros(random() % 3 == 0 ? random() % 2'000 : 1) * kMs, {{0, 80}});
         f.start(who);
@@ -220,10 +232,10 @@
     f.run(3 * kSecond, {{0, 60}, {1, 2}, {2, 2}});
     f.cut = true;
     f.wire.clear();
-    f.start(1);                                     // knows nothing of what it lent to 0
+    f.start(1);  // knows nothing of what it lent to 0
     f.sent.clear();
     f.run(1800 * kMs, {{1, 60}});
-    EXPECT_LE(f.sent[1], 1.0 / 3 * 2 + 2);          // its base alone
+    EXPECT_LE(f.sent[1], 1.0 / 3 * 2 + 2);  // its base alone
     EXPECT_GE(f.lowest, 0);
 }
 
@@ -234,7 +246,8 @@
     std::mt19937_64 random(5);
     for (int i = 0; i < 300; ++i) {
         std::string junk(random() % 256, '\0');
-        for (auto& c : junk) c = static_cast<char>(random());
+        for (auto& c : junk)
+            c = static_cast<char>(random());
         if (i % 2 && !junk.empty()) junk[0] = static_cast<char>(0xA9);
         f.deliver(0, {PeerMessageReceived{int(random() % 5) - 1, junk}});
         f.run(10 * kMs, {{0, 60}});
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -35,7 +35,8 @@
     EXPECT_LE(finals(actions), 2u);
     Host g(settings(), kStart);
     auto all = g.batch({request(1, 0, 1, g.now)});
-    for (auto& a : g.runTo(g.now + 2 * kSecond)) all.push_back(a);
+    for (auto& a : g.runTo(g.now + 2 * kSecond))
+        all.push_back(a);
     EXPECT_EQ(finals(all), 1u);
 }
 
@@ -52,7 +53,7 @@
     h.batch({request(1, 2, 1, h.now)});
     h.now += 2 * kSecond;
     const auto actions = h.batch({ended(1, 0, "a", Outcome::Timeout, 2 * kSecond)});
-    EXPECT_EQ(only<FailRequest>(actions).size(), 1u);      // unsafe and may have run: never a refusal
+    EXPECT_EQ(only<FailRequest>(actions).size(), 1u);  // unsafe and may have run: never a refusal
     EXPECT_EQ(only<RejectRequest>(actions).size(), 0u);
     EXPECT_EQ(finals(h.runTo(h.now + kSecond)), 0u);
 }
@@ -62,7 +63,8 @@
     h.batch({request(1, 2, 1, h.now), request(2, 2, 1, h.now)});
     h.now += 20 * kMs;
     auto actions = h.batch({ended(1, 0, "a", Outcome::Rejected), ended(2, 0, "a", Outcome::Error)});
-    for (auto& a : h.runTo(h.now + kSecond)) actions.push_back(a);
+    for (auto& a : h.runTo(h.now + kSecond))
+        actions.push_back(a);
     const auto sends = only<ForwardRequest>(actions);
     ASSERT_EQ(sends.size(), 1u);
     EXPECT_EQ(sends[0].id, 1u);
@@ -79,7 +81,7 @@
     const auto again = only<ForwardRequest>(h.batch({ended(1, 0, first[0].node, Outcome::Reset)}));
     ASSERT_EQ(again.size(), 1u);
     EXPECT_EQ(again[0].node, first[0].node);
-    h.now += 1100 * kMs;                            // past the window: neither a send nor a refusal
+    h.now += 1100 * kMs;  // past the window: neither a send nor a refusal
     const auto late = h.batch({ended(1, 1, first[0].node, Outcome::Reset)});
     EXPECT_EQ(only<ForwardRequest>(late).size(), 0u);
     EXPECT_EQ(only<RejectRequest>(late).size(), 0u);
@@ -88,7 +90,8 @@
 
 // Its successor is listed a second or two later: without the grace the cell has no node meanwhile.
 TEST(Rules, ADrainingNodeServesOnWithinTheGraceWhereItsCellHasNoOther) {  // rule 3
-    const auto goes = [](Micros after, std::vector<NodeInfo> more = {}, EndpointListKind before = EndpointListKind::Delta,
+    const auto goes = [](Micros after, std::vector<NodeInfo> more = {},
+                         EndpointListKind before = EndpointListKind::Delta,
                          EndpointListKind kind = EndpointListKind::Delta) {
         Host h = ready();
         if (before == EndpointListKind::Unavailable) h.batch({nodes({}, EndpointListKind::Unavailable)});
@@ -114,22 +117,27 @@
     set.pollsEndpointList = true;
     set.pollIntervalUs = 10 * kSecond;
     Host h = ready(set);
-    const auto askedWithin = [&](Micros span) { return only<WatchEndpointList>(h.runTo(h.now + span)).size(); };
+    const auto askedWithin = [&](Micros span) {
+        return only<WatchEndpointList>(h.runTo(h.now + span)).size();
+    };
     h.batch({nodes({}, EndpointListKind::Unavailable)});
     EXPECT_EQ(askedWithin(150 * kMs), 1u);
-    for (int i = 0; i < 5; ++i) h.batch({nodes({}, EndpointListKind::Unavailable)});
+    for (int i = 0; i < 5; ++i)
+        h.batch({nodes({}, EndpointListKind::Unavailable)});
     EXPECT_EQ(askedWithin(2 * kSecond), 0u);
     EXPECT_EQ(askedWithin(2 * kSecond), 1u);
-    h.batch({nodes({node("a", 0)}, EndpointListKind::Delta), nodes({}, EndpointListKind::Unavailable)});   // answered: as at first
+    h.batch({nodes({node("a", 0)}, EndpointListKind::Delta),
+             nodes({}, EndpointListKind::Unavailable)});  // answered: as at first
     EXPECT_EQ(askedWithin(150 * kMs), 1u);
 }
 
 // Discovery answers all fronts in turn: when many start at once, or their calls failed at once, they must not
-// come back at once. What it can't answer in time has failed, and is asked again on top of the others. Checked:
-// in no tenth of a second do more than a twelfth of 300 fronts call, and each one calls within the rule's term.
+// come back at once. What it can't answer in time has failed, and is asked again on top of the others.
+// Checked: in no tenth of a second do more than a twelfth of 300 fronts call, and each one calls within the
+// rule's term.
 TEST(Rules, ManyHostsCallDiscoveryOneAfterAnother) {
     constexpr int kHosts = 300;
-    std::map<Micros, int> first, again;     // calls by tenth of a second
+    std::map<Micros, int> first, again;  // calls by tenth of a second
     for (int i = 0; i < kHosts; ++i) {
         Settings set = settings(i, kHosts);
         set.seed = 0x9e3779b97f4a7c15ull * std::uint64_t(i + 1);
@@ -150,7 +158,8 @@
     }
     const auto most = [](const std::map<Micros, int>& when) {
         int calls = 0;
-        for (const auto& [tenth, n] : when) calls = std::max(calls, n);
+        for (const auto& [tenth, n] : when)
+            calls = std::max(calls, n);
         return calls;
     };
     EXPECT_LE(most(first), kHosts / 12);
@@ -166,7 +175,7 @@
     const auto sends = only<ForwardRequest>(h.batch({request(2, 0, 1, h.now)}));
     ASSERT_EQ(sends.size(), 1u);
     EXPECT_EQ(sends[0].node, "c");
-    h.batch({nodes({node("b", 1)})});               // a full list without c: it has left
+    h.batch({nodes({node("b", 1)})});  // a full list without c: it has left
     EXPECT_EQ(only<ForwardRequest>(h.batch({request(3, 0, 1, h.now)})).size(), 0u);
 }
 
@@ -194,10 +203,10 @@
 TEST(Rules, AColdNodeGetsNoMoreThanItHasShownToBear) {  // rule 4
     const auto s = settings(0, 3);
     const double free = s.slowStartUnits / s.hostCount + s.maxUnits;
-    EXPECT_LE(sentToCold(s, Outcome::Ok, false), free);     // silent: the hosts' part, then nothing
+    EXPECT_LE(sentToCold(s, Outcome::Ok, false), free);  // silent: the hosts' part, then nothing
     EXPECT_GE(sentToCold(s, Outcome::Ok, false), 2);
-    EXPECT_LE(sentToCold(s, Outcome::Rejected, true), free);    // rejects add to the push: never given back
-    EXPECT_GT(sentToCold(s, Outcome::Ok, true), 3 * free);  // it answers: as much again
+    EXPECT_LE(sentToCold(s, Outcome::Rejected, true), free);  // rejects add to the push: never given back
+    EXPECT_GT(sentToCold(s, Outcome::Ok, true), 3 * free);    // it answers: as much again
 }
 
 // Requests sent to a cold node that answers none, 40 s after it was sent all that it may be; the rule of this
@@ -231,8 +240,9 @@
     EXPECT_EQ(sentAgainToCold(true), sentAgainToCold(false));
 }
 
-// A node just started of which a peer has told a wait, and which has answered nothing here, looks like the idlest.
-TEST(Rules, ANewObjectDoesNotWaitAtAColdNodeWhileAWarmOneIsFree) {      // Lc69f0a
+// A node just started of which a peer has told a wait, and which has answered nothing here, looks like the
+// idlest.
+TEST(Rules, ANewObjectDoesNotWaitAtAColdNodeWhileAWarmOneIsFree) {  // Lc69f0a
     Host h(settings(0, 100), kStart);
     h.batch({nodes({node("a", 0), node("b", 1, NodeState::Ready, kStart)})});
     for (RequestId id = 1; id <= 4; ++id) {
@@ -242,8 +252,10 @@
         h.batch({ended(id, 0, "a", Outcome::Ok)});
     }
     auto told = peer::header(1);
-    peer::append(told, peer::UsageAggregate{std::uint32_t(peer::hashOf("1")), {16}, {8}, {}});      // a wait of one millisecond
-    h.batch({request(5, 0, 1, h.now, 2, 1), PeerMessageReceived{1, told}});     // it has been asked for the cell once
+    peer::append(told, peer::UsageAggregate{
+                           std::uint32_t(peer::hashOf("1")), {16}, {8}, {}});  // a wait of one millisecond
+    h.batch({request(5, 0, 1, h.now, 2, 1),
+             PeerMessageReceived{1, told}});  // it has been asked for the cell once
     h.runTo(h.now + kSecond);
     for (RequestId id = 10; id < 20; ++id) {
         const auto sends = only<ForwardRequest>(h.batch({request(id, 2, 1, h.now, 2, -1)}));
@@ -254,7 +266,8 @@
     }
 }
 
-// One of a hundred hosts with a hundredth of what a cell is asked; its answers took so long. How many it has out.
+// One of a hundred hosts with a hundredth of what a cell is asked; its answers took so long. How many it has
+// out.
 std::size_t outAt(Micros took) {
     Host h(settings(0, 100), kStart);
     h.batch({nodes({node("a", 0), node("b", 1)})});
@@ -265,13 +278,14 @@
     h.batch({ended(1, 0, "a", Outcome::Ok, took), PeerMessageReceived{1, told}});
     h.now += 10 * kMs;
     std::vector<AnyEvent> run;
-    for (RequestId id = 2; id <= 6; ++id) run.emplace_back(request(id, 0, 1, h.now));
+    for (RequestId id = 2; id <= 6; ++id)
+        run.emplace_back(request(id, 0, 1, h.now));
     return only<ForwardRequest>(h.batch(run)).size();
 }
 
 TEST(Rules, AHostWithASmallPartHasTwoOutAtACalmNodeAndOneAtABusyOne) {
     EXPECT_EQ(outAt(20 * kMs), 2u);
-    EXPECT_EQ(outAt(200 * kMs), 1u);    // beyond 0.3 of the shortest aim
+    EXPECT_EQ(outAt(200 * kMs), 1u);  // beyond 0.3 of the shortest aim
 }
 
 TEST(Rules, NewObjectsAreAnsweredWhereEveryNodeIsCold) {
@@ -279,7 +293,8 @@
     h.batch({nodes({node("a", 0, NodeState::Ready, kStart), node("b", 1, NodeState::Ready, kStart)})});
     std::set<std::string> used;
     for (RequestId id = 1; id <= 3; ++id)
-        for (const auto& s : only<ForwardRequest>(h.batch({request(id, 2, 1, h.now, 2, -1)}))) used.insert(s.node);
+        for (const auto& s : only<ForwardRequest>(h.batch({request(id, 2, 1, h.now, 2, -1)})))
+            used.insert(s.node);
     EXPECT_EQ(used.size(), 2u);
 }
 
@@ -296,10 +311,10 @@
     EXPECT_EQ(sends[0].id, 2u);
     auto three = request(3, 3, 1, h.now);
     three.key = "same";
-    h.batch({three, RequestCancelled{2}});               // 2 ended, its attempt still out
+    h.batch({three, RequestCancelled{2}});  // 2 ended, its attempt still out
     EXPECT_EQ(only<ForwardRequest>(h.runTo(h.now + 50 * kMs)).size(), 0u);
     h.batch({ended(2, 0, "a", Outcome::Timeout)});
-    EXPECT_EQ(only<ForwardRequest>(h.runTo(h.now + 200 * kMs)).size(), 0u);   // the key rests for 300 ms
+    EXPECT_EQ(only<ForwardRequest>(h.runTo(h.now + 200 * kMs)).size(), 0u);  // the key rests for 300 ms
     EXPECT_EQ(only<ForwardRequest>(h.runTo(h.now + 150 * kMs)).size(), 1u);
 }
 
@@ -313,25 +328,27 @@
     for (RequestId id = 1; id <= 5; ++id) {
         auto sent = only<ForwardRequest>(h.batch({request(id, 0, 1, h.now)}));
         h.now += 5 * kMs;
-        if (!sent.empty()) further += only<ForwardRequest>(h.batch({ended(id, 0, "a", Outcome::Reset)})).size();
+        if (!sent.empty())
+            further += only<ForwardRequest>(h.batch({ended(id, 0, "a", Outcome::Reset)})).size();
         further += only<ForwardRequest>(h.runTo(h.now + 30 * kMs)).size();
     }
     EXPECT_EQ(further, 1u);
 }
 
-TEST(Health, FullIsNotAnsweredByAttemptsAtOnce) {   // seen on ia64c34: 2.7 attempts a request, queues never empty
+TEST(Health,
+     FullIsNotAnsweredByAttemptsAtOnce) {  // seen on ia64c34: 2.7 attempts a request, queues never empty
     Host h = ready();
     h.batch({request(1, 0, 1, h.now)});
     h.now += 5 * kMs;
     const auto once = only<ForwardRequest>(h.batch({ended(1, 0, "a", Outcome::Rejected, 5 * kMs)})).size();
-    EXPECT_LE(once, 1u);                            // a suspect's one trickle
+    EXPECT_LE(once, 1u);  // a suspect's one trickle
     h.now += 5 * kMs;
     EXPECT_EQ(only<ForwardRequest>(h.batch({ended(1, 1, "a", Outcome::Rejected, 5 * kMs)})).size(), 0u);
     EXPECT_EQ(only<ForwardRequest>(h.runTo(h.now + 200 * kMs)).size(), 0u);
 }
 
 // Requests that a head sends at once after an attempt that nothing came back from.
-std::size_t sentAfterSilence(bool overtaken) {          // seen on ie75a29
+std::size_t sentAfterSilence(bool overtaken) {  // seen on ie75a29
     Host h = ready();
     h.batch({request(1, 0, 1, h.now)});
     h.now += 100 * kMs;
@@ -346,8 +363,8 @@
 }
 
 TEST(Health, ALostAnswerIsToldFromANodeThatChokes) {
-    EXPECT_EQ(sentAfterSilence(true), 2u);      // the node answered what was sent later: the answer was lost
-    EXPECT_EQ(sentAfterSilence(false), 1u);     // it answered nothing since: one trickle
+    EXPECT_EQ(sentAfterSilence(true), 2u);   // the node answered what was sent later: the answer was lost
+    EXPECT_EQ(sentAfterSilence(false), 1u);  // it answered nothing since: one trickle
 }
 
 TEST(Order, HeldRequestsLeaveEarliestDueFirst) {
@@ -356,8 +373,9 @@
     s.classes[2].latencyObjectiveUs = 300 * kMs;
     Host h = ready(s);
     std::vector<AnyEvent> events;
-    for (RequestId id = 1; id <= 3; ++id) events.emplace_back(request(id, 0, 1, h.now));
-    ASSERT_EQ(only<ForwardRequest>(h.batch(events)).size(), 3u);       // the first bound
+    for (RequestId id = 1; id <= 3; ++id)
+        events.emplace_back(request(id, 0, 1, h.now));
+    ASSERT_EQ(only<ForwardRequest>(h.batch(events)).size(), 3u);  // the first bound
     h.batch({request(10, 0, 1, h.now), request(11, 2, 1, h.now)});
     h.now += 20 * kMs;
     const auto sends = only<ForwardRequest>(h.batch({ended(1, 0, "a", Outcome::Ok)}));
@@ -368,11 +386,13 @@
 TEST(Order, TheLeastWorthIsShedAndAnsweredAtOnceWithAdvice) {
     Host h = ready();
     std::vector<AnyEvent> events;
-    for (RequestId id = 1; id <= 200; ++id) events.emplace_back(request(id, 0, id % 2 ? 1 : 0, h.now));
+    for (RequestId id = 1; id <= 200; ++id)
+        events.emplace_back(request(id, 0, id % 2 ? 1 : 0, h.now));
     const auto actions = h.batch(events);
     const auto refused = only<RejectRequest>(actions);
     ASSERT_GT(refused.size(), 0u);
-    for (const auto& r : refused) EXPECT_GT(r.retryAfterUs, 0);
+    for (const auto& r : refused)
+        EXPECT_GT(r.retryAfterUs, 0);
     EXPECT_LE(only<ForwardRequest>(actions).size(), 16u);
 }
 
@@ -380,7 +400,9 @@
     Host h = ready();
     h.batch({request(1, 0, 1, h.now)});
     h.batch({ended(1, 0, "a", Outcome::Ok)});
-    EXPECT_EQ(h.batch({ended(1, 0, "a", Outcome::Ok), ended(9, 0, "a", Outcome::Reset), RequestCancelled{1}}).size(), 0u);
+    EXPECT_EQ(h.batch({ended(1, 0, "a", Outcome::Ok), ended(9, 0, "a", Outcome::Reset), RequestCancelled{1}})
+                  .size(),
+              0u);
 }
 
 TEST(Events, TheSameEventsGiveTheSameActions) {
@@ -405,14 +427,18 @@
     for (const int resets : {1, 2}) {
         Host host(settings(), kStart);
         host.batch({nodes({node("a", 0)})});
-        for (RequestId id = 1; id <= 2; ++id) host.batch({request(id, 2, 1, host.now)});
-        for (RequestId id = 1; id <= RequestId(resets); ++id) host.batch({ended(id, 0, "a", Outcome::Reset)});
-        const auto sent = only<ForwardRequest>(host.batch({request(11, 0, 1, host.now), request(12, 0, 1, host.now)}));
+        for (RequestId id = 1; id <= 2; ++id)
+            host.batch({request(id, 2, 1, host.now)});
+        for (RequestId id = 1; id <= RequestId(resets); ++id)
+            host.batch({ended(id, 0, "a", Outcome::Reset)});
+        const auto sent =
+            only<ForwardRequest>(host.batch({request(11, 0, 1, host.now), request(12, 0, 1, host.now)}));
         EXPECT_EQ(sent.size(), resets == 1 ? 2u : 1u);
     }
 }
 
-// A connection that fell silent must not hold a place at its node, and its request's time, until the deadline.
+// A connection that fell silent must not hold a place at its node, and its request's time, until the
+// deadline.
 TEST(Health, AnAttemptThatTheNodeOvertookByFarIsTriedAgainAndOthersAreNot) {
     auto s = settings();
     s.mayCancel = true;
@@ -421,15 +447,20 @@
         host.batch({nodes({node("a", 0)})});
         ASSERT_EQ(only<ForwardRequest>(host.batch({request(1, cls, 1, host.now)})).size(), 1u);
         std::vector<Action> all;
-        for (RequestId id = 2; id <= 14; ++id) {    // each is answered after 20 ms
+        for (RequestId id = 2; id <= 14; ++id) {  // each is answered after 20 ms
             host.batch({request(id, 0, 1, host.now)});
-            for (auto& a : host.runTo(host.now + 20 * kMs)) all.push_back(a);
-            for (auto& a : host.batch({ended(id, 0, "a", Outcome::Ok)})) all.push_back(a);
-            if (id <= 6) { EXPECT_TRUE(only<CancelAttempt>(all).empty()); }    // by 100 ms: it may be a slow one
+            for (auto& a : host.runTo(host.now + 20 * kMs))
+                all.push_back(a);
+            for (auto& a : host.batch({ended(id, 0, "a", Outcome::Ok)}))
+                all.push_back(a);
+            if (id <= 6) {
+                EXPECT_TRUE(only<CancelAttempt>(all).empty());
+            }  // by 100 ms: it may be a slow one
         }
         const auto cancels = only<CancelAttempt>(all);
         ASSERT_EQ(cancels.empty(), cls == 2);
-        for (const auto& c : cancels) EXPECT_EQ(c.id, 1u);
+        for (const auto& c : cancels)
+            EXPECT_EQ(c.id, 1u);
         if (cls == 2) continue;
         const auto again = only<ForwardRequest>(host.batch({ended(1, 0, "a", Outcome::Cancelled)}));
         ASSERT_EQ(again.size(), 1u);
@@ -442,19 +473,19 @@
     Host h = ready();
     for (RequestId id = 1; id <= 5; ++id) {
         auto r = request(id, 0, 1, h.now, 6);
-        if (id <= 3) r.volume = "another";      // takes the three places of the first bound
+        if (id <= 3) r.volume = "another";  // takes the three places of the first bound
         ASSERT_EQ(only<ForwardRequest>(h.batch({r})).size(), id <= 3 ? 1u : 0u);
     }
     const auto first = only<RejectRequest>(h.batch({CapacityNeeded{1}}));
     ASSERT_EQ(first.size(), 1u);
-    EXPECT_EQ(first[0].id, 5u);     // 4 lies inside its volume's reserve
+    EXPECT_EQ(first[0].id, 5u);  // 4 lies inside its volume's reserve
     EXPECT_GT(first[0].retryAfterUs, 0);
     EXPECT_EQ(finals(h.batch({CapacityNeeded{9}})), 1u);
     EXPECT_EQ(finals(h.batch({CapacityNeeded{1}})), 0u);
 }
 
-// While a release leaves a cell without a node, nothing is crowded there: its level fell to nothing all the same,
-// and the new node stood idle for seconds while its cell's work was refused as spare.
+// While a release leaves a cell without a node, nothing is crowded there: its level fell to nothing all the
+// same, and the new node stood idle for seconds while its cell's work was refused as spare.
 TEST(Shares, ACellThatWasWithoutANodeServesAllItsWorkOnceItHasOne) {
     Host h = ready();
     RequestId id = 0;
@@ -464,7 +495,7 @@
         h.runTo(h.now + 100 * kMs);
     }
     h.batch({nodes({node("c", 0)}, EndpointListKind::Delta)});
-    for (int i = 0; i < 20; ++i) {      // each is answered before the next one comes
+    for (int i = 0; i < 20; ++i) {  // each is answered before the next one comes
         ASSERT_EQ(only<ForwardRequest>(h.batch({request(++id, 0, 1, h.now, 6)})).size(), 1u) << i;
         h.runTo(h.now + 20 * kMs);
         h.batch({ended(id, 0, "c", Outcome::Ok)});
@@ -476,14 +507,16 @@
     auto s = settings();
     s.mayCancel = true;
     const Micros aim = 80 * kMs;
-    for (auto& c : s.classes) c.latencyObjectiveUs = aim;
+    for (auto& c : s.classes)
+        c.latencyObjectiveUs = aim;
     Host host(s, kStart);
     host.batch({nodes({node("a", 0)})});
     host.batch({request(1, 0, 1, host.now)});
     std::vector<Action> all;
-    for (RequestId id = 2; host.now < kStart + aim * 3 / 4; ++id) {    // each is answered after 5 ms
+    for (RequestId id = 2; host.now < kStart + aim * 3 / 4; ++id) {  // each is answered after 5 ms
         host.batch({request(id, 0, 1, host.now)});
-        for (auto& a : host.runTo(host.now + 5 * kMs)) all.push_back(a);
+        for (auto& a : host.runTo(host.now + 5 * kMs))
+            all.push_back(a);
         host.batch({ended(id, 0, "a", Outcome::Ok, 5 * kMs)});
     }
     const auto cancels = only<CancelAttempt>(all);
@@ -491,7 +524,8 @@
     EXPECT_EQ(cancels[0].id, 1u);
 }
 
-// With nothing sent later there is no answer that overtakes: a probe that came back says that the answer was lost.
+// With nothing sent later there is no answer that overtakes: a probe that came back says that the answer was
+// lost.
 TEST(Health, ANodeThatGotNothingLaterIsProbedOnceAndItsAnswerCountsAsALaterOne) {
     for (const auto outcome : {Outcome::Ok, Outcome::Timeout}) {
         auto s = settings();
@@ -501,7 +535,7 @@
         host.batch({request(1, 0, 1, host.now)});
         const auto actions = host.runTo(host.now + 1500 * kMs);
         EXPECT_EQ(only<StartHealthCheck>(actions).size(), 1u);
-        EXPECT_TRUE(only<CancelAttempt>(actions).empty());     // it may be slow
+        EXPECT_TRUE(only<CancelAttempt>(actions).empty());  // it may be slow
         host.batch({HealthCheckCompleted{"a", outcome, 2 * kMs, {}}});
         EXPECT_EQ(only<CancelAttempt>(host.runTo(host.now + 50 * kMs)).empty(), outcome != Outcome::Ok);
     }
