--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-bool AttemptTracker::isTelling(const AttemptOutcome& event, bool heldPlace) {
+bool AttemptTracker::isNodeEvidence(const AttemptOutcome& event, bool heldPlace) {
     if (event.outcome == Outcome::NotStarted) return false;
     if (heldPlace) return !event.requestSpent || event.outcome != Outcome::Rejected;
     return event.outcome != Outcome::Ok && event.outcome != Outcome::Error;
--- a/src/policy/attempt_tracker.h
+++ b/src/policy/attempt_tracker.h
@@ -32,7 +32,7 @@
     /// Whether an outcome says anything of its node.
     /// \param heldPlace whether the attempt was complete and unanswered: else a rejection or an answer says
     /// nothing
-    [[nodiscard]] static bool isTelling(const AttemptOutcome& event, bool heldPlace);
+    [[nodiscard]] static bool isNodeEvidence(const AttemptOutcome& event, bool heldPlace);
     /// An attempt ended, or its node has done its work.
     /// \param units of its request
     /// \param elapsed since it was sent, in microseconds
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -77,7 +77,7 @@
     Node& node = cluster_.node(request->nodeByAttempt.at(event.attempt));
     const bool heldPlace = request->onAttemptEnded(event.attempt);
     if (heldPlace) --node.outstanding;
-    if (attempts_.isTelling(event, heldPlace))
+    if (attempts_.isNodeEvidence(event, heldPlace))
         attempts_.onOutcome(node, request->info.units, event.elapsedUs, event.outcome);
     dispatcher_.queues().markChanged(node.info.cell);
     retries_.onAttemptEnded(*request, event.outcome);
--- a/tests/golden/golden_stored_data_test.cpp
+++ b/tests/golden/golden_stored_data_test.cpp
@@ -66,9 +66,9 @@
     }
     const auto volume = peer::hashOf("vol-limited");
     std::string message = peer::header(7'001);
-    peer::add(message, {peer::kJoin, 3'000, 80, peer::waitCode(4'000) | 2 << 8});
-    peer::add(message, {peer::kAsk, volume, 2, 20'001});
-    peer::add(message, {peer::kMember, std::uint32_t(volume), 1, 0});
+    peer::append(message, peer::UsageReport{3'000, true, {80}, peer::EncodedWait::of(4'000), 2, 0});
+    peer::append(message, peer::LeaseRequest{volume, 2, 20'001});
+    peer::append(message, peer::MembershipNotice{std::uint32_t(volume), 1});
     host.put(kHandedOverAt, PeerMessageReceived{1, message});
     host.put(kHandedOverAt, core::AdminOverrideChanged{"b", {true, kHandedOverAt}});
     hot_restart::Snapshot snapshot;
@@ -90,17 +90,26 @@
 // ---- datagrams
 
 constexpr std::uint64_t kSenderLife = 90'001;
-constexpr std::uint64_t kKey = 3'000;  // kept by host 0, as it is a multiple of the number of hosts
-constexpr std::uint64_t kAskStamp = 20'001;
+constexpr std::uint32_t kKey = 3'000;  // kept by host 0, as it is a multiple of the number of hosts
+constexpr std::uint32_t kAskStamp = 20'001;
 constexpr Micros kLendingFrom = kBegin + 11 * kSecond;  // a host lends without a word of the others
 
 std::uint64_t limitedVolume() { return peer::hashOf("vol-limited"); }
-std::uint64_t cellZero() { return std::uint32_t(peer::hashOf("0")); }
+std::uint32_t cellZero() { return std::uint32_t(peer::hashOf("0")); }
 
 std::string datagram(std::initializer_list<peer::Record> records) {
     std::string message = peer::header(kSenderLife);
     for (const auto& record : records)
-        peer::add(message, record);
+        peer::append(message, record);
+    return message;
+}
+
+/// A record of hosts before lease recovery had datagrams of its own.
+std::string oldRecord(peer::Tag tag) {
+    std::string message = peer::header(kSenderLife);
+    peer::Writer writer(message);
+    writer.put(tag);
+    writer.put(17, peer::kOldRecordBytes);
     return message;
 }
 
@@ -117,18 +126,18 @@
 
 Datagrams constructedDatagrams() {
     Datagrams all;
-    const std::uint64_t state = peer::waitCode(30'000) | 3 << 8 | 10 << 16;
-    all["use"] = datagram({{peer::kUse, kKey, 160, state}});
-    all["join"] = datagram({{peer::kJoin, kKey, 160, state}});
-    all["ask"] = datagram({{peer::kAsk, limitedVolume(), 7, kAskStamp}});
-    all["return"] = datagram({{peer::kReturn, limitedVolume(), 0, kAskStamp}});
-    all["grant"] =
-        datagram({{peer::kGrant, limitedVolume(), 5 | 320 << 8, (kLendingFrom + 100 * kMs) / 1000 | 1}});
-    all["others"] =
-        datagram({{peer::kOthers, cellZero(), 400, peer::waitCode(5'000'000) | peer::rateCode(20) << 8}});
-    all["member"] = datagram({{peer::kMember, std::uint32_t(limitedVolume()), 2, 0}});
-    all["old_hello"] = datagram({{peer::kOldHello, 17, 0, 0}});
-    all["old_welcome"] = datagram({{peer::kOldWelcome, 17, 0, 0}});
+    const auto wait = peer::EncodedWait::of(30'000);
+    const auto grantStamp = std::uint32_t((kLendingFrom + 100 * kMs) / 1000 | 1);
+    all["use"] = datagram({peer::UsageReport{kKey, false, {160}, wait, 3, 10}});
+    all["join"] = datagram({peer::UsageReport{kKey, true, {160}, wait, 3, 10}});
+    all["ask"] = datagram({peer::LeaseRequest{limitedVolume(), 7, kAskStamp}});
+    all["return"] = datagram({peer::LeaseReturn{limitedVolume(), 0, kAskStamp}});
+    all["grant"] = datagram({peer::LeaseGrant{limitedVolume(), 5, {320}, grantStamp}});
+    all["others"] = datagram({peer::UsageAggregate{
+        cellZero(), {400}, peer::EncodedWait::of(5'000'000), peer::EncodedRate::of(20)}});
+    all["member"] = datagram({peer::MembershipNotice{std::uint32_t(limitedVolume()), 2}});
+    all["old_hello"] = oldRecord(peer::Tag::OldHello);
+    all["old_welcome"] = oldRecord(peer::Tag::OldWelcome);
     // Host 0 leaves and starts again; host 1 keeps its notice, host 2 does not know of it.
     fleet::RestartRecovery earlier(arrivalTerms(0), kBegin - 20 * kSecond);
     fleet::RestartRecovery keeper(arrivalTerms(1), kBegin - 20 * kSecond);
@@ -160,17 +169,20 @@
 /// The records that a host tells another one with these actions.
 std::vector<peer::Record> recordsTo(int to, const std::vector<Action>& actions) {
     std::vector<peer::Record> records;
-    std::uint64_t life = 0;
-    for (const auto& told : only<SendPeerMessage>(actions))
-        if (told.to == to && !fleet::RestartRecovery::isRecoveryDatagram(told.bytes))
-            CHECK(peer::read(told.bytes, life, records));
+    for (const auto& told : only<SendPeerMessage>(actions)) {
+        if (!(told.to == to && !fleet::RestartRecovery::isRecoveryDatagram(told.bytes))) continue;
+        const auto message = peer::decode(told.bytes);
+        CHECK(message.has_value());
+        if (message) records.insert(records.end(), message->records.begin(), message->records.end());
+    }
     return records;
 }
 
-std::vector<peer::Record> withTag(std::uint8_t tag, const std::vector<peer::Record>& records) {
-    std::vector<peer::Record> found;
+template <typename T>
+std::vector<T> ofKind(const std::vector<peer::Record>& records) {
+    std::vector<T> found;
     for (const auto& record : records)
-        if (record.tag == tag) found.push_back(record);
+        if (const auto* typed = std::get_if<T>(&record)) found.push_back(*typed);
     return found;
 }
 
@@ -261,17 +273,17 @@
 TEST_CASE("golden datagrams: use and join are answered with what the others ask, and with the members") {
     const auto datagrams = goldenDatagrams();
     LongRunningHost host;
-    const auto others = withTag(peer::kOthers, recordsTo(1, host.hear(1, datagrams.at("use"))));
+    const auto others = ofKind<peer::UsageAggregate>(recordsTo(1, host.hear(1, datagrams.at("use"))));
     REQUIRE(others.size() == 1);
-    CHECK(others[0].a == kKey);
-    CHECK(others[0].b == 0);  // nobody else asks for it
+    CHECK(others[0].key == kKey);
+    CHECK(others[0].rate.sixteenths == 0);  // nobody else asks for it
     const auto toSecond = recordsTo(2, host.hear(2, datagrams.at("join")));
-    REQUIRE(withTag(peer::kOthers, toSecond).size() == 1);
-    CHECK(withTag(peer::kOthers, toSecond)[0].b == 160);
-    REQUIRE(withTag(peer::kMember, toSecond).size() == 2);  // itself, joined as a member of the key
+    REQUIRE(ofKind<peer::UsageAggregate>(toSecond).size() == 1);
+    CHECK(ofKind<peer::UsageAggregate>(toSecond)[0].rate.sixteenths == 160);
+    REQUIRE(ofKind<peer::MembershipNotice>(toSecond).size() == 2);  // itself, joined as a member of the key
     const auto toFirst = recordsTo(2, host.hear(1, datagrams.at("join")));
-    REQUIRE(withTag(peer::kMember, toFirst).size() == 1);
-    CHECK(withTag(peer::kMember, toFirst)[0].b == 1);
+    REQUIRE(ofKind<peer::MembershipNotice>(toFirst).size() == 1);
+    CHECK(ofKind<peer::MembershipNotice>(toFirst)[0].host == 1);
     CHECK(host.policy.recovery().counters().malformed == 0);
 }
 
@@ -279,17 +291,17 @@
     const auto datagrams = goldenDatagrams();
     LongRunningHost host;
     host.batch({request(1, 0, 0, host.now, 1, 0, kHosts)});
-    const auto granted = withTag(peer::kGrant, recordsTo(1, host.hear(1, datagrams.at("ask"))));
+    const auto granted = ofKind<peer::LeaseGrant>(recordsTo(1, host.hear(1, datagrams.at("ask"))));
     REQUIRE(granted.size() == 1);
-    CHECK(granted[0].a == limitedVolume());
-    CHECK(granted[0].c == kAskStamp);
-    CHECK((granted[0].b & 255) >= 4);
-    const auto rest = withTag(peer::kGrant, recordsTo(2, host.hear(2, datagrams.at("ask"))));
-    const auto lentBefore = rest.empty() ? 0 : rest[0].b & 255;
+    CHECK(granted[0].volume == limitedVolume());
+    CHECK(granted[0].stamp == kAskStamp);
+    CHECK(granted[0].chunks >= 4);
+    const auto rest = ofKind<peer::LeaseGrant>(recordsTo(2, host.hear(2, datagrams.at("ask"))));
+    const auto lentBefore = rest.empty() ? 0 : int(rest[0].chunks);
     host.hear(1, datagrams.at("return"));
-    const auto again = withTag(peer::kGrant, recordsTo(2, host.hear(2, datagrams.at("ask"))));
+    const auto again = ofKind<peer::LeaseGrant>(recordsTo(2, host.hear(2, datagrams.at("ask"))));
     REQUIRE(again.size() == 1);
-    CHECK((again[0].b & 255) > lentBefore);
+    CHECK(int(again[0].chunks) > lentBefore);
 }
 
 TEST_CASE("golden datagrams: a member is asked, and its grant lets waiting requests go") {
@@ -303,9 +315,9 @@
         for (RequestId id = 2; id < 40; ++id)
             burst.push_back(request(id, 0, 0, host.now, 2, 0, kHosts));
         const auto actions = host.batch(burst);
-        const auto asks = withTag(peer::kAsk, recordsTo(2, actions));
+        const auto asks = ofKind<peer::LeaseRequest>(recordsTo(2, actions));
         CHECK(asks.size() == (heardOfMember ? 1 : 0));
-        if (heardOfMember) CHECK(asks[0].c == ((kLendingFrom + 100 * kMs) / 1000 | 1));
+        if (heardOfMember) CHECK(asks[0].stamp == ((kLendingFrom + 100 * kMs) / 1000 | 1));
         host.now += kMs;
         return heardGrant ? only<ForwardRequest>(host.hear(2, datagrams.at("grant"))).size() : 0;
     };
