--- a/src/net/byte_budget.h
+++ b/src/net/byte_budget.h
@@ -1,5 +1,7 @@
-// Bytes of bodies that may be held at one time, by all requests and answers together: what the memory limit
-// leaves.
+/// \file
+/// Limits the bytes of message bodies that all requests and responses together hold in memory. Owns the count
+/// of reserved bytes, nothing of the bodies themselves. The limit is what the memory setting leaves beside
+/// the connections' ring buffers.
 #pragma once
 
 #include <cstddef>
@@ -7,21 +9,30 @@
 
 namespace wingproxy::net {
 
+/// A counter of reserved bytes with a limit. Single-threaded: all calls are made on the event loop.
 class ByteBudget {
 public:
-    using Hold = std::shared_ptr<void>;  // gives its bytes back when the last copy goes
-    explicit ByteBudget(std::size_t most) : most_(most), held_(std::make_shared<std::size_t>(0)) {}
-    // Empty where the bytes do not fit.
+    /// A reservation. Its bytes return to the budget when the last copy is destroyed, which may be after the
+    /// budget itself is gone.
+    using Hold = std::shared_ptr<void>;
+
+    /// \param limit in bytes
+    explicit ByteBudget(std::size_t limit) : limit_(limit), reserved_(std::make_shared<std::size_t>(0)) {}
+
+    /// Reserves `bytes`.
+    /// \return an empty pointer if they do not fit beside what is reserved already
     Hold take(std::size_t bytes) {
-        if (bytes > most_ || *held_ > most_ - bytes) return nullptr;
-        *held_ += bytes;
-        return Hold(held_.get(), [held = held_, bytes](void*) { *held -= bytes; });
+        if (bytes > limit_ || *reserved_ > limit_ - bytes) return nullptr;
+        *reserved_ += bytes;
+        return Hold(reserved_.get(), [reserved = reserved_, bytes](void*) { *reserved -= bytes; });
     }
-    std::size_t held() const { return *held_; }
+
+    /// The bytes reserved now.
+    std::size_t held() const { return *reserved_; }
 
 private:
-    std::size_t most_;
-    std::shared_ptr<std::size_t> held_;
+    std::size_t limit_;
+    std::shared_ptr<std::size_t> reserved_;
 };
 
 }  // namespace wingproxy::net
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,5 +1,5 @@
-// The one clock: Unix microseconds, as startedAtMs counts, that never fall when the system's time is set
-// back.
+/// \file
+/// The process's one clock, and the only place where the policy's `Micros` and std::chrono meet.
 #pragma once
 
 #include <chrono>
@@ -8,25 +8,32 @@
 
 namespace wingproxy::net {
 
+/// Unix time in microseconds that never goes back: the system clock is read once, at construction, and the
+/// steady clock is added to it. Unix time is needed because `startedAtMs` of the endpoint list counts so.
 class Clock {
 public:
     Clock()
-        : base_(std::chrono::duration_cast<std::chrono::microseconds>(
-                    std::chrono::system_clock::now().time_since_epoch())
-                    .count()),
-          from_(std::chrono::steady_clock::now()) {}
-    Micros now() const {
-        return base_ +
-               std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now() - from_)
-                   .count();
-    }
+        : startUs_(std::chrono::duration_cast<std::chrono::microseconds>(
+                       std::chrono::system_clock::now().time_since_epoch())
+                       .count()),
+          start_(std::chrono::steady_clock::now()) {}
+
+    /// Microseconds since the Unix epoch.
+    Micros now() const { return startUs_ + sinceStart().count(); }
+
+    /// The point of the steady clock at which `now()` is `when`; timers are set to it.
     std::chrono::steady_clock::time_point at(Micros when) const {
-        return from_ + std::chrono::microseconds(when - base_);
+        return start_ + std::chrono::microseconds(when - startUs_);
     }
 
 private:
-    Micros base_;
-    std::chrono::steady_clock::time_point from_;
+    std::chrono::microseconds sinceStart() const {
+        return std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now() -
+                                                                     start_);
+    }
+
+    Micros startUs_;
+    std::chrono::steady_clock::time_point start_;
 };
 
 }  // namespace wingproxy::net
--- a/src/net/http_step.h
+++ b/src/net/http_step.h
@@ -1,9 +1,12 @@
-// Beast's parser over a ring, the same for requests and answers: whole messages, or bodies piece by piece.
+/// \file
+/// Incremental HTTP/1.x parsing of what a ring buffer holds, for requests and responses alike: Beast's parser
+/// is fed from the ring, and bodies are taken out piece by piece.
 #pragma once
 
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <array>
 #include <boost/beast/http/buffer_body.hpp>
 #include <boost/beast/http/error.hpp>
 #include <boost/beast/http/parser.hpp>
@@ -17,15 +20,19 @@
 
 namespace wingproxy::net {
 
-// A head is at most this long, and never longer than the ring: the parser wants it whole there.
+/// The longest message head, in bytes: 8 KiB, but never more than the ring, as the parser needs the complete
+/// head there.
 inline std::uint32_t headLimit(const RingBuffer& in) {
-    return std::uint32_t(std::min<std::size_t>(8 * 1024, in.capacity()));
+    constexpr std::size_t kMaxHeadBytes = std::size_t{8} * 1024;
+    return std::uint32_t(std::min<std::size_t>(kMaxHeadBytes, in.capacity()));
 }
 
-// False: no more can be done with the bytes that are there; the error says so where they cannot be read.
+/// Feeds the bytes of `in` to `parser` once and consumes what it used.
+/// \param error set if the bytes are no valid message
+/// \return false: nothing more can be parsed from the bytes that are here
 template <typename Parser>
 bool step(Parser& parser, RingBuffer& in, boost::system::error_code& error) {
-    // An eager parser loses the error of a length over the limit where the body's first bytes are there.
+    // An eager parser loses the error of a length over the limit if the body's first bytes are here already.
     parser.eager(parser.is_header_done());
     const auto used = parser.put(in.data(), error);
     in.consume(used);
@@ -34,73 +41,104 @@
     return used > 0;
 }
 
-// A piece of a body for the other side; in chunks it takes up to kFrame bytes besides.
+/// The most bytes that the chunked coding adds to one piece: its size in hexadecimal digits and two line
+/// ends.
 constexpr std::size_t kFrame = 16;
+
+/// Appends a piece of a body to `out`, framed as one chunk if `chunked`. The caller makes sure that the piece
+/// fits, with `kFrame` bytes more if chunked.
 inline void putPiece(RingBuffer& out, std::string_view piece, bool chunked) {
     if (chunked) out.put(fmt::format("{:x}\r\n", piece.size()));
     out.put(piece);
     if (chunked) out.put("\r\n");
 }
 
-// A message whose body is taken out in pieces of any size, as far as its bytes are in the ring.
+/// Reads one message: first its head, then its body in pieces of any size, as far as the ring has the bytes.
 template <bool isRequest>
 class MessageReader {
 public:
     using Parser = boost::beast::http::parser<isRequest, boost::beast::http::buffer_body>;
-    MessageReader(const RingBuffer& in, std::size_t mostBody) {
+
+    /// \param in the ring that is read later on; its capacity limits the head
+    /// \param maxBodyBytes a longer body is an error
+    MessageReader(const RingBuffer& in, std::size_t maxBodyBytes) {
         parser_.header_limit(headLimit(in));
-        parser_.body_limit(mostBody);
+        parser_.body_limit(maxBodyBytes);
     }
-    // Reads on in the head; true once it is whole.
+
+    /// Goes on with the head.
+    /// \return true once it is complete
     bool head(RingBuffer& in, boost::system::error_code& error) {
         while (in.size() > 0 && !parser_.is_header_done() && step(parser_, in, error)) {}
         return !error && parser_.is_header_done();
     }
-    // Moves up to n bytes of the body to where they are wanted. 0: no more are here, or the error says why.
-    std::size_t body(RingBuffer& in, char* to, std::size_t n, boost::system::error_code& error) {
+
+    /// Moves up to `count` bytes of the body to `to`.
+    /// \return how many were moved; 0: none is here, the body is complete, or `error` says what is wrong
+    std::size_t body(RingBuffer& in, char* to, std::size_t count, boost::system::error_code& error) {
         auto& body = parser_.get().body();
         body.data = to;
-        body.size = n;
+        body.size = count;
         body.more = true;
         parser_.eager(true);
-        while (in.size() > 0 && body.size > 0 && !parser_.is_done()) {
-            const auto used = parser_.put(in.data(), error);
-            in.consume(used);
-            const bool full = error == boost::beast::http::error::need_buffer;
-            const bool short_ = error == boost::beast::http::error::need_more;
-            if (full || short_) error = {};
-            if (error || full || (short_ && used == 0)) break;
-        }
-        // The end may hide behind the last byte: a length of which nothing is left, a last chunk.
-        const auto moved = n - body.size;
+        // Goes on until the parser is done even if no byte of the body is left to come: the end may follow
+        // the last byte, as the last chunk does.
+        while (in.size() > 0 && body.size > 0 && !parser_.is_done() && bodyStep(in, error)) {}
+        const auto moved = count - body.size;
         body.data = nullptr;
         body.size = 0;
         return moved;
     }
-    // Adds what is here of the body, until the text is longer than that.
-    void append(RingBuffer& in, std::string& to, std::size_t most, boost::system::error_code& error) {
-        char piece[16 * 1024];
-        for (auto n = sizeof piece; n == sizeof piece && to.size() <= most && !error;) {
-            n = body(in, piece, sizeof piece, error);
-            to.append(piece, n);
+
+    /// Appends what is here of the body to `to`; stops once `to` is longer than `maxBytes`.
+    void append(RingBuffer& in, std::string& to, std::size_t maxBytes, boost::system::error_code& error) {
+        // Zeroing 16 KiB on each call would cost more than reading a short body.
+        // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init): only bytes that body() wrote are read
+        std::array<char, 16 * 1024> piece;
+        auto count = piece.size();
+        while (count == piece.size() && to.size() <= maxBytes && !error) {
+            count = body(in, piece.data(), piece.size(), error);
+            to.append(piece.data(), count);
         }
     }
-    // The other side closed, which ends a body without a length.
+
+    /// The sender closed its side, which ends a body without a length.
+    /// \param error set if the message is incomplete
     void ended(boost::system::error_code& error) { parser_.put_eof(error); }
+    /// Whether head and body are complete.
     bool done() const { return parser_.is_done(); }
+    /// Whether any byte of the message has been read.
     bool gotSome() const { return parser_.got_some(); }
+    /// Gives access to the head.
     const Parser& parser() const { return parser_; }
     Parser& parser() { return parser_; }
 
 private:
+    // Returns false where the parser needs another buffer, more bytes, or found an error.
+    bool bodyStep(RingBuffer& in, boost::system::error_code& error) {
+        const auto used = parser_.put(in.data(), error);
+        in.consume(used);
+        if (error == boost::beast::http::error::need_buffer) {
+            error = {};
+            return false;
+        }
+        if (error == boost::beast::http::error::need_more) {
+            error = {};
+            return used > 0;
+        }
+        return !error;
+    }
+
     Parser parser_;
 };
 
-// Room for the body that a whole head announces: its length, or all that may come where none is told.
+/// Reserves the memory for the body that a complete head announces.
+/// \param maxBytes reserved where the head names no length
+/// \return an empty pointer if the budget has not so much left
 template <typename Parser>
-ByteBudget::Hold holdBody(Parser& parser, ByteBudget& budget, std::size_t most) {
-    const auto length = parser.content_length();
-    return budget.take(length ? std::size_t(*length) : parser.is_done() ? 0 : most);
+ByteBudget::Hold holdBody(Parser& parser, ByteBudget& budget, std::size_t maxBytes) {
+    if (const auto length = parser.content_length()) return budget.take(std::size_t(*length));
+    return budget.take(parser.is_done() ? 0 : maxBytes);
 }
 
 }  // namespace wingproxy::net
--- a/src/net/ring_buffer.h
+++ b/src/net/ring_buffer.h
@@ -1,4 +1,6 @@
-// A bounded ring of bytes: one for each connection and direction.
+/// \file
+/// A bounded ring of bytes; each connection owns one for each direction, so that its memory is fixed from the
+/// start.
 #pragma once
 
 #include <algorithm>
@@ -11,66 +13,88 @@
 
 namespace wingproxy::net {
 
-// Bytes of a ring, by the memory and the descriptors that the configuration gives: at the least a head of
-// ordinary length fits, and beyond the most nothing is gained.
-constexpr std::size_t kMostRing = 16 * 1024, kLeastRing = 4 * 1024;
+/// The largest ring, in bytes: a larger one does not raise the throughput.
+constexpr std::size_t kMostRing = std::size_t{16} * 1024;
+/// The smallest ring, in bytes: a message head of ordinary length fits. The size between the two follows from
+/// the configured memory and descriptors.
+constexpr std::size_t kLeastRing = std::size_t{4} * 1024;
 
+/// A first-in, first-out queue of bytes with a fixed capacity. Asynchronous reads and writes work directly on
+/// its memory: `room()` stays valid while bytes are consumed, and `data()` while bytes are committed.
 class RingBuffer {
 public:
+    /// \param capacity in bytes, above 0
     explicit RingBuffer(std::size_t capacity) : bytes_(new char[capacity]), capacity_(capacity) {}
+
+    /// The number of bytes held.
     std::size_t size() const { return size_; }
+    /// The number of bytes that still fit.
     std::size_t space() const { return capacity_ - size_; }
+    /// The number of bytes that fit into an empty ring.
     std::size_t capacity() const { return capacity_; }
+    /// Consumes all bytes.
     void clear() { consume(size_); }
 
-    // What is held, oldest first; the second part is empty unless the bytes wrap.
+    /// The bytes held, oldest first; the second part is empty unless they wrap around.
     std::array<boost::asio::const_buffer, 2> data() const {
         const auto first = std::min(size_, capacity_ - head_);
         return {boost::asio::const_buffer(bytes_.get() + head_, first),
                 boost::asio::const_buffer(bytes_.get(), size_ - first)};
     }
-    // Where to read into; commit() what was read.
+
+    /// The free memory, for a read into it; `commit()` the bytes that were read.
     std::array<boost::asio::mutable_buffer, 2> room() {
         const auto tail = (head_ + size_) % capacity_;
         const auto first = size_ == capacity_ ? 0 : std::min(space(), capacity_ - tail);
         return {boost::asio::mutable_buffer(bytes_.get() + tail, first),
                 boost::asio::mutable_buffer(bytes_.get(), space() - first)};
     }
-    void commit(std::size_t n) { size_ += std::min(n, space()); }
-    void consume(std::size_t n) {
-        // The head is never set back to 0: a read may be under way into the room behind the tail.
-        n = std::min(n, size_);
-        size_ -= n;
-        head_ = (head_ + n) % capacity_;
+
+    /// Adds the first `count` bytes of `room()`, at most `space()`, to the bytes held.
+    void commit(std::size_t count) { size_ += std::min(count, space()); }
+
+    /// Drops the oldest `count` bytes, at most `size()`.
+    void consume(std::size_t count) {
+        // The head is never reset to 0: a read into the room behind the tail may be in progress.
+        count = std::min(count, size_);
+        size_ -= count;
+        head_ = (head_ + count) % capacity_;
     }
-    // The newest n bytes, in order.
-    std::array<std::string_view, 2> newest(std::size_t n) const {
+
+    /// The newest `count` bytes, at most `size()`, in order and in two parts like `data()`.
+    std::array<std::string_view, 2> newest(std::size_t count) const {
         std::array<std::string_view, 2> parts;
-        std::size_t skip = size_ - std::min(n, size_), i = 0;
+        std::size_t skip = size_ - std::min(count, size_);
+        std::size_t index = 0;
         for (const auto& part : data()) {
             const auto cut = std::min(skip, part.size());
             skip -= cut;
-            parts[i++] = {static_cast<const char*>(part.data()) + cut, part.size() - cut};
+            parts[index] = {static_cast<const char*>(part.data()) + cut, part.size() - cut};
+            ++index;
         }
         return parts;
     }
-    // Takes one line without its end, if a whole one is there.
+
+    /// Moves the oldest line, without its "\n" or "\r\n", to `into`.
+    /// \return false: no complete line is here, nothing was consumed, and `into` has no meaning
     bool line(std::string& into) {
-        std::size_t at = 0;
+        std::size_t scanned = 0;
         into.clear();
         for (const auto& part : newest(size_)) {
             const auto end = part.find('\n');
             into.append(part.substr(0, end));
             if (end != std::string_view::npos) {
-                consume(at + end + 1);
+                consume(scanned + end + 1);
                 if (!into.empty() && into.back() == '\r') into.pop_back();
                 return true;
             }
-            at += part.size();
+            scanned += part.size();
         }
         return false;
     }
-    // Takes as much of the text as fits; returns how much that was.
+
+    /// Appends as much of `text` as fits.
+    /// \return the number of bytes appended
     std::size_t put(std::string_view text) {
         const auto taken = boost::asio::buffer_copy(room(), boost::asio::buffer(text.data(), text.size()));
         commit(taken);
@@ -79,7 +103,9 @@
 
 private:
     std::unique_ptr<char[]> bytes_;
-    std::size_t capacity_, head_ = 0, size_ = 0;
+    std::size_t capacity_;
+    std::size_t head_ = 0;  // index of the oldest byte
+    std::size_t size_ = 0;
 };
 
 }  // namespace wingproxy::net
--- /dev/null
+++ b/tests/net/message_reader_test.cpp
@@ -0,0 +1,121 @@
+// Incremental parsing of HTTP messages out of a ring buffer.
+#include <doctest/doctest.h>
+
+#include "net/http_step.h"
+#include "net/reader_support.h"
+
+using namespace wingproxy;
+using test::ringWith;
+
+namespace {
+
+constexpr std::size_t kMaxBody = 64;
+
+}  // namespace
+
+TEST_CASE("message reader: the head limit is 8 KiB, or the ring's capacity where that is less") {
+    CHECK(net::headLimit(net::RingBuffer(16 * 1024)) == 8 * 1024);
+    CHECK(net::headLimit(net::RingBuffer(4 * 1024)) == 4 * 1024);
+}
+
+TEST_CASE("message reader: a head that comes in parts is complete with its last byte") {
+    net::RingBuffer in(1024);
+    net::MessageReader<true> reader(in, kMaxBody);
+    boost::system::error_code error;
+    in.put("GET / HTTP/1.1\r\nHost: a\r\n");
+    CHECK(!reader.head(in, error));
+    CHECK(reader.gotSome());
+    in.put("\r\n");
+    CHECK(reader.head(in, error));
+    CHECK(!error);
+    CHECK(reader.done());
+}
+
+TEST_CASE("message reader: a body is taken out in pieces of the size asked for") {
+    auto in = ringWith("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nabcde");
+    net::MessageReader<true> reader(in, kMaxBody);
+    boost::system::error_code error;
+    REQUIRE(reader.head(in, error));
+    std::array<char, 3> piece{};
+    CHECK(reader.body(in, piece.data(), piece.size(), error) == 3);
+    CHECK(std::string_view(piece.data(), 3) == "abc");
+    CHECK(!reader.done());
+    CHECK(reader.body(in, piece.data(), piece.size(), error) == 2);
+    CHECK(std::string_view(piece.data(), 2) == "de");
+    CHECK(!error);
+    CHECK(reader.done());
+}
+
+TEST_CASE("message reader: the body of a chunked message comes without its framing") {
+    auto in = ringWith(
+        "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
+    net::MessageReader<true> reader(in, kMaxBody);
+    boost::system::error_code error;
+    REQUIRE(reader.head(in, error));
+    std::string body;
+    reader.append(in, body, kMaxBody, error);
+    CHECK(body == "abcde");
+    CHECK(!error);
+    CHECK(reader.done());
+    CHECK(in.size() == 0);
+}
+
+TEST_CASE("message reader: a body whose bytes have not come yet gives none and no error") {
+    auto in = ringWith("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n");
+    net::MessageReader<true> reader(in, kMaxBody);
+    boost::system::error_code error;
+    REQUIRE(reader.head(in, error));
+    char byte = 0;
+    CHECK(reader.body(in, &byte, 1, error) == 0);
+    CHECK(!error);
+    CHECK(!reader.done());
+}
+
+TEST_CASE("message reader: what is no message is an error") {
+    auto in = ringWith("no message\r\n\r\n");
+    net::MessageReader<true> reader(in, kMaxBody);
+    boost::system::error_code error;
+    CHECK(!reader.head(in, error));
+    CHECK(error);
+}
+
+TEST_CASE("message reader: a length above the body limit is an error of the head") {
+    auto in = ringWith("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 65\r\n\r\nabc");
+    net::MessageReader<true> reader(in, kMaxBody);
+    boost::system::error_code error;
+    CHECK(!reader.head(in, error));
+    CHECK(error == boost::beast::http::error::body_limit);
+}
+
+TEST_CASE("message reader: a piece is framed as one chunk only where that is asked for") {
+    net::RingBuffer out(64);
+    net::putPiece(out, "0123456789abcdef", true);
+    net::putPiece(out, "plain", false);
+    const auto parts = out.newest(out.size());
+    CHECK(std::string(parts[0]) == "10\r\n0123456789abcdef\r\nplain");
+}
+
+TEST_CASE("message reader: memory is reserved for the announced length, or the most where none is named") {
+    net::ByteBudget budget(100);
+    boost::system::error_code error;
+    auto sized = ringWith("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n");
+    net::MessageReader<true> sizedReader(sized, kMaxBody);
+    REQUIRE(sizedReader.head(sized, error));
+    const auto five = net::holdBody(sizedReader.parser(), budget, 40);
+    CHECK(budget.held() == 5);
+    auto chunked = ringWith("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n");
+    net::MessageReader<true> chunkedReader(chunked, kMaxBody);
+    REQUIRE(chunkedReader.head(chunked, error));
+    const auto most = net::holdBody(chunkedReader.parser(), budget, 40);
+    CHECK(budget.held() == 45);
+}
+
+TEST_CASE("message reader: a message without a body reserves no memory, but succeeds") {
+    net::ByteBudget budget(100);
+    boost::system::error_code error;
+    auto in = ringWith("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
+    net::MessageReader<true> reader(in, kMaxBody);
+    REQUIRE(reader.head(in, error));
+    CHECK(net::holdBody(reader.parser(), budget, 40) != nullptr);
+    CHECK(budget.held() == 0);
+}
--- /dev/null
+++ b/tests/net/reader_support.h
@@ -0,0 +1,18 @@
+// Feeds HTTP messages to a ring buffer for the tests of the readers.
+#pragma once
+
+#include <string>
+#include <string_view>
+
+#include "net/ring_buffer.h"
+
+namespace wingproxy::test {
+
+// A ring that holds `text`, which must fit.
+inline net::RingBuffer ringWith(std::string_view text, std::size_t capacity = 1024) {
+    net::RingBuffer ring(capacity);
+    ring.put(text);
+    return ring;
+}
+
+}  // namespace wingproxy::test
