--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,4 +1,6 @@
-// Accepts connections within a budget of descriptors and survives running out of them.
+/// \file
+/// Accepts TCP connections within a limit, and survives running out of descriptors. Owns the listening
+/// socket.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -9,27 +11,41 @@
 
 namespace wingproxy::net {
 
+/// A listening socket on the event loop.
 class Listener {
 public:
+    /// The owner of the accepted connections; it holds their limit.
     struct Hooks {
+        /// Takes a connection, non-blocking and without delay of small segments.
         std::function<void(boost::asio::ip::tcp::socket)> accepted;
-        std::function<bool()> full;      // the budget is spent
-        std::function<bool()> makeRoom;  // closes an idle connection, if there is one
+        /// Whether no further connection is allowed.
+        std::function<bool()> full;
+        /// Closes an idle connection to make capacity. Returns false: there is none.
+        std::function<bool()> evictOne;
     };
-    // A descriptor that is given is the listening socket, which another process may have as well: it is
-    // neither bound nor shut down here.
-    Listener(boost::asio::io_context& io, const config::Endpoint& at, Hooks hooks, int inherited = -1);
-    void open();                       // from now on it accepts
-    void close();                      // takes what the system has accepted, then closes
-    void release();                    // closes this process's descriptor; what waits is another's
-    config::Endpoint address() const;  // as bound
+
+    /// Binds and listens; throws boost::system::system_error if that fails.
+    /// \param inherited the descriptor of a socket that listens already, below 0: none. Another process may
+    /// have it as well, so it is neither bound nor shut down here.
+    Listener(boost::asio::io_context& io, const config::Endpoint& address, Hooks hooks, int inherited = -1);
+
+    /// Starts to accept.
+    void open();
+    /// Accepts the clients that wait in the system's queue, then closes the socket.
+    void close();
+    /// Closes this process's descriptor only; the clients that wait are for another process.
+    void release();
+    /// The address as bound, with the port that the system chose for port 0.
+    config::Endpoint address() const;
 
 private:
-    void accept();
-    void later();
-    void took(boost::asio::ip::tcp::socket socket);
+    void waitForClient();
+    void acceptClient();
+    void retryLater();
+    void handOn(boost::asio::ip::tcp::socket socket);
+
     boost::asio::ip::tcp::acceptor acceptor_;
-    boost::asio::steady_timer pause_;
+    boost::asio::steady_timer retryTimer_;
     Hooks hooks_;
 };
 
--- a/src/net/node_attempt.h
+++ b/src/net/node_attempt.h
@@ -1,4 +1,6 @@
-// What attempts have in common on every wire: a connection of the pool in time, one end, and being abandoned.
+/// \file
+/// What attempts of all protocols have in common: a connection of the pool that is up in time, one result,
+/// and cancellation. Owns the pending acquisition; the connection is the derived class's.
 #pragma once
 
 #include "net/engine.h"
@@ -6,26 +8,37 @@
 
 namespace wingproxy::net {
 
+/// Base of the attempts of a protocol. Engine and pool must outlive it.
 class NodeAttempt : public Attempt, public std::enable_shared_from_this<NodeAttempt> {
 public:
-    NodeAttempt(Engine& engine, NodePool& pool, const AttemptParams& order)
-        : engine_(engine), pool_(pool), order_(order) {}
+    NodeAttempt(Engine& engine, NodePool& pool, const AttemptParams& params)
+        : engine_(engine), pool_(pool), order_(params) {}
+
+    /// Acquires a connection; one that is not up by `AttemptParams::firstByteBy` ends the attempt as
+    /// `Outcome::ConnectFailed`.
     void start();
     void abandon() override;
 
 protected:
-    virtual void connected(std::shared_ptr<Connection> connection) = 0;  // in time: bytes may go out
-    virtual void late(std::shared_ptr<Connection>) {}                    // up, but no byte may go out
-    virtual void drop() = 0;                                             // closes what is open
-    void end(core::AttemptFinished how);                                 // tells the engine, once
+    /// The connection is up in time: bytes may be sent.
+    virtual void connected(std::shared_ptr<Connection> connection) = 0;
+    /// The connection is up too late, and no byte may be sent. It is closed unless this keeps it.
+    virtual void late(std::shared_ptr<Connection> connection) { connection.reset(); }
+    /// Closes what is open. Called once, at the end.
+    virtual void drop() = 0;
+    /// Ends the attempt and reports its result to the engine, unless it has ended before. The ids are filled
+    /// in here.
+    void end(core::AttemptFinished result);
 
     Engine& engine_;
     NodePool& pool_;
     AttemptParams order_;
-    bool over_ = false;
+    bool over_ = false;  ///< ended or abandoned
 
 private:
-    std::shared_ptr<NodePool::Ticket> ticket_;
+    void onAcquired(std::shared_ptr<Connection> connection);
+
+    std::shared_ptr<NodePool::Ticket> acquisition_;
 };
 
 }  // namespace wingproxy::net
--- a/src/net/node_pool.cpp
+++ b/src/net/node_pool.cpp
@@ -2,150 +2,83 @@
 
 #include <algorithm>
 
+#include "net/pool_tickets.h"
+
 namespace wingproxy::net {
 namespace {
 
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-// Only frees what has been idle for too long; each connection is looked at before use besides.
-constexpr std::chrono::seconds kSweepEvery{1};
+// Only frees what has been idle for too long, so a second late does no harm: each connection is checked once
+// more before its use.
+constexpr std::chrono::seconds kSweepInterval{1};
 
-// Quiet and open: an idle connection on which something came, or whose peer closed, is of no more use.
-bool quiet(tcp::socket& socket) {
-    char byte = 0;
-    boost::system::error_code error;
-    socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error);
-    return error == asio::error::would_block || error == asio::error::try_again;
-}
+}  // namespace
 
-class Connecting : public NodePool::Ticket, public std::enable_shared_from_this<Connecting> {
-public:
-    Connecting(asio::io_context& io, std::shared_ptr<Connection> connection, NodePool::Ready ready)
-        : connection_(std::move(connection)), ready_(std::move(ready)), timer_(io) {}
-    void start(std::chrono::microseconds in) {
-        const auto weak = weak_from_this();  // only the ticket's owner keeps it alive
-        timer_.expires_after(in);
-        timer_.async_wait([weak](const boost::system::error_code& error) {
-            if (const auto self = weak.lock(); self && !error) self->done(asio::error::timed_out);
-        });
-        connection_->socket.async_connect(tcpEndpoint(connection_->to),
-                                          [weak, held = connection_](const boost::system::error_code& error) {
-                                              if (const auto self = weak.lock()) self->done(error);
-                                          });
-    }
-    ~Connecting() override {
-        boost::system::error_code ignored;
-        if (connection_) connection_->socket.close(ignored);
-    }
+NodePool::NodePool(asio::io_context& io, Limits limits) : io_(io), limits_(limits), sweepTimer_(io) {
+    closeExpired();
+}
 
-private:
-    void done(const boost::system::error_code& error) {
-        if (!ready_) return;
-        timer_.cancel();
-        const auto keep = shared_from_this();
-        auto connection = std::exchange(connection_, nullptr);
-        boost::system::error_code ignored;
-        if (error)
-            connection->socket.close(ignored), connection = nullptr;
-        else {
-            connection->socket.set_option(tcp::no_delay(true), ignored);
-            connection->socket.non_blocking(true, ignored);
-        }
-        std::exchange(ready_, nullptr)(std::move(connection));
-    }
-    std::shared_ptr<Connection> connection_;
-    NodePool::Ready ready_;
-    asio::steady_timer timer_;
-};
-
-// Reports on a later turn of the loop, so that acquire() never calls back from inside, and once the
-// connection has rested. Bytes that came meanwhile belong to an earlier answer: then another connection is
-// used.
-class Posted : public NodePool::Ticket, public std::enable_shared_from_this<Posted> {
-public:
-    Posted(asio::io_context& io, NodePool& pool, std::shared_ptr<Connection> connection,
-           NodePool::Ready ready)
-        : pool_(pool), rest_(io), connection_(std::move(connection)), ready_(std::move(ready)) {}
-    void start(std::chrono::steady_clock::time_point at) {
-        rest_.expires_at(at);
-        rest_.async_wait([weak = weak_from_this()](const boost::system::error_code&) {
-            const auto self = weak.lock();
-            if (!self) return;
-            const auto connection = std::move(self->connection_);
-            auto ready = std::exchange(self->ready_, nullptr);
-            if (!connection || quiet(connection->socket))
-                ready(connection);
-            else
-                self->again_ = self->pool_.acquire(connection->to, std::move(ready));
-        });
+std::shared_ptr<NodePool::Ticket> NodePool::acquire(const config::Endpoint& to, Ready ready) {
+    if (auto idle = takeIdle(to)) return reuse(std::move(idle), std::move(ready));
+    auto connection = openConnection(to);
+    if (!connection) {
+        const auto ticket = std::make_shared<PendingFailure>(io_, std::move(ready));
+        ticket->start();
+        return ticket;
     }
+    ++opened_;
+    const auto ticket = std::make_shared<PendingConnect>(io_, std::move(connection), std::move(ready));
+    ticket->start(limits_.connectTimeout);
+    return ticket;
+}
 
-private:
-    NodePool& pool_;
-    asio::steady_timer rest_;
-    std::shared_ptr<NodePool::Ticket> again_;
-    std::shared_ptr<Connection> connection_;
-    NodePool::Ready ready_;
-};
-
-}  // namespace
-
-tcp::endpoint tcpEndpoint(const config::Endpoint& e) { return {asio::ip::make_address_v4(e.host), e.port}; }
+std::shared_ptr<NodePool::Ticket> NodePool::reuse(std::shared_ptr<Connection> connection, Ready ready) {
+    ++reused_;
+    const auto cooldownEnd = connection->idleSince + limits_.cooldown;
+    const auto ticket = std::make_shared<PendingReuse>(io_, *this, std::move(connection), std::move(ready));
+    ticket->start(cooldownEnd);
+    return ticket;
+}
 
-NodePool::NodePool(asio::io_context& io, Limits limits) : io_(io), limits_(limits), sweeper_(io) { sweep(); }
+// Returns null at the limit of connections or of the process's descriptors.
+std::shared_ptr<Connection> NodePool::openConnection(const config::Endpoint& to) {
+    if (*open_ >= limits_.maxConnections && !closeLongestIdle()) return nullptr;
+    auto connection = makeConnection();
+    connection->to = to;
+    boost::system::error_code error;
+    connection->socket.open(tcp::v4(), error);
+    return error ? nullptr : connection;
+}
 
-std::shared_ptr<Connection> NodePool::make() {
+std::shared_ptr<Connection> NodePool::makeConnection() {
     ++*open_;
-    return {new Connection(io_, limits_.ring), [count = open_](Connection* c) {
+    return {new Connection(io_, limits_.ringBytes), [count = open_](Connection* connection) {
                 --*count;
-                delete c;
+                delete connection;
             }};
 }
 
+// Takes the newest connection whose cool-down is over, so that the others can reach the idle timeout; if none
+// is, the one whose cool-down ends first.
 std::shared_ptr<Connection> NodePool::takeIdle(const config::Endpoint& to) {
     const auto it = idle_.find(to);
     if (it == idle_.end()) return nullptr;
-    const auto rested = std::chrono::steady_clock::now() - limits_.rest;
-    // The newest that has rested, as the others may go idle for good; else the one that has soonest.
-    for (auto& all = it->second; !all.empty();) {
-        const auto after = std::upper_bound(all.begin(), all.end(), rested,
-                                            [](const auto& at, const auto& c) { return at < c->idleSince; });
-        const auto taken = after == all.begin() ? after : std::prev(after);
-        const auto connection = std::move(*taken);
-        all.erase(taken);
-        if (quiet(connection->socket)) return connection;
+    auto& idle = it->second;
+    const auto cooledDownSince = std::chrono::steady_clock::now() - limits_.cooldown;
+    while (!idle.empty()) {
+        const auto cooling = std::upper_bound(
+            idle.begin(), idle.end(), cooledDownSince,
+            [](const auto& time, const auto& connection) { return time < connection->idleSince; });
+        const auto position = cooling == idle.begin() ? cooling : std::prev(cooling);
+        auto connection = std::move(*position);
+        idle.erase(position);
+        if (connection->isQuiet()) return connection;
     }
     return nullptr;
 }
 
-std::shared_ptr<NodePool::Ticket> NodePool::acquire(const config::Endpoint& to, Ready ready) {
-    if (auto connection = takeIdle(to)) {
-        ++reused_;
-        const auto at = connection->idleSince + limits_.rest;
-        const auto ticket = std::make_shared<Posted>(io_, *this, std::move(connection), std::move(ready));
-        ticket->start(at);
-        return ticket;
-    }
-    boost::system::error_code error;
-    std::shared_ptr<Connection> connection;
-    if (*open_ < limits_.most || dropOldestIdle()) {
-        connection = make();
-        connection->to = to;
-        connection->socket.open(tcp::v4(), error);
-        if (error) connection = nullptr;  // out of descriptors: as if the node refused
-    }
-    if (!connection) {
-        const auto ticket = std::make_shared<Posted>(io_, *this, nullptr, std::move(ready));
-        ticket->start({});
-        return ticket;
-    }
-    ++opened_;
-    const auto ticket = std::make_shared<Connecting>(io_, std::move(connection), std::move(ready));
-    ticket->start(limits_.connectIn);
-    return ticket;
-}
-
 void NodePool::release(std::shared_ptr<Connection> connection) {
     if (cleared_) return;
     connection->in.clear();
@@ -157,29 +90,32 @@
 void NodePool::clear() {
     cleared_ = true;
     idle_.clear();
-    sweeper_.cancel();
+    sweepTimer_.cancel();
 }
 
-bool NodePool::dropOldestIdle() {
-    auto oldest = idle_.end();
-    for (auto it = idle_.begin(); it != idle_.end(); ++it)
-        if (!it->second.empty() &&
-            (oldest == idle_.end() || it->second.front()->idleSince < oldest->second.front()->idleSince))
-            oldest = it;
-    if (oldest == idle_.end()) return false;
-    oldest->second.pop_front();
+bool NodePool::closeLongestIdle() {
+    auto longest = idle_.end();
+    for (auto it = idle_.begin(); it != idle_.end(); ++it) {
+        if (it->second.empty()) continue;
+        if (longest == idle_.end() || it->second.front()->idleSince < longest->second.front()->idleSince)
+            longest = it;
+    }
+    if (longest == idle_.end()) return false;
+    longest->second.pop_front();
     return true;
 }
 
-void NodePool::sweep() {
-    const auto since = std::chrono::steady_clock::now() - limits_.idle;
+void NodePool::closeExpired() {
+    const auto expired = std::chrono::steady_clock::now() - limits_.idleTimeout;
     for (auto it = idle_.begin(); it != idle_.end();) {
-        std::erase_if(it->second, [&](const auto& c) { return c->idleSince < since || !quiet(c->socket); });
+        std::erase_if(it->second, [expired](const auto& connection) {
+            return connection->idleSince < expired || !connection->isQuiet();
+        });
         it = it->second.empty() ? idle_.erase(it) : std::next(it);
     }
-    sweeper_.expires_after(kSweepEvery);
-    sweeper_.async_wait([this](const boost::system::error_code& error) {
-        if (!error && !cleared_) sweep();
+    sweepTimer_.expires_after(kSweepInterval);
+    sweepTimer_.async_wait([this](const boost::system::error_code& error) {
+        if (!error && !cleared_) closeExpired();
     });
 }
 
--- a/src/net/node_pool.h
+++ b/src/net/node_pool.h
@@ -1,67 +1,78 @@
-// Connections to nodes: kept while idle, counted against a budget of descriptors.
+/// \file
+/// Connections to nodes: keeps idle ones for reuse and limits how many are open at once. Owns the idle
+/// connections; those in use are counted here and owned by the attempts.
 #pragma once
 
-#include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <deque>
 #include <functional>
 #include <map>
 #include <memory>
 
-#include "config/config.h"
-#include "net/ring_buffer.h"
+#include "net/connection.h"
 
 namespace wingproxy::net {
 
-boost::asio::ip::tcp::endpoint tcpEndpoint(const config::Endpoint& e);
-
-struct Connection {
-    Connection(boost::asio::io_context& io, std::size_t ring) : socket(io), in(ring), out(ring) {}
-    boost::asio::ip::tcp::socket socket;
-    RingBuffer in, out;  // one a direction
-    config::Endpoint to;
-    std::chrono::steady_clock::time_point idleSince;
-};
-
+/// A pool of connections, keyed by the node's address. Single-threaded; must outlive pending acquisitions.
 class NodePool {
 public:
     struct Limits {
-        std::size_t most = 400;  // connections, idle ones included
-        std::chrono::microseconds connectIn{250'000}, idle{15'000'000};
-        std::size_t ring = kMostRing;  // bytes a direction
-        // So long after an answer a connection carries no other request, and one that has nothing better
-        // waits for it: what a node sends twice comes some milliseconds late, and would be taken for the next
-        // one's answer.
-        std::chrono::microseconds rest{0};
+        std::size_t maxConnections = 400;                   ///< open ones, idle ones included
+        std::chrono::microseconds connectTimeout{250'000};  ///< a connect that takes longer has failed
+        std::chrono::microseconds idleTimeout{15'000'000};  ///< an idle connection is closed after it
+        std::size_t ringBytes = kMostRing;                  ///< of each direction of a connection
+        /// For so long after a response a connection carries no other request; a request that finds only such
+        /// connections waits for one of them. If a node sends a response twice, the second copy comes some
+        /// milliseconds late, and without the cool-down it would be taken for the next response.
+        std::chrono::microseconds cooldown{0};
     };
-    // A pending connect; dropping it before it is done closes the socket and calls nothing.
+
+    /// A pending acquisition. Destroying it cancels it: a connect's socket is closed, and nothing is called.
     struct Ticket {
         virtual ~Ticket() = default;
     };
-    using Ready = std::function<void(std::shared_ptr<Connection>)>;  // empty: could not connect
+
+    /// Receives the connection, or null if none could be had. Called once, and never from within acquire().
+    using Ready = std::function<void(std::shared_ptr<Connection>)>;
 
     NodePool(boost::asio::io_context& io, Limits limits);
+
+    /// Takes an idle connection to `to`, or connects. At the limit, the connection that has been idle the
+    /// longest is closed to make capacity; if none is idle, the acquisition fails.
     std::shared_ptr<Ticket> acquire(const config::Endpoint& to, Ready ready);
-    void release(std::shared_ptr<Connection> connection);         // whole, nothing unread: may serve again
-    void forget(const config::Endpoint& to) { idle_.erase(to); }  // closes what is idle there
-    void clear();  // closes what is idle; later releases close too
-    void setCapacity(std::size_t most) { limits_.most = most; }
+    /// Returns a connection for reuse: its last exchange is complete, and no byte of it is unread.
+    void release(std::shared_ptr<Connection> connection);
+    /// Closes the idle connections to `to`.
+    void forget(const config::Endpoint& to) { idle_.erase(to); }
+    /// Closes all idle connections, and later those that are released.
+    void clear();
+    /// Changes `Limits::maxConnections`. Connections above the new limit stay open until they are idle.
+    void setCapacity(std::size_t maxConnections) { limits_.maxConnections = maxConnections; }
+
+    /// Connections open now, idle ones included.
     std::size_t open() const { return *open_; }
+    /// Connects started so far.
     std::uint64_t opened() const { return opened_; }
+    /// Idle connections taken so far.
     std::uint64_t reused() const { return reused_; }
 
 private:
-    std::shared_ptr<Connection> make();
+    using IdleConnections = std::deque<std::shared_ptr<Connection>>;  // the longest idle first
+
+    std::shared_ptr<Ticket> reuse(std::shared_ptr<Connection> connection, Ready ready);
+    std::shared_ptr<Connection> openConnection(const config::Endpoint& to);
+    std::shared_ptr<Connection> makeConnection();
     std::shared_ptr<Connection> takeIdle(const config::Endpoint& to);
-    bool dropOldestIdle();
-    void sweep();
+    bool closeLongestIdle();
+    void closeExpired();
 
     boost::asio::io_context& io_;
     Limits limits_;
-    std::shared_ptr<std::size_t> open_ = std::make_shared<std::size_t>(0);
-    std::map<config::Endpoint, std::deque<std::shared_ptr<Connection>>> idle_;
-    boost::asio::steady_timer sweeper_;
-    std::uint64_t opened_ = 0, reused_ = 0;
+    std::shared_ptr<std::size_t> open_ = std::make_shared<std::size_t>(0);  // shared with every connection
+    std::map<config::Endpoint, IdleConnections> idle_;
+    boost::asio::steady_timer sweepTimer_;
+    std::uint64_t opened_ = 0;
+    std::uint64_t reused_ = 0;
     bool cleared_ = false;
 };
 
--- a/src/net/session.h
+++ b/src/net/session.h
@@ -1,110 +1,110 @@
-// A client's connection, and the session manager that holds a listener's connections within their budget.
+/// \file
+/// One client's connection: reading, writing and the ways to close it. Owns the socket, both ring buffers and
+/// the output that is pending; what is said on the connection is a derived class's.
 #pragma once
 
 #include <functional>
-#include <list>
 #include <memory>
 #include <string>
+#include <string_view>
 
+#include "net/linger_deadline.h"
 #include "net/listener.h"
+#include "net/pending_output.h"
 #include "net/ring_buffer.h"
+#include "net/session_manager.h"
 
 namespace wingproxy::net {
 
-class SessionManager;
-
-// Owned by its session manager's list; handlers keep it alive until they have run. What is said on it is the
-// fronts'.
+/// Base of the sessions of a protocol. Owned by its manager's list until it is closed; a handler that is
+/// pending keeps it alive until it has run. Single-threaded.
 class Session : public std::enable_shared_from_this<Session> {
 public:
     Session(SessionManager& sessionManager, boost::asio::ip::tcp::socket socket);
     virtual ~Session() = default;
+
+    /// Called once, when the manager has the session.
     virtual void start() { read(); }
-    virtual bool idle() const = 0;  // nothing is owed to the client: it may be closed
-    // Of those that may be closed to make room, the lowest first, and of equals the longest untouched.
+    /// Whether nothing is owed to the client, so that the connection may be closed.
+    virtual bool idle() const = 0;
+    /// Of the sessions that may be evicted, the one with the lowest priority goes first, and of equals the
+    /// one that has been inactive the longest.
     virtual int evictionPriority() const { return 0; }
-    virtual void sweep() {}  // looked at by its session manager now and then: closes what has waited too long
-    void close();  // at once; what came meanwhile is read and dropped, as unread bytes would reset it
-    // At a stop, when nothing is owed: closes without a reset, and what still comes is not served.
+    /// Called by the manager every 200 ms: closes a session that has waited too long.
+    virtual void sweep() {}
+    /// Closes at once. Unread bytes are read and dropped first, as they would turn the close into a reset.
+    void close();
+    /// Called at shutdown, when nothing is owed: closes without a reset. What still comes is not served.
     virtual void closeGracefully() { linger(); }
-    // In a full house, when nothing is owed: leaves its place at once.
+    /// Closes in favour of a new client, when nothing is owed.
     virtual void evict() { close(); }
-    // The client closed or reset its connection, though nothing is read from it now: its ring is full.
-    bool detectHangUp();
+
+    /// Whether the connection is only kept for the client to read the last response.
+    bool lingers() const { return lingerDeadline_.active(); }
+    /// Whether this may be closed in favour of a new client.
+    bool evictable() const;
+    /// Calls closeGracefully() if nothing is owed and nothing unread has come.
+    void closeGracefullyIfIdle();
+    /// Notices a client that has closed or reset its connection though nothing is read from it, as its ring
+    /// buffer is full.
+    /// \return true: it has, and the session is closed
+    bool closeIfHungUp();
 
 protected:
-    virtual void received() = 0;    // there is more in in_
-    virtual void disconnected() {}  // the client closed, or its connection broke
-    virtual void sent() {}          // all that send() was given is written, and what was fed after it
-    virtual void progressed() {}    // the client took some of it
-    void read();                    // goes on by itself while in_ has room
-    void send(std::string text);
-    // After what send() was given: more is asked for whenever the ring has room. Where there is none yet,
-    // poke() tells of it later; endFeed() when there will be none.
-    using Source = std::function<void(RingBuffer& out)>;
+    /// Produces output; see `PendingOutput`.
+    using Source = PendingOutput::Source;
+
+    /// There are more bytes in in_.
+    virtual void received() = 0;
+    /// The client closed the connection, or it broke. The session is closed afterwards.
+    virtual void disconnected() {}
+    /// All output is written: what send() was given, and all that the source produced.
+    virtual void sent() {}
+    /// The client took some of the output.
+    virtual void progressed() {}
+
+    /// Starts to read, which goes on by itself while in_ has space.
+    void read();
+    /// Adds text to the output.
+    void send(std::string_view text);
+    /// Adds output of unknown length behind what send() was given: `source` is asked whenever the ring has
+    /// room. Where it has nothing yet, resumeFeed() asks it again; endFeed() ends it.
     void feed(Source source);
     void resumeFeed() { write(); }
     void endFeed();
-    // Nothing more to say: the client closes, falls quiet, or a bound.
-    void linger(std::chrono::milliseconds most = std::chrono::milliseconds(2'000));
-    void markActive();  // now the last of the idle ones to be closed
+    /// Nothing more is to be sent: shuts the sending side down and closes once the client has closed, is
+    /// quiet, or `limit` is over; see `LingerDeadline`.
+    void linger(std::chrono::milliseconds limit = std::chrono::milliseconds(2'000));
+    /// Makes this the last of its equals to be evicted.
+    void markActive() { sessionManager_.sessionActive(*this); }
     bool open() const { return open_; }
-    void reset();                // closes so that the client sees a break
-    std::size_t unread() const;  // bytes that wait in the system
+    /// Closes with a reset, so that the client sees that its response is truncated.
+    void reset();
+    /// Bytes received by the system and not read yet.
+    std::size_t unread() const;
 
     SessionManager& sessionManager_;
     boost::asio::ip::tcp::socket socket_;
-    RingBuffer in_, out_;
-    bool drained_ = false;  // the last read took all that was there
+    RingBuffer in_;
+    RingBuffer out_;
+    bool drained_ = false;  ///< the last read took all that had come
 
 private:
-    friend class SessionManager;
+    void onRead(const boost::system::error_code& error, std::size_t count, std::size_t requested);
     void write();
-    bool spare() const;  // may make room for another client
-    void lingerOn();
-    std::string text_;
-    std::size_t put_ = 0;
-    boost::asio::steady_timer linger_;
-    std::chrono::steady_clock::time_point lingerSince_, lingerUntil_;
-    Source source_;
-    bool open_ = true, reset_ = false, reading_ = false, writing_ = false, lingering_ = false;
-    std::list<std::shared_ptr<Session>>::iterator place_;
-};
-
-class SessionManager {
-public:
-    using Make = std::function<std::shared_ptr<Session>(SessionManager&, boost::asio::ip::tcp::socket)>;
-    SessionManager(boost::asio::io_context& io, const config::Endpoint& at, std::size_t most, Make make,
-                   std::size_t ring = kMostRing,
-                   int inherited = -1);  // inherited: see Listener; accepts after open()
-    void open() { listener_.open(); }
-    void releaseListener() { listener_.release(); }
-    void closeListener();        // first takes the clients that wait
-    void closeIdleGracefully();  // closes gracefully what owes nothing
-    void stop();
-    std::size_t connections() const { return sessions_.size() - lingering_; }  // that may still ask
-    std::size_t sessionCount() const { return sessions_.size(); }              // and those that only end
-    std::uint64_t accepted() const { return accepted_; }
-    std::uint64_t closedIdle() const { return closedIdle_; }
-    std::uint64_t detectHangUp() const { return hungUp_; }  // noticed while their bytes were not read
-    std::size_t capacity() const { return most_; }
-    void setCapacity(std::size_t most) { most_ = most; }
-    std::size_t ring() const { return ring_; }  // bytes a direction of each connection
-    config::Endpoint address() const { return at_; }
-    boost::asio::io_context& io() { return io_; }
+    void onWritten(const boost::system::error_code& error, std::size_t count);
+    void closeBroken();
+    void armLingerTimer();
+    bool hungUp();
+    void dropUnread();
 
-private:
-    friend class Session;
-    bool evictOne();  // of those that give way first
-    void sweep();
-    boost::asio::io_context& io_;
-    std::size_t most_, ring_;
-    std::size_t lingering_ = 0;
-    std::uint64_t accepted_ = 0, closedIdle_ = 0, hungUp_ = 0;
-    std::list<std::shared_ptr<Session>> sessions_;  // the longest untouched first
-    Listener listener_;
-    config::Endpoint at_;
-    boost::asio::steady_timer tender_;
+    PendingOutput output_;
+    LingerDeadline lingerDeadline_;
+    boost::asio::steady_timer lingerTimer_;
+    bool open_ = true;
+    bool resetOnClose_ = false;
+    bool reading_ = false;
+    bool writing_ = false;
 };
 
 }  // namespace wingproxy::net
--- /dev/null
+++ b/src/net/session_manager.cpp
@@ -0,0 +1,86 @@
+#include "net/session_manager.h"
+
+#include <boost/asio/post.hpp>
+
+#include "net/session.h"
+
+namespace wingproxy::net {
+namespace {
+
+using boost::asio::ip::tcp;
+
+// Also the delay with which a disconnect is noticed where nothing is read from the client; the protocol
+// allows 0.3 s for that.
+constexpr std::chrono::milliseconds kSweepInterval{200};
+
+}  // namespace
+
+SessionManager::SessionManager(boost::asio::io_context& io, const config::Endpoint& address,
+                               std::size_t capacity, Make make, std::size_t ringBytes, int inherited)
+    : io_(io),
+      capacity_(capacity),
+      ringBytes_(ringBytes),
+      make_(std::move(make)),
+      listener_(io, address,
+                {[this](tcp::socket socket) { addSession(std::move(socket)); },
+                 [this] { return sessions_.size() >= capacity_; }, [this] { return evictOne(); }},
+                inherited),
+      address_(listener_.address()),
+      sweepTimer_(io) {
+    if (inherited < 0) open();
+    sweep();
+}
+
+void SessionManager::addSession(tcp::socket socket) {
+    ++accepted_;
+    const auto session = make_(*this, std::move(socket));
+    sessions_.add(session);
+    session->start();
+}
+
+void SessionManager::sessionClosed(const Session& session) {
+    if (session.lingers()) --lingeringCount_;
+    sessions_.remove(session);
+}
+
+void SessionManager::sweep() {
+    for (auto it = sessions_.begin(); it != sessions_.end();) {
+        const auto session = *it;  // keeps it alive: it may close itself, but no other
+        ++it;
+        if (!session->lingers()) session->sweep();
+        if (session->closeIfHungUp()) ++hangUps_;
+    }
+    sweepTimer_.expires_after(kSweepInterval);
+    sweepTimer_.async_wait([this](const boost::system::error_code& error) {
+        if (!error) sweep();
+    });
+}
+
+bool SessionManager::evictOne() {
+    std::shared_ptr<Session> candidate;
+    for (const auto& session : sessions_) {
+        const bool precedes = !candidate || session->evictionPriority() < candidate->evictionPriority();
+        if (precedes && session->evictable()) candidate = session;
+    }
+    if (!candidate) return false;
+    ++closedIdle_;
+    candidate->evict();
+    return true;
+}
+
+void SessionManager::closeIdleGracefully() {
+    // In the next turn, as what was read in this one may not have been handled yet.
+    for (const auto& session : sessions_)
+        if (!session->lingers() && session->idle())
+            boost::asio::post(io_, [session] { session->closeGracefullyIfIdle(); });
+}
+
+void SessionManager::stop() {
+    sweepTimer_.cancel();
+    while (!sessions_.empty()) {
+        const auto session = sessions_.front();
+        session->close();
+    }
+}
+
+}  // namespace wingproxy::net
--- /dev/null
+++ b/src/net/session_manager.h
@@ -0,0 +1,90 @@
+/// \file
+/// The client connections of one listener, within a limit. Owns the listening socket, the sessions and the
+/// timer of the idle sweep.
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <cstdint>
+#include <functional>
+#include <memory>
+
+#include "net/activity_list.h"
+#include "net/listener.h"
+#include "net/ring_buffer.h"
+
+namespace wingproxy::net {
+
+class Session;
+
+/// Accepts clients, makes a session for each, and closes idle ones in favour of new clients. Single-threaded;
+/// must outlive its sessions' handlers.
+class SessionManager {
+public:
+    /// Makes the session of a connection; it is started by the manager.
+    using Make = std::function<std::shared_ptr<Session>(SessionManager&, boost::asio::ip::tcp::socket)>;
+
+    /// Binds, and accepts at once unless the listening socket is inherited.
+    /// \param capacity the limit of connections
+    /// \param ringBytes of each direction's ring buffer of a connection
+    /// \param inherited see `Listener`; such a manager accepts after open()
+    SessionManager(boost::asio::io_context& io, const config::Endpoint& address, std::size_t capacity,
+                   Make make, std::size_t ringBytes = kMostRing, int inherited = -1);
+
+    void open() { listener_.open(); }
+    /// Stops to accept and leaves the waiting clients to another process that has the same socket.
+    void releaseListener() { listener_.release(); }
+    /// Accepts the clients that wait, then closes the listening socket.
+    void closeListener() { listener_.close(); }
+    /// Closes the idle connections gracefully, in the next turn of the loop.
+    void closeIdleGracefully();
+    /// Closes all connections at once.
+    void stop();
+
+    /// Connections that may still send a request.
+    std::size_t connections() const { return sessions_.size() - lingeringCount_; }
+    /// All connections, with those that only linger.
+    std::size_t sessionCount() const { return sessions_.size(); }
+    /// Connections accepted so far.
+    std::uint64_t accepted() const { return accepted_; }
+    /// Connections closed so far in favour of a new client.
+    std::uint64_t closedIdle() const { return closedIdle_; }
+    /// Disconnects noticed so far by the sweep, as nothing was read from the client.
+    std::uint64_t detectHangUp() const { return hangUps_; }
+    std::size_t capacity() const { return capacity_; }
+    void setCapacity(std::size_t connections) { capacity_ = connections; }
+    /// Bytes of each direction's ring buffer of a connection.
+    std::size_t ring() const { return ringBytes_; }
+    /// The address as bound; also after the listening socket is closed.
+    config::Endpoint address() const { return address_; }
+    boost::asio::io_context& io() { return io_; }
+
+    /// \name Called by sessions
+    /// \{
+    /// Makes the session the last one to be evicted among equals.
+    void sessionActive(const Session& session) { sessions_.markActive(session); }
+    void sessionLingers() { ++lingeringCount_; }
+    /// Drops a session that has closed its socket.
+    void sessionClosed(const Session& session);
+    /// \}
+
+private:
+    void addSession(boost::asio::ip::tcp::socket socket);
+    bool evictOne();
+    void sweep();
+
+    boost::asio::io_context& io_;
+    std::size_t capacity_;
+    std::size_t ringBytes_;
+    Make make_;
+    std::size_t lingeringCount_ = 0;
+    std::uint64_t accepted_ = 0;
+    std::uint64_t closedIdle_ = 0;
+    std::uint64_t hangUps_ = 0;
+    ActivityList<Session> sessions_;
+    Listener listener_;
+    config::Endpoint address_;
+    boost::asio::steady_timer sweepTimer_;
+};
+
+}  // namespace wingproxy::net
--- /dev/null
+++ b/tests/net/activity_list_test.cpp
@@ -0,0 +1,80 @@
+// Objects in the order of their last activity.
+#include "net/activity_list.h"
+
+#include <doctest/doctest.h>
+
+#include <string>
+
+using namespace wingproxy;
+
+namespace {
+
+struct Named {
+    std::string name;
+};
+
+struct ThreeItems {
+    ThreeItems() {
+        list.add(a);
+        list.add(b);
+        list.add(c);
+    }
+    std::string order() const {
+        std::string names;
+        for (const auto& item : list)
+            names += item->name;
+        return names;
+    }
+
+    std::shared_ptr<Named> a = std::make_shared<Named>(Named{"a"});
+    std::shared_ptr<Named> b = std::make_shared<Named>(Named{"b"});
+    std::shared_ptr<Named> c = std::make_shared<Named>(Named{"c"});
+    net::ActivityList<Named> list;
+};
+
+}  // namespace
+
+TEST_CASE("activity list: an item that is added is the most recently active one") {
+    ThreeItems items;
+    CHECK(items.order() == "abc");
+    CHECK(items.list.size() == 3);
+    CHECK(items.list.front() == items.a);
+}
+
+TEST_CASE("activity list: an active item moves behind all others") {
+    ThreeItems items;
+    items.list.markActive(*items.a);
+    CHECK(items.order() == "bca");
+    items.list.markActive(*items.a);
+    CHECK(items.order() == "bca");
+}
+
+TEST_CASE("activity list: a removed item is released, and the others keep their order") {
+    ThreeItems items;
+    const std::weak_ptr<Named> watched = items.b;
+    items.list.remove(*items.b);
+    items.b = nullptr;
+    CHECK(watched.expired());
+    CHECK(items.order() == "ac");
+}
+
+TEST_CASE("activity list: what is not in the list is ignored") {
+    ThreeItems items;
+    const Named other{"other"};
+    items.list.markActive(other);
+    items.list.remove(other);
+    CHECK(items.order() == "abc");
+}
+
+TEST_CASE("activity list: an item may be removed while the list is walked past it") {
+    ThreeItems items;
+    std::string visited;
+    for (auto it = items.list.begin(); it != items.list.end();) {
+        const auto item = *it;
+        ++it;
+        visited += item->name;
+        items.list.remove(*item);
+    }
+    CHECK(visited == "abc");
+    CHECK(items.list.empty());
+}
--- /dev/null
+++ b/tests/net/node_pool_test.cpp
@@ -0,0 +1,43 @@
+// The node pool at its limit, where no socket is opened.
+#include "net/node_pool.h"
+
+#include <doctest/doctest.h>
+
+#include <optional>
+
+using namespace wingproxy;
+
+namespace {
+
+constexpr net::NodePool::Limits kNoConnections{.maxConnections = 0};
+
+struct FullPool {
+    std::shared_ptr<net::NodePool::Ticket> acquire() {
+        return pool.acquire({"127.0.0.1", 9},
+                            [this](std::shared_ptr<net::Connection> connection) { result = connection; });
+    }
+
+    boost::asio::io_context io;
+    net::NodePool pool{io, kNoConnections};
+    std::optional<std::shared_ptr<net::Connection>> result;  // empty: not called
+};
+
+}  // namespace
+
+TEST_CASE("node pool: at its limit and without an idle connection an acquisition fails, on a later turn") {
+    FullPool full;
+    const auto ticket = full.acquire();
+    CHECK(!full.result.has_value());
+    full.io.poll();
+    REQUIRE(full.result.has_value());
+    CHECK(*full.result == nullptr);
+    CHECK(full.pool.open() == 0);
+    CHECK(full.pool.opened() == 0);
+}
+
+TEST_CASE("node pool: an acquisition whose ticket is dropped calls nothing") {
+    FullPool full;
+    full.acquire().reset();
+    full.io.poll();
+    CHECK(!full.result.has_value());
+}
