--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -2,132 +2,135 @@
 
 #include <fmt/format.h>
 
-#include <algorithm>
-
 namespace wingproxy::net {
 namespace {
 
-// Where lists are pushed: parts of a drain's grace in which a silent call is missed, and another one follows.
-// With a half of it for the first byte of an attempt (core/reducer.cpp) that leaves an eighth.
-constexpr int kMissedPart = 4, kAgainPart = 8;
-constexpr std::chrono::milliseconds kMissed{500}, kAgain{500};  // at the most, and where no rule holds
-// Room for several thousand chunk servers, indented; the largest fleet that the pages name has 200.
-constexpr std::size_t kMostList = 1024 * 1024;
+// Enough for several thousand nodes with indentation; the largest fleet that the protocol names
+// has 200.
+constexpr std::size_t kMaxListBytes = std::size_t{1024} * 1024;
+constexpr unsigned kStatusOk = 200;
+
+// One connection, and a second one for a poll that starts before the handlers of an abandoned one have run.
+constexpr NodePool::Limits kPoolLimits{
+    .maxConnections = 2, .connectTimeout = std::chrono::seconds(1), .idleTimeout = std::chrono::seconds(10)};
 
 }  // namespace
 
-Discovery::Discovery(Engine& engine, const config::Endpoint& at, WatchTiming timing)
+Discovery::Discovery(Engine& engine, const config::Endpoint& address, WatchTiming timing)
     : engine_(engine),
-      at_(at),
-      timing_(timing),
-      pushed_(!engine.settings().pollsEndpointList),
-      againIn_(kAgain),
-      pool_(engine.io(), {2, std::chrono::seconds(1), std::chrono::seconds(10)}),
-      timeout_(engine.io()),
-      again_(engine.io()) {
-    if (!pushed_) return;
-    timing_.patienceAnew = std::min(timing_.patienceAnew, kMissed);
-    if (const std::chrono::microseconds grace(engine.settings().drainGraceUs); grace.count() > 0) {
-        timing_.patienceAnew = std::min(
-            timing_.patienceAnew, std::chrono::duration_cast<std::chrono::milliseconds>(grace / kMissedPart));
-        againIn_ = std::min(againIn_, grace / kAgainPart);
-    }
-    setWatching(true);
+      address_(address),
+      listIsPushed_(!engine.settings().pollsEndpointList),
+      timing_(discoveryTiming(engine.settings(), timing)),
+      pool_(engine.io(), kPoolLimits),
+      timeoutTimer_(engine.io()),
+      retryTimer_(engine.io()) {
+    if (listIsPushed_) setWatching(true);
 }
 
-void Discovery::setWatching(bool on) {
-    on_ = on;
-    if (!on) {
-        abandon();
-    } else if (!calling_) {
-        call();
+void Discovery::setWatching(bool enabled) {
+    watching_ = enabled;
+    if (!enabled) {
+        abandonPoll();
+    } else if (!pollInFlight_) {
+        poll();
     }
 }
 
-void Discovery::moveTo(const config::Endpoint& to) {
-    if (to == at_) return;
-    abandon();
-    pool_.forget(at_);
-    at_ = to;
-    whole_ = true;  // its generations may not be the old one's
-    if (on_) call();
+void Discovery::moveTo(const config::Endpoint& address) {
+    if (address == address_) return;
+    abandonPoll();
+    pool_.forget(address_);
+    address_ = address;
+    needsFullList_ = true;  // versions may count differently there
+    if (watching_) poll();
 }
 
-void Discovery::abandon() {
-    calling_ = goesOn_ = false;
-    ticket_ = nullptr;
+void Discovery::abandonPoll() {
+    pollInFlight_ = false;
+    continuesWatch_ = false;
+    acquisition_ = nullptr;
     if (exchange_) exchange_->abandon();
     exchange_ = nullptr;
-    timeout_.cancel();
-    again_.cancel();
+    timeoutTimer_.cancel();
+    retryTimer_.cancel();
 }
 
 void Discovery::stop() {
-    on_ = false;
-    abandon();
+    watching_ = false;
+    abandonPoll();
     pool_.clear();
 }
 
-std::chrono::milliseconds Discovery::wait() const {
-    return whole_ || (pushed_ && !goesOn_) ? std::chrono::milliseconds(0) : timing_.wait;
+std::chrono::milliseconds Discovery::nextWait() const {
+    const bool answeredAtOnce = needsFullList_ || (listIsPushed_ && !continuesWatch_);
+    return answeredAtOnce ? std::chrono::milliseconds(0) : timing_.watch.wait;
 }
 
-void Discovery::call() {
-    calling_ = true;
+std::chrono::milliseconds Discovery::nextTimeout() const {
+    return nextWait() + (continuesWatch_ ? timing_.watch.continuedTimeout : timing_.watch.firstTimeout);
+}
+
+void Discovery::poll() {
+    pollInFlight_ = true;
     ++counters_.calls;
-    timeout_.expires_after(wait() + (goesOn_ ? timing_.patience : timing_.patienceAnew));
-    timeout_.async_wait([this](const boost::system::error_code& error) {
-        if (!error && calling_) fail("no answer in time");
+    timeoutTimer_.expires_after(nextTimeout());
+    timeoutTimer_.async_wait([this](const boost::system::error_code& error) {
+        if (!error && pollInFlight_) fail(DiscoveryError::TimedOut);
     });
-    ticket_ = pool_.acquire(at_, [this](std::shared_ptr<Connection> connection) {
+    acquisition_ = pool_.acquire(address_, [this](std::shared_ptr<Connection> connection) {
         if (connection)
             send(std::move(connection));
         else
-            fail("no connection");
+            fail(DiscoveryError::ConnectFailed);
     });
 }
 
 void Discovery::send(std::shared_ptr<Connection> connection) {
     const auto query =
-        whole_ ? "" : fmt::format("?after={}&wait_ms={}", engine_.listVersion(), wait().count());
-    auto request =
+        needsFullList_ ? "" : fmt::format("?after={}&wait_ms={}", engine_.listVersion(), nextWait().count());
+    const auto request =
         fmt::format("GET /discovery/hosts{} HTTP/1.1\r\nHost: {}:{}\r\nAccept: application/json\r\n\r\n",
-                    query, at_.host, at_.port);
-    exchange_ = std::make_shared<Exchange>(
-        std::move(connection), std::move(request), kMostList,
-        [this](Exchange::Result result, const Exchange::Response& response) { answered(result, response); });
+                    query, address_.host, address_.port);
+    exchange_ =
+        std::make_shared<Exchange>(std::move(connection), request, kMaxListBytes,
+                                   [this](Exchange::Result result, const Exchange::Response& response) {
+                                       onResponse(result, response);
+                                   });
     exchange_->start();
 }
 
-void Discovery::answered(Exchange::Result result, const Exchange::Response& response) {
+void Discovery::onResponse(Exchange::Result result, const Exchange::Response& response) {
     const auto exchange = std::exchange(exchange_, nullptr);
     if (auto connection = exchange->reusable()) pool_.release(std::move(connection));
-    if (result != Exchange::Result::Answered) return fail("the connection broke");
-    if (response.result_int() != 200) return fail("an answer other than 200");
+    if (result != Exchange::Result::Answered) return fail(DiscoveryError::ConnectionLost);
+    if (response.result_int() != kStatusOk) return fail(DiscoveryError::UnexpectedStatus);
     try {
         engine_.endpointListReceived(config::parseEndpointListing(response.body()));
-    } catch (const config::ConfigError& bad) {
+    } catch (const config::ConfigError& error) {
         ++counters_.malformed;
-        engine_.logger().warn("discovery: list dropped, {}", bad.what());
-        return fail("a malformed list");
+        engine_.logger().warn("discovery: malformed endpoint list dropped, {}", error.what());
+        return fail(DiscoveryError::MalformedList);
     }
     ++counters_.answers;
-    whole_ = false;
-    goesOn_ = true;
-    if (on_) call();  // at once: a watch goes on within 200 ms
+    needsFullList_ = false;
+    continuesWatch_ = true;
+    if (watching_) poll();  // at once: the protocol allows 200 ms between two requests of a watch
 }
 
-// The module hears of it, as what the next list tells may have been told before, and asks again when it wants
-// to; where lists come unasked it never asks.
-void Discovery::fail(const char* why) {
+// The policy is told, as it must assume that the next list's changes were announced before. Where lists are
+// polled it orders the retry; where they are pushed it never does.
+void Discovery::fail(DiscoveryError error) {
     ++counters_.failed;
-    abandon();
-    engine_.logger().warn("discovery: call failed, {}", why);
+    abandonPoll();
+    engine_.logger().warn("discovery: poll failed, {}", describe(error));
     engine_.endpointListUnavailable();
-    if (!pushed_) return;
-    again_.expires_after(againIn_);
-    again_.async_wait([this](const boost::system::error_code& error) {
-        if (!error && on_ && !calling_) call();
+    if (listIsPushed_) retryLater();
+}
+
+void Discovery::retryLater() {
+    retryTimer_.expires_after(timing_.retryDelay);
+    retryTimer_.async_wait([this](const boost::system::error_code& error) {
+        if (!error && watching_ && !pollInFlight_) poll();
     });
 }
 
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -1,57 +1,62 @@
-// The discovery client: one watch after another, each on what the last answer left.
+/// \file
+/// The discovery client: watches the endpoint list by one request after another, each of which names the list
+/// version that the last response left. Owns its connection pool and the request in flight.
 #pragma once
 
-#include <string>
+#include <memory>
 
+#include "net/discovery_error.h"
 #include "net/engine.h"
 #include "net/exchange.h"
+#include "net/watch_timing.h"
 
 namespace wingproxy::net {
 
-// A watch may be lost on its way: a short one is missed soon. An answer later than the patience counts as
-// lost. A call anew waits for its turn among those of all fronts, which discovery allows 2 s: it must hear
-// of that end, as a call that is left sooner keeps its place there and the next one waits behind it.
-// Where lists are pushed an agent beside this front holds them, and what it has counts as told, watch or no
-// watch: a call anew does not wait, and what lies between two such calls fits into the grace of a drain.
-// The times are the pages', which give no setting for them: a silent watch binds 6 s after it fell silent, or
-// 2 s after its wait, and this one is missed after 1.5 s with every customer.
-struct WatchTiming {
-    std::chrono::milliseconds wait{1'000}, patience{500}, patienceAnew{2'500};
-};
-
+/// Gets endpoint lists and passes them to the engine. Single-threaded; the engine must outlive it.
 class Discovery {
 public:
+    /// Totals since the start.
     struct Counters {
-        std::uint64_t calls = 0, answers = 0, failed = 0, malformed = 0;
+        std::uint64_t calls = 0;      ///< requests sent
+        std::uint64_t answers = 0;    ///< endpoint lists received
+        std::uint64_t failed = 0;     ///< requests without a list, malformed ones included
+        std::uint64_t malformed = 0;  ///< responses that were no endpoint list
     };
-    Discovery(Engine& engine, const config::Endpoint& at, WatchTiming timing = {});
-    void setWatching(bool on);  // as the module asks; a running watch goes on
-    // To another address at once: the call under way is abandoned and the whole list asked for there.
-    void moveTo(const config::Endpoint& to);
+
+    /// Starts to watch at once where lists are pushed; else the policy orders it.
+    Discovery(Engine& engine, const config::Endpoint& address, WatchTiming timing = {});
+
+    /// Starts a request unless one is in flight, or ends the watch.
+    void setWatching(bool enabled);
+    /// Changes the address of discovery: abandons the request in flight and gets the full list from there.
+    void moveTo(const config::Endpoint& address);
+    /// Ends the watch and closes the connections.
     void stop();
     const Counters& counters() const { return counters_; }
 
 private:
-    void call();
-    void abandon();  // the call under way; says nothing
+    void poll();
+    void abandonPoll();
     void send(std::shared_ptr<Connection> connection);
-    void answered(Exchange::Result result, const Exchange::Response& response);
-    void fail(const char* why);
-    std::chrono::milliseconds wait() const;  // that the next call allows
+    void onResponse(Exchange::Result result, const Exchange::Response& response);
+    void fail(DiscoveryError error);
+    void retryLater();
+    std::chrono::milliseconds nextWait() const;
+    std::chrono::milliseconds nextTimeout() const;
 
     Engine& engine_;
-    config::Endpoint at_;
-    WatchTiming timing_;
-    const bool pushed_;
-    std::chrono::microseconds
-        againIn_;  // after a failed call where lists are pushed: the module does not ask
+    config::Endpoint address_;
+    const bool listIsPushed_;
+    const DiscoveryTiming timing_;
     NodePool pool_;
-    boost::asio::steady_timer timeout_, again_;
-    std::shared_ptr<NodePool::Ticket> ticket_;
+    boost::asio::steady_timer timeoutTimer_;
+    boost::asio::steady_timer retryTimer_;
+    std::shared_ptr<NodePool::Ticket> acquisition_;
     std::shared_ptr<Exchange> exchange_;
-    bool on_ = false, calling_ = false;
-    bool goesOn_ = false;  // the next call follows an answer: it takes up a watch, and waits in no queue
-    bool whole_ = false;   // the next call asks for the whole list, and does not wait
+    bool watching_ = false;
+    bool pollInFlight_ = false;
+    bool continuesWatch_ = false;  // the next request follows a response, and does not queue
+    bool needsFullList_ = false;   // the next request gets the full list, without a wait
     Counters counters_;
 };
 
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -5,75 +5,95 @@
 
 using boost::asio::ip::udp;
 
-udp::endpoint udpEndpoint(const config::Endpoint& e) {
-    return e.port == 0 ? udp::endpoint{} : udp::endpoint{boost::asio::ip::make_address_v4(e.host), e.port};
+// Port 0 means that the address is not configured.
+udp::endpoint udpEndpoint(const config::Endpoint& endpoint) {
+    if (endpoint.port == 0) return {};
+    return {boost::asio::ip::make_address_v4(endpoint.host), endpoint.port};
 }
 
 }  // namespace
 
 Peers::Peers(Engine& engine, const config::Config& config, bool opened)
-    : engine_(engine), socket_(engine.io()), listen_(config.peerListen), self_(config.settings.hostIndex) {
+    : engine_(engine),
+      socket_(engine.io()),
+      listenAddress_(config.peerListen),
+      selfIndex_(config.settings.hostIndex) {
     setPeers(config);
     if (opened) open();
 }
 
 void Peers::open() {
-    if (listen_.port == 0) return;
+    if (listenAddress_.port == 0) return;
     socket_.open(udp::v4());
-    socket_.bind(udpEndpoint(listen_));
+    socket_.bind(udpEndpoint(listenAddress_));
     socket_.non_blocking(true);
     receive();
 }
 
 void Peers::setPeers(const config::Config& config) {
-    all_ = udpEndpoint(config.peersAll);
-    numbers_.clear();
+    broadcast_ = udpEndpoint(config.peersAll);
+    peerIndexes_.clear();
     peers_.clear();
     for (const auto& peer : config.peers) {
-        numbers_.emplace(udpEndpoint(peer), int(peers_.size()));
+        peerIndexes_.emplace(udpEndpoint(peer), int(peers_.size()));
         peers_.push_back(udpEndpoint(peer));
     }
 }
 
+bool Peers::isSendable(int to, const std::string& bytes) const {
+    const bool known = to < 0 || std::size_t(to) < peers_.size();
+    return known && to != selfIndex_ && !bytes.empty() && bytes.size() <= kMaxDatagramBytes;
+}
+
 void Peers::send(int to, const std::string& bytes) {
     if (!socket_.is_open()) return;
-    const bool known = to < 0 || std::size_t(to) < peers_.size();
-    if (!known || to == self_ || bytes.empty() || bytes.size() > kMost) {
+    if (!isSendable(to, bytes)) {
         ++counters_.unsent;
         return;
     }
-    const auto send = [&](const udp::endpoint& target) {
-        boost::system::error_code error;
-        socket_.send_to(boost::asio::buffer(bytes), target, 0,
-                        error);  // a full buffer loses it, as a network may
-        ++(error ? counters_.unsent : counters_.sent);
-    };
     if (to >= 0)
-        send(peers_[std::size_t(to)]);
-    else if (all_.port() != 0)
-        send(all_);
+        sendTo(peers_[std::size_t(to)], bytes);
     else
-        for (std::size_t i = 0; i < peers_.size(); ++i)
-            if (int(i) != self_) send(peers_[i]);
+        sendToAll(bytes);
+}
+
+void Peers::sendToAll(const std::string& bytes) {
+    if (broadcast_.port() != 0) return sendTo(broadcast_, bytes);
+    for (std::size_t i = 0; i < peers_.size(); ++i)
+        if (int(i) != selfIndex_) sendTo(peers_[i], bytes);
+}
+
+void Peers::sendTo(const udp::endpoint& target, const std::string& bytes) {
+    boost::system::error_code error;
+    socket_.send_to(boost::asio::buffer(bytes), target, 0, error);
+    // A full buffer loses the datagram, as the network may.
+    if (error)
+        ++counters_.unsent;
+    else
+        ++counters_.sent;
 }
 
 void Peers::receive() {
-    socket_.async_receive_from(
-        boost::asio::buffer(buffer_), sender_, [this](const boost::system::error_code& error, std::size_t n) {
-            if (error == boost::asio::error::operation_aborted || !socket_.is_open()) return;
-            const auto from = numbers_.find(sender_);
-            if (error)
-                ++counters_.unknown;
-            else if (n > kMost)
-                ++counters_.oversize;
-            else if (from == numbers_.end() || from->second == self_)
-                ++counters_.unknown;
-            else {
-                ++counters_.received;
-                engine_.peerMessageReceived(from->second, std::string(buffer_.data(), n));
-            }
-            receive();
-        });
+    socket_.async_receive_from(boost::asio::buffer(buffer_), sender_,
+                               [this](const boost::system::error_code& error, std::size_t count) {
+                                   if (error == boost::asio::error::operation_aborted || !socket_.is_open())
+                                       return;
+                                   onReceived(error, count);
+                                   receive();
+                               });
+}
+
+void Peers::onReceived(const boost::system::error_code& error, std::size_t count) {
+    const auto from = peerIndexes_.find(sender_);
+    const bool fromPeer = from != peerIndexes_.end() && from->second != selfIndex_;
+    if (!error && count > kMaxDatagramBytes) {
+        ++counters_.oversize;
+    } else if (error || !fromPeer) {
+        ++counters_.unknown;
+    } else {
+        ++counters_.received;
+        engine_.peerMessageReceived(from->second, std::string(buffer_.data(), count));
+    }
 }
 
 void Peers::stop() {
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -1,39 +1,66 @@
-// Datagrams between the hosts of a tier.
+/// \file
+/// The datagram transport between the hosts of a tier. Owns the UDP socket and the peers' addresses; what the
+/// messages mean is the policy's.
 #pragma once
 
 #include <array>
 #include <boost/asio/ip/udp.hpp>
+#include <cstdint>
 #include <map>
 #include <string>
+#include <vector>
 
 #include "net/engine.h"
 
 namespace wingproxy::net {
 
+/// Sends and receives peer messages. A message that is lost is not repeated. Single-threaded; the engine must
+/// outlive it.
 class Peers {
 public:
-    static constexpr std::size_t kMost = 256;  // bytes of a datagram, by the protocol: a longer one voids all
+    /// The largest datagram, in bytes, by the protocol: it discards a longer one as a whole.
+    static constexpr std::size_t kMaxDatagramBytes = 256;
+
+    /// Datagrams since the start.
     struct Counters {
-        std::uint64_t sent = 0, received = 0, unsent = 0, unknown = 0, oversize = 0;
+        std::uint64_t sent = 0;
+        std::uint64_t received = 0;
+        std::uint64_t unsent = 0;    ///< invalid, for an unknown peer, or the socket's buffer was full
+        std::uint64_t unknown = 0;   ///< from no peer's address, or a receive error
+        std::uint64_t oversize = 0;  ///< received with more than kMaxDatagramBytes
     };
+
+    /// \param opened whether to bind at once
     Peers(Engine& engine, const config::Config& config, bool opened = true);
-    void open();                                  // binds; another process of this front must have let go
-    void setPeers(const config::Config& config);  // the peers' addresses, at the start and anew
+
+    /// Binds; throws boost::system::system_error while another process of this front holds the port. Without
+    /// a configured port it does nothing.
+    void open();
+    /// Sets the peers' addresses.
+    void setPeers(const config::Config& config);
+    /// \param to index of the peer; below 0: all peers, by the configured broadcast address if there is one
     void send(int to, const std::string& bytes);
+    /// Closes the socket.
     void stop();
     const Counters& counters() const { return counters_; }
 
 private:
+    void sendToAll(const std::string& bytes);
+    void sendTo(const boost::asio::ip::udp::endpoint& target, const std::string& bytes);
+    bool isSendable(int to, const std::string& bytes) const;
     void receive();
+    void onReceived(const boost::system::error_code& error, std::size_t count);
+
     Engine& engine_;
     boost::asio::ip::udp::socket socket_;
+    config::Endpoint listenAddress_;
+    const int selfIndex_;
     std::vector<boost::asio::ip::udp::endpoint> peers_;
-    boost::asio::ip::udp::endpoint all_, sender_;
-    std::map<boost::asio::ip::udp::endpoint, int> numbers_;
-    std::array<char, kMost + 1> buffer_{};
+    std::map<boost::asio::ip::udp::endpoint, int> peerIndexes_;
+    boost::asio::ip::udp::endpoint broadcast_;          // port 0: none
+    boost::asio::ip::udp::endpoint sender_;             // of the datagram that was received last
+    std::array<char, kMaxDatagramBytes + 1> buffer_{};  // one more, to recognise a datagram that is too long
     Counters counters_;
-    config::Endpoint listen_;
-    int self_ = 0;
 };
 
 }  // namespace wingproxy::net
--- /dev/null
+++ b/src/net/watch_timing.cpp
@@ -0,0 +1,31 @@
+#include "net/watch_timing.h"
+
+#include <algorithm>
+
+namespace wingproxy::net {
+namespace {
+
+using std::chrono::milliseconds;
+
+// Parts of a drain's grace; see discoveryTiming().
+constexpr int kTimeoutGracePart = 4;
+constexpr int kRetryGracePart = 8;
+// Upper bounds, which also apply where no grace is set.
+constexpr milliseconds kMaxPushedTimeout{500};
+constexpr milliseconds kMaxRetryDelay{500};
+
+}  // namespace
+
+DiscoveryTiming discoveryTiming(const Settings& settings, WatchTiming watch) {
+    DiscoveryTiming timing{watch, kMaxRetryDelay};
+    if (settings.pollsEndpointList) return timing;
+    timing.watch.firstTimeout = std::min(timing.watch.firstTimeout, kMaxPushedTimeout);
+    const std::chrono::microseconds grace(settings.drainGraceUs);
+    if (grace.count() <= 0) return timing;
+    const auto timeout = std::chrono::duration_cast<milliseconds>(grace / kTimeoutGracePart);
+    timing.watch.firstTimeout = std::min(timing.watch.firstTimeout, timeout);
+    timing.retryDelay = std::min(timing.retryDelay, grace / kRetryGracePart);
+    return timing;
+}
+
+}  // namespace wingproxy::net
