--- a/src/net/engine.cpp
+++ b/src/net/engine.cpp
@@ -3,66 +3,80 @@
 #include <boost/asio/post.hpp>
 
 namespace wingproxy::net {
+namespace {
+
+constexpr RequestId kNoRequest = 0;  // ids count from 1
+
+// Message bodies get 3/8 of the configured memory; the connections' ring buffers get a quarter.
+std::size_t bodyBytes(const config::Config& config) {
+    return std::size_t(config.memoryMb) * 1024 * 1024 * 3 / 8;
+}
+
+}  // namespace
 
 Engine::Engine(boost::asio::io_context& io, const config::Config& config, log::Logger& logger)
     : io_(io),
       logger_(logger),
-      bodies_(std::size_t(config.memoryMb) * 1024 * 1024 * 3 / 8),  // rings get a quarter
+      bodies_(bodyBytes(config)),
       settings_(config.settings),
-      known_(config.cachedEndpoints),
+      initialEndpoints_(config.cachedEndpoints),
       state_(config.settings, core::Limits{config.connectTimeoutUs}, clock_.now()),
-      wake_(io) {}
+      timer_(io) {}
 
 void Engine::start() {
     started_ = true;
-    endpointListReceived(known_);
-    closeBatch();
+    endpointListReceived(initialEndpoints_);
+    endBatch();
 }
 
 void Engine::stop() {
     stopped_ = true;
-    wake_.cancel();
-    for (auto& [id, live] : live_)
-        for (auto& [number, attempt] : live.out)
+    timer_.cancel();
+    for (auto& [id, request] : requests_)
+        for (auto& [number, attempt] : request.attempts)
             if (attempt) attempt->abandon();
-    live_.clear();
+    requests_.clear();
 }
 
 RequestId Engine::submit(Request request, std::shared_ptr<Transfer> transfer) {
     request.id = ++lastId_;
     const auto id = request.id;
-    live_[id].transfer = std::move(transfer);
-    put(RequestReceived{std::move(request)});
+    requests_[id].transfer = std::move(transfer);
+    process(RequestReceived{std::move(request)});
     return id;
 }
 
 void Engine::clientDisconnected(RequestId id) {
-    finish(id);
-    put(core::ClientDisconnected{id});
+    markAnswered(id);
+    process(core::ClientDisconnected{id});
 }
 
-void Engine::endpointListReceived(config::EndpointListing hosts) {
-    if (hosts.list.kind != EndpointListKind::Delta) addresses_.clear();
-    for (std::size_t i = 0; i < hosts.list.nodes.size(); ++i) {
-        const auto& node = hosts.list.nodes[i];
+void Engine::endpointListReceived(config::EndpointListing listing) {
+    if (listing.list.kind != EndpointListKind::Delta) addresses_.clear();
+    for (std::size_t i = 0; i < listing.list.nodes.size(); ++i) {
+        const auto& node = listing.list.nodes[i];
         if (node.state == NodeState::Removed)
             addresses_.erase(node.id);
         else
-            addresses_[node.id] = hosts.addresses[i];
+            addresses_[node.id] = listing.addresses[i];
     }
-    listVersion_ = hosts.list.version;
-    put(EndpointListReceived{std::move(hosts.list)});
+    listVersion_ = listing.list.version;
+    process(EndpointListReceived{std::move(listing.list)});
+}
+
+void Engine::endpointListUnavailable() {
+    process(EndpointListReceived{{EndpointListKind::Unavailable, listVersion_, {}}});
 }
 
-bool Engine::setAdminDrain(const std::string& node, bool out) {
+bool Engine::setAdminDrain(const std::string& node, bool drained) {
     if (!state_.everListed(node)) return false;
-    put(core::AdminOverrideChanged{node, {out, clock_.now()}});
+    process(core::AdminOverrideChanged{node, {drained, clock_.now()}});
     return true;
 }
 
 void Engine::applyOverrides(const core::AdminOverrides& overrides) {
     for (const auto& [node, entry] : overrides)
-        put(core::AdminOverrideChanged{node, entry});
+        process(core::AdminOverrideChanged{node, entry});
 }
 
 EngineSnapshot Engine::takeSnapshot() {
@@ -73,114 +87,130 @@
 }
 
 bool Engine::restore(EngineSnapshot snapshot) {
-    const bool whole = core::restore(state_, snapshot.core);
-    known_ = {{EndpointListKind::Cached, snapshot.listVersion, std::move(snapshot.core.listed)},
-              std::move(snapshot.addresses)};
-    return whole;
+    const bool complete = core::restore(state_, snapshot.core);
+    initialEndpoints_ = {{EndpointListKind::Cached, snapshot.listVersion, std::move(snapshot.core.listed)},
+                         std::move(snapshot.addresses)};
+    return complete;
 }
 
-void Engine::endpointListUnavailable() {
-    put(EndpointListReceived{{EndpointListKind::Unavailable, listVersion_, {}}});
-}
-
-// Inputs change the state at once; the module decides when all that was ready together has been put in.
-void Engine::put(core::Input input) {
+void Engine::process(core::Input input) {
     if (stopped_) return;
-    RequestId id = 0;  // no request's
-    if (const auto* ended = std::get_if<core::AttemptFinished>(&input)) {
-        id = ended->id;
-        if (const auto it = live_.find(id); it != live_.end()) it->second.out.erase(ended->attempt);
+    RequestId finishedId = kNoRequest;
+    if (const auto* finished = std::get_if<core::AttemptFinished>(&input)) {
+        finishedId = finished->id;
+        removeAttempt(finished->id, finished->attempt);
     }
-    run(core::reduce(state_, clock_.now(), std::move(input)));
-    if (const auto it = live_.find(id); it != live_.end() && it->second.done && it->second.out.empty())
-        live_.erase(it);
-    if (closing_ || !started_) return;
-    closing_ = true;
-    boost::asio::post(io_, [this] { closeBatch(); });
+    apply(core::reduce(state_, clock_.now(), std::move(input)));
+    eraseIfComplete(finishedId);
+    scheduleBatchEnd();
 }
 
-void Engine::closeBatch() {
-    closing_ = false;
+void Engine::scheduleBatchEnd() {
+    if (batchEndScheduled_ || !started_) return;
+    batchEndScheduled_ = true;
+    boost::asio::post(io_, [this] { endBatch(); });
+}
+
+void Engine::endBatch() {
+    batchEndScheduled_ = false;
     if (stopped_) return;
-    run(core::reduce(state_, clock_.now(), core::BatchEnded{}));
-    armWake();
+    apply(core::reduce(state_, clock_.now(), core::BatchEnded{}));
+    armTimer();
 }
 
-void Engine::armWake() {
+void Engine::armTimer() {
     const auto at = state_.nextWake();
-    if (at == wakeAt_ || at == core::State::kNoWake) return;
-    wakeAt_ = at;
-    wake_.expires_at(clock_.at(at));
-    wake_.async_wait([this](const boost::system::error_code& error) {
+    if (at == timerAt_ || at == core::State::kNoWake) return;
+    timerAt_ = at;
+    timer_.expires_at(clock_.at(at));
+    timer_.async_wait([this](const boost::system::error_code& error) {
         if (error || stopped_) return;
-        wakeAt_ = core::State::kNoWake;
-        put(core::TimerExpired{});
+        timerAt_ = core::State::kNoWake;
+        process(core::TimerExpired{});
     });
 }
 
-void Engine::run(const core::Effects& effects) {
+void Engine::apply(const core::Effects& effects) {
     for (const auto& effect : effects)
-        std::visit([this](const auto& e) { run(e); }, effect);
+        std::visit([this](const auto& each) { apply(each); }, effect);
 }
 
-void Engine::run(const core::StartAttempt& e) {
-    const auto it = live_.find(e.id);
-    const auto address = addresses_.find(e.node);
-    if (it == live_.end() || !it->second.transfer || address == addresses_.end()) {
-        put(core::AttemptFinished{e.id, e.attempt, Outcome::ConnectFailed, 0, 0, {}});
+void Engine::apply(const core::StartAttempt& effect) {
+    const auto request = requests_.find(effect.id);
+    const auto address = addresses_.find(effect.node);
+    if (request == requests_.end() || !request->second.transfer || address == addresses_.end()) {
+        process(core::AttemptFinished{effect.id, effect.attempt, Outcome::ConnectFailed, 0, 0, {}});
         return;
     }
-    it->second.out[e.attempt] = nullptr;  // it may end before start() returns
-    auto attempt = it->second.transfer->start(
-        {e.id, e.attempt, address->second, e.firstByteBy, e.timeoutAt, e.lastByteBy});
-    const auto now = live_.find(e.id);
-    if (now == live_.end()) return;
-    if (const auto slot = now->second.out.find(e.attempt); slot != now->second.out.end())
+    request->second.attempts[effect.attempt] = nullptr;
+    auto attempt = request->second.transfer->start({effect.id, effect.attempt, address->second,
+                                                    effect.firstByteBy, effect.timeoutAt, effect.lastByteBy});
+    // The attempt, and with it the request, may have finished before start() returned.
+    const auto current = requests_.find(effect.id);
+    if (current == requests_.end()) return;
+    auto& attempts = current->second.attempts;
+    if (const auto slot = attempts.find(effect.attempt); slot != attempts.end())
         slot->second = std::move(attempt);
 }
 
-void Engine::run(const core::StopAttempt& e) { dropAttempt(e.id, e.attempt); }
+void Engine::apply(const core::StopAttempt& effect) {
+    const auto attempt = removeAttempt(effect.id, effect.attempt);
+    if (attempt) attempt->abandon();
+    eraseIfComplete(effect.id);
+}
 
-void Engine::dropAttempt(RequestId id, int attempt) {
-    const auto it = live_.find(id);
-    if (it == live_.end()) return;
-    const auto slot = it->second.out.find(attempt);
-    if (slot == it->second.out.end()) return;
-    const auto held = std::move(slot->second);
-    it->second.out.erase(slot);
-    if (held) held->abandon();
-    if (it->second.done && it->second.out.empty()) live_.erase(it);
+void Engine::apply(const core::DeliverResponse& effect) {
+    if (const auto transfer = markAnswered(effect.id)) transfer->deliver(effect.attempt);
 }
 
-std::shared_ptr<Transfer> Engine::finish(RequestId id) {
-    const auto it = live_.find(id);
-    if (it == live_.end() || it->second.done) return nullptr;
-    it->second.done = true;
-    const auto transfer = it->second.transfer;
-    if (it->second.out.empty()) live_.erase(it);
-    return transfer;
+void Engine::apply(const core::SendRejection& effect) {
+    if (const auto transfer = markAnswered(effect.id)) transfer->refuse(effect.retryAfterUs);
+}
+
+void Engine::apply(const core::SendFailure& effect) {
+    if (const auto transfer = markAnswered(effect.id)) transfer->fail();
 }
 
-void Engine::run(const core::DeliverResponse& e) {
-    if (const auto transfer = finish(e.id)) transfer->deliver(e.attempt);
+void Engine::apply(const SendPeerMessage& effect) {
+    if (effectHandlers_.sendPeerMessage) effectHandlers_.sendPeerMessage(effect.to, effect.bytes);
 }
-void Engine::run(const core::SendRejection& e) {
-    if (const auto transfer = finish(e.id)) transfer->refuse(e.retryAfterUs);
+
+void Engine::apply(const WatchEndpointList& effect) {
+    if (effectHandlers_.watchEndpointList) effectHandlers_.watchEndpointList(effect.enabled);
 }
-void Engine::run(const core::SendFailure& e) {
-    if (const auto transfer = finish(e.id)) transfer->fail();
+
+void Engine::apply(const StartHealthCheck& effect) {
+    const auto address = addresses_.find(effect.node);
+    if (address != addresses_.end() && effectHandlers_.startHealthCheck)
+        effectHandlers_.startHealthCheck(effect.node, address->second);
 }
-void Engine::run(const SendPeerMessage& e) {
-    if (effectHandlers_.sendPeerMessage) effectHandlers_.sendPeerMessage(e.to, e.bytes);
+
+void Engine::apply(const LogLine& effect) { logger_.info("policy: {}", effect.text); }
+
+std::shared_ptr<Transfer> Engine::markAnswered(RequestId id) {
+    const auto request = requests_.find(id);
+    if (request == requests_.end() || request->second.answered) return nullptr;
+    request->second.answered = true;
+    auto transfer = request->second.transfer;
+    eraseIfComplete(id);
+    return transfer;
 }
-void Engine::run(const WatchEndpointList& e) {
-    if (effectHandlers_.watchEndpointList) effectHandlers_.watchEndpointList(e.enabled);
+
+std::shared_ptr<Attempt> Engine::removeAttempt(RequestId id, int attempt) {
+    const auto request = requests_.find(id);
+    if (request == requests_.end()) return nullptr;
+    auto& attempts = request->second.attempts;
+    const auto slot = attempts.find(attempt);
+    if (slot == attempts.end()) return nullptr;
+    auto removed = std::move(slot->second);
+    attempts.erase(slot);
+    return removed;
 }
-void Engine::run(const StartHealthCheck& e) {
-    const auto address = addresses_.find(e.node);
-    if (address != addresses_.end() && effectHandlers_.startHealthCheck)
-        effectHandlers_.startHealthCheck(e.node, address->second);
+
+void Engine::eraseIfComplete(RequestId id) {
+    const auto request = requests_.find(id);
+    if (request != requests_.end() && request->second.answered && request->second.attempts.empty())
+        requests_.erase(request);
 }
-void Engine::run(const LogLine& e) { logger_.info("module: {}", e.text); }
 
 }  // namespace wingproxy::net
--- a/src/net/engine.h
+++ b/src/net/engine.h
@@ -1,4 +1,7 @@
-// Runs the reducer: inputs come from the fronts, node clients, discovery and peers; effects go back to them.
+/// \file
+/// Runs the reducer on the event loop. Owns the core state, the requests in flight, the addresses of the
+/// listed nodes and the policy's timer: inputs come from the fronts, node clients, discovery and peers, and
+/// the reducer's effects go back to them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,133 +20,166 @@
 
 namespace wingproxy::net {
 
-// What an attempt needs to know of its place and time.
+/// Where and until when an attempt runs. Times are those of `Engine::now()`.
 struct AttemptParams {
     RequestId id = 0;
-    int attempt = 0;
-    config::Endpoint node;
-    Micros firstByteBy = 0, timeoutAt = 0, lastByteBy = core::StartAttempt::kNever;
+    int attempt = 0;                                 ///< its number within the request
+    config::Endpoint node;                           ///< where to connect
+    Micros firstByteBy = 0;                          ///< later no byte may be sent
+    Micros timeoutAt = 0;                            ///< the reducer stops the attempt then
+    Micros lastByteBy = core::StartAttempt::kNever;  ///< later the request's last byte may not be sent
 };
 
-// One attempt on the wire. It calls Engine::ended once, unless it is abandoned first.
+/// One attempt on the wire. It calls `Engine::attemptFinished` once, unless it is abandoned first.
 class Attempt {
 public:
     virtual ~Attempt() = default;
-    virtual void abandon() = 0;  // closes its connection, reports nothing more
+    /// Closes the connection; the attempt reports nothing more.
+    virtual void abandon() = 0;
 };
 
-// The wire's side of one request: how to try it at a node, and how to answer. Each request gets exactly one
-// of deliver, refuse and fail, unless its client left before.
+/// The front's side of one request: how to send it to a node, and how to answer the client. Each request gets
+/// exactly one of `deliver`, `refuse` and `fail`, unless its client disconnected before.
 class Transfer {
 public:
     virtual ~Transfer() = default;
-    virtual std::shared_ptr<Attempt> start(const AttemptParams& order) = 0;
-    virtual void deliver(int attempt) = 0;  // that attempt's answer, which ended as Ok
+    /// Starts an attempt. It may finish before this returns.
+    virtual std::shared_ptr<Attempt> start(const AttemptParams& params) = 0;
+    /// Answers with the response of that attempt, which finished as `Outcome::Ok`.
+    virtual void deliver(int attempt) = 0;
+    /// Rejects the request: nothing ran, and the client may retry after that time.
     virtual void refuse(Micros retryAfterUs) = 0;
+    /// Answers that the request failed.
     virtual void fail() = 0;
 };
 
 /// What a successor process starts from; see `Engine::takeSnapshot`.
 struct EngineSnapshot {
     core::StateSnapshot core;
-    std::vector<config::Endpoint> addresses;  ///< beside core.listed
+    std::vector<config::Endpoint> addresses;  ///< one for each of core.listed, in its order
     std::int64_t listVersion = 0;
 };
 
+/// Joins the reducer to the event loop. Single-threaded: all calls are made on the loop of `io()`. Inputs
+/// change the state at once; the policy decides when all inputs of one turn of the loop have been put in.
 class Engine {
 public:
-    /// Where effects go that concern no request.
+    /// Receivers of the effects that belong to no request.
     struct EffectHandlers {
+        /// \param to index of the peer; below 0: all peers
         std::function<void(int to, const std::string&)> sendPeerMessage;
-        std::function<void(bool)> watchEndpointList;
+        std::function<void(bool enabled)> watchEndpointList;
         std::function<void(const std::string& id, const config::Endpoint&)> startHealthCheck;
     };
+
+    /// \param io, logger must outlive the engine
     Engine(boost::asio::io_context& io, const config::Config& config, log::Logger& logger);
+
     void setEffectHandlers(EffectHandlers handlers) { effectHandlers_ = std::move(handlers); }
-    void start();  ///< the cached endpoint list, then the policy's first actions
-    void stop();   ///< no more timers; what is open is dropped
+    /// Applies the cached endpoint list and lets the policy decide for the first time.
+    void start();
+    /// Abandons all attempts. Later inputs are ignored.
+    void stop();
 
-    RequestId submit(Request request, std::shared_ptr<Transfer> transfer);  ///< the id is given here
+    /// Takes in a request.
+    /// \return the id, which is assigned here
+    RequestId submit(Request request, std::shared_ptr<Transfer> transfer);
+    /// The client of an unanswered request is gone: its transfer is not called any more.
     void clientDisconnected(RequestId id);
-    void capacityNeeded(int connections) { put(CapacityNeeded{connections}); }
-    void shutdownStarted(Micros servesUntilUs) { put(ShutdownStarted{servesUntilUs}); }
-    void attemptRequestSent(RequestId id, int attempt) { put(core::AttemptRequestSent{id, attempt}); }
-    void responseHeadReceived(RequestId id, int attempt) { put(core::ResponseHeadReceived{id, attempt}); }
+    void capacityNeeded(int connections) { process(CapacityNeeded{connections}); }
+    void shutdownStarted(Micros servesUntilUs) { process(ShutdownStarted{servesUntilUs}); }
+    void attemptRequestSent(RequestId id, int attempt) { process(core::AttemptRequestSent{id, attempt}); }
+    void responseHeadReceived(RequestId id, int attempt) { process(core::ResponseHeadReceived{id, attempt}); }
     /// \param unbounded the node has done its work, and no deadline runs any more
     void responseForwardingStarted(RequestId id, int attempt, bool unbounded = false) {
-        put(core::ResponseForwardingStarted{id, attempt, unbounded});
+        process(core::ResponseForwardingStarted{id, attempt, unbounded});
     }
-    void requestBodyCompleted(RequestId id, Micros deadlineUs) { put(RequestBodyCompleted{id, deadlineUs}); }
-    void attemptFinished(core::AttemptFinished result) { put(std::move(result)); }
+    void requestBodyCompleted(RequestId id, Micros deadlineUs) {
+        process(RequestBodyCompleted{id, deadlineUs});
+    }
+    void attemptFinished(core::AttemptFinished result) { process(std::move(result)); }
+    /// Takes in a complete endpoint list, or the changes to the last one.
     void endpointListReceived(config::EndpointListing listing);
+    /// The endpoint list could not be had: the policy is told, and the last one stays.
     void endpointListUnavailable();
     void peerMessageReceived(int from, std::string bytes) {
-        put(PeerMessageReceived{from, std::move(bytes)});
+        process(PeerMessageReceived{from, std::move(bytes)});
     }
-    void healthCheckCompleted(HealthCheckCompleted check) { put(std::move(check)); }
+    void healthCheckCompleted(HealthCheckCompleted check) { process(std::move(check)); }
 
-    /// An operator's order about a node, which stands above the endpoint list.
+    /// Sets or ends the administrative drain of a node, which has precedence over the endpoint list.
     /// \return false: the id was never listed
     bool setAdminDrain(const std::string& node, bool drained);
-    void applyOverrides(const core::AdminOverrides& overrides);  ///< given to another process of this front
+    /// Applies overrides that another process of this front was given.
+    void applyOverrides(const core::AdminOverrides& overrides);
     const core::AdminOverrides& overrides() const { return state_.overrides(); }
 
-    /// What a successor starts from. What is open here is finished.
+    /// What a successor process starts from. The requests in flight are no part of it: they end here.
     EngineSnapshot takeSnapshot();
-    /// To be called before start(). \return false: the policy's part did not fit these settings and is left
-    /// out
+    /// Starts from a predecessor's snapshot. To be called before start().
+    /// \return false: the policy's part did not fit these settings and is left out
     bool restore(EngineSnapshot snapshot);
 
     boost::asio::io_context& io() { return io_; }
+    /// Microseconds since the Unix epoch; never goes back.
     Micros now() const { return clock_.now(); }
     const Clock& clock() const { return clock_; }
+    /// Memory for the bodies of all requests and responses.
     ByteBudget& bodies() { return bodies_; }
     const Settings& settings() const { return settings_; }
     log::Logger& logger() { return logger_; }
     std::size_t openRequests() const { return state_.openRequests(); }
-    std::size_t nodeCount() const { return addresses_.size(); }  ///< on the endpoint list
+    /// Nodes on the endpoint list.
+    std::size_t nodeCount() const { return addresses_.size(); }
     std::size_t avoidedNodes() const { return state_.avoidedNodes(); }
     std::size_t adminDrainedNodes() const { return state_.adminDrainedNodes(); }
     const fleet::RestartRecovery& recovery() const { return state_.recovery(); }
     std::int64_t listVersion() const { return listVersion_; }
-    std::size_t tableEntries() const { return state_.tableEntries() + live_.size() + addresses_.size(); }
+    /// Entries of all tables together, to see in the metrics that none grows without bound.
+    std::size_t tableEntries() const { return state_.tableEntries() + requests_.size() + addresses_.size(); }
     const core::Counters& counters() const { return state_.counters(); }
 
 private:
-    struct Live {
+    struct InFlightRequest {
         std::shared_ptr<Transfer> transfer;
-        std::map<int, std::shared_ptr<Attempt>> out;
-        bool done = false;
+        std::map<int, std::shared_ptr<Attempt>> attempts;  // null while its start() runs
+        bool answered = false;                             // or its client disconnected
     };
-    void put(core::Input input);
-    void closeBatch();
-    void armWake();
-    void run(const core::Effects& effects);
-    void run(const core::StartAttempt& e);
-    void run(const core::StopAttempt& e);
-    void run(const core::DeliverResponse& e);
-    void run(const core::SendRejection& e);
-    void run(const core::SendFailure& e);
-    void run(const SendPeerMessage& e);
-    void run(const WatchEndpointList& e);
-    void run(const StartHealthCheck& e);
-    void run(const LogLine& e);
-    std::shared_ptr<Transfer> finish(RequestId id);  // its transfer, if it had no answer yet
-    void dropAttempt(RequestId id, int attempt);
+
+    void process(core::Input input);
+    void scheduleBatchEnd();
+    void endBatch();
+    void armTimer();
+    void apply(const core::Effects& effects);
+    void apply(const core::StartAttempt& effect);
+    void apply(const core::StopAttempt& effect);
+    void apply(const core::DeliverResponse& effect);
+    void apply(const core::SendRejection& effect);
+    void apply(const core::SendFailure& effect);
+    void apply(const SendPeerMessage& effect);
+    void apply(const WatchEndpointList& effect);
+    void apply(const StartHealthCheck& effect);
+    void apply(const LogLine& effect);
+    // Returns the transfer if the request had no answer yet, else null.
+    std::shared_ptr<Transfer> markAnswered(RequestId id);
+    std::shared_ptr<Attempt> removeAttempt(RequestId id, int attempt);
+    void eraseIfComplete(RequestId id);
 
     boost::asio::io_context& io_;
     log::Logger& logger_;
     Clock clock_;
     ByteBudget bodies_;
     Settings settings_;
-    config::EndpointListing known_;
+    config::EndpointListing initialEndpoints_;
     core::State state_;
-    boost::asio::steady_timer wake_;
-    Micros wakeAt_ = core::State::kNoWake;
-    bool closing_ = false, started_ = false, stopped_ = false;
+    boost::asio::steady_timer timer_;
+    Micros timerAt_ = core::State::kNoWake;
+    bool batchEndScheduled_ = false;
+    bool started_ = false;
+    bool stopped_ = false;
     EffectHandlers effectHandlers_;
-    std::unordered_map<RequestId, Live> live_;
-    std::map<std::string, config::Endpoint, std::less<>> addresses_;
+    std::unordered_map<RequestId, InFlightRequest> requests_;
+    std::map<std::string, config::Endpoint, std::less<>> addresses_;  // by node id
     std::int64_t listVersion_ = 0;
     RequestId lastId_ = 0;
 };
