--- /dev/null
+++ b/src/http/buffered_body.h
@@ -0,0 +1,49 @@
+/// \file
+/// Body bytes of one message that are kept in memory, with their reservation in the memory budget.
+#pragma once
+
+#include <string>
+#include <utility>
+
+#include "http/messages.h"
+#include "net/byte_budget.h"
+#include "net/ring_buffer.h"
+
+namespace wingproxy::http {
+
+/// A body that is buffered completely, or the part of a streamed one that came before it was known to be
+/// long.
+class BufferedBody {
+public:
+    /// The reservation is given back when the last byte is consumed, or with this object.
+    void setReservation(net::ByteBudget::Hold reservation) { reservation_ = std::move(reservation); }
+    bool hasReservation() const { return reservation_ != nullptr; }
+    net::ByteBudget::Hold releaseReservation() { return std::exchange(reservation_, nullptr); }
+
+    /// Appends what has arrived, until the body is longer than may be buffered.
+    /// \param reader net::MessageReader or net::AnswerReader, past the head
+    template <typename Reader>
+    void readFrom(Reader& reader, net::RingBuffer& in, boost::system::error_code& error) {
+        reader.append(in, bytes_, kMaxBufferedBody, error);
+    }
+
+    bool empty() const { return bytes_.empty(); }
+    std::size_t size() const { return bytes_.size(); }
+    bool exceedsLimit() const { return bytes_.size() > kMaxBufferedBody; }
+
+    /// Moves up to `capacity` bytes from the front to `to`.
+    /// \return the number of bytes moved
+    std::size_t consume(char* to, std::size_t capacity);
+
+    /// All bytes; the reservation stays.
+    std::string releaseBytes() { return std::exchange(bytes_, std::string()); }
+
+    /// Drops the bytes and the reservation.
+    void clear();
+
+private:
+    std::string bytes_;
+    net::ByteBudget::Hold reservation_;
+};
+
+}  // namespace wingproxy::http
--- /dev/null
+++ b/src/http/client_connection.cpp
@@ -0,0 +1,358 @@
+#include "http/client_connection.h"
+
+#include <algorithm>
+#include <boost/asio/post.hpp>
+#include <boost/beast/http/rfc7230.hpp>
+#include <utility>
+
+#include "http/client_limits.h"
+#include "http/message_writer.h"
+#include "http/pending_request.h"
+#include "http/rejection.h"
+
+namespace wingproxy::http {
+namespace {
+
+namespace beast = boost::beast;
+
+constexpr std::string_view kContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
+
+// Empty lines behind a body are a habit of old clients, and no request.
+bool hasOnlyLineEnds(const net::RingBuffer& in) {
+    const auto parts = in.newest(in.size());
+    return std::all_of(parts.begin(), parts.end(), [](std::string_view part) {
+        return part.find_first_not_of("\r\n") == std::string_view::npos;
+    });
+}
+
+}  // namespace
+
+ClientConnection::ClientConnection(FrontContext& context, net::SessionManager& sessionManager,
+                                   boost::asio::ip::tcp::socket socket)
+    : Session(sessionManager, std::move(socket)), context_(context), reader_(in_) {
+    awaitNextRequest();
+}
+
+void ClientConnection::awaitNextRequest() {
+    phase_ = Phase::ReceivingRequest;
+    expectsContinue_ = false;
+    bodyIncomplete_ = false;
+    stream_.reset();
+    responseReservation_ = nullptr;
+    onBody_ = nullptr;
+    phaseStartedAt_ = Clock::now();
+    lastReceivedAt_ = phaseStartedAt_;
+    reader_.reset();
+}
+
+void ClientConnection::received() {
+    lastReceivedAt_ = Clock::now();
+    if (phase_ == Phase::ReceivingRequest) {
+        if (!reader_.hasParsedAny()) phaseStartedAt_ = lastReceivedAt_;
+        return readRequest();
+    }
+    if (!bodyIncomplete_) {
+        if (phase_ == Phase::AwaitingResponse || isStreaming()) discardPipelined();
+        return;
+    }
+    if (drained_) bufferEmptiedAt_ = context_.engine().now();
+    if (phase_ == Phase::SendingResponse) {
+        in_.clear();  // the response did not wait for the rest of the body
+    } else if (onBody_) {
+        const auto onBody = std::exchange(onBody_, nullptr);
+        onBody();
+    }
+}
+
+void ClientConnection::disconnected() {
+    if (phase_ == Phase::AwaitingResponse) context_.onRequestNoLongerWaiting();
+    if (phase_ == Phase::AwaitingResponse || isStreaming()) context_.engine().clientDisconnected(requestId_);
+}
+
+void ClientConnection::progressed() {
+    if (phase_ == Phase::SendingResponse) phaseStartedAt_ = Clock::now();
+}
+
+void ClientConnection::sent() {
+    if (phase_ != Phase::SendingResponse || isStreaming()) return;  // that was "100 Continue", or a piece
+    if (!keepAlive_) return bodyIncomplete_ ? linger(kUnreadBodyLinger) : linger();
+    awaitNextRequest();
+    markActive();
+    readRequest();
+    read();
+}
+
+void ClientConnection::readRequest() {
+    boost::system::error_code error;
+    if (!reader_.hasHead()) {
+        if (!reader_.readHead(error)) {
+            if (error) reject(rejectUnreadable(error));
+            return;
+        }
+        if (!acceptHead()) return;
+    }
+    switch (reader_.readBody(error)) {
+        case RequestProgress::NeedsMore:
+            return;
+        case RequestProgress::Complete:
+            return dispatch(std::nullopt);
+        case RequestProgress::Streaming:
+            return dispatch(reader_.streamed());
+        case RequestProgress::Invalid:
+            return reject(rejectUnreadable(error));
+    }
+}
+
+// The checks that need no complete body; false: the request was rejected.
+bool ClientConnection::acceptHead() {
+    const auto& head = reader_.head();
+    isHttp10_ = head.version() < 11;
+    if (const auto error = checkFraming(head)) {
+        reject(rejectFraming(*error));
+        return false;
+    }
+    const bool isLong = reader_.announcesLongBody();
+    if (!isLong && !reader_.reserveBody(context_.engine().bodies())) {
+        reject(rejectForMemory(context_.engine().settings()));
+        return false;
+    }
+    expectsContinue_ =
+        !reader_.isComplete() && beast::iequals(head[beast::http::field::expect], "100-continue");
+    // The client sends a long body only when a node is ready to take it.
+    if (!isLong) sendContinue();
+    return true;
+}
+
+void ClientConnection::sendContinue() {
+    if (std::exchange(expectsContinue_, false)) send(std::string(kContinueResponse));
+}
+
+// The request is complete, or it is streamed from here on.
+void ClientConnection::dispatch(std::optional<BodyFraming> streamed) {
+    auto message = std::make_shared<RequestMessage>(RequestHead(reader_.head()));
+    hasSentRequest_ = true;
+    keepAlive_ = reader_.parser().keep_alive();
+    if (!streamed) {
+        discardPipelined();
+        message->body() = reader_.body().releaseBytes();
+    }
+    if (message->target() == "/up") return respond(200, "", "up\n");  // the readiness path
+    ++context_.counters().requests;
+    auto& engine = context_.engine();
+    auto result = validateRequest(*message, streamed.has_value(), engine.settings(), context_.requestIds(),
+                                  engine.now());
+    if (const auto* rejection = std::get_if<Rejection>(&result)) return reject(*rejection);
+    submit(std::get<ParsedRequest>(std::move(result)), std::move(message), streamed);
+}
+
+void ClientConnection::submit(ParsedRequest parsed, std::shared_ptr<const RequestMessage> message,
+                              std::optional<BodyFraming> streamed) {
+    bufferEmptiedAt_ = context_.engine().now();
+    responseTimeoutUs_ = std::max<Micros>(0, parsed.timeoutUs - kResponseTravelUs);
+    bodyIncomplete_ = streamed.has_value();
+    parsed.request.deadlineUs = deadline();
+    parsed.request.bodyIncomplete = bodyIncomplete_;
+    phase_ = Phase::AwaitingResponse;
+    context_.onRequestWaiting();
+    markActive();
+    auto reservation = streamed ? nullptr : reader_.body().releaseReservation();
+    auto pending = std::make_shared<PendingRequest>(context_, self(), std::move(message), streamed,
+                                                    std::move(reservation));
+    requestId_ = context_.engine().submit(std::move(parsed.request), std::move(pending));
+    context_.keepConnectionsFree(sessionManager_.connections());
+}
+
+Micros ClientConnection::deadline() const {
+    return std::min(bufferEmptiedAt_ + responseTimeoutUs_, context_.responseDeadline());
+}
+
+std::size_t ClientConnection::consumeBody(char* to, std::size_t capacity) {
+    if (!open() || phase_ != Phase::AwaitingResponse) return 0;
+    sendContinue();
+    const bool wasBuffered = !reader_.body().empty();
+    boost::system::error_code error;
+    const auto count = reader_.consumeBody(to, capacity, error);
+    if (wasBuffered) return count;
+    const bool stuck = count == 0 && in_.space() == 0 && !reader_.isComplete();
+    if (error || stuck) {
+        // Not from within: the attempt that consumes the body ends with the request.
+        boost::asio::post(sessionManager_.io(), [self = self()] { self->onBodyUnreadable(); });
+        return 0;
+    }
+    if (bodyIncomplete_ && reader_.isComplete()) onBodyCompleted();
+    read();
+    return count;
+}
+
+void ClientConnection::onBodyCompleted() {
+    bodyIncomplete_ = false;
+    discardPipelined();
+    context_.engine().requestBodyCompleted(requestId_, deadline());
+}
+
+void ClientConnection::onBodyUnreadable() {
+    if (!open() || phase_ != Phase::AwaitingResponse) return;
+    context_.engine().clientDisconnected(requestId_);
+    reject(rejectUnreadableBody());
+}
+
+// Pipelining is not served: a client that sends more may be gone before its turn comes, and a full receive
+// buffer would hide that. What comes is dropped, and the response closes the connection.
+void ClientConnection::discardPipelined() {
+    const bool isHarmless = hasOnlyLineEnds(in_);
+    in_.clear();
+    if (isHarmless || hasPipelined_) return;
+    hasPipelined_ = true;
+    ++context_.counters().pipelined;
+    keepAlive_ = false;
+}
+
+void ClientConnection::reject(const Rejection& rejection) {
+    if (rejection.counter) ++(context_.counters().*rejection.counter);
+    if (rejection.closesConnection) keepAlive_ = false;
+    respond(rejection.status, rejection.fields, rejection.body);
+}
+
+void ClientConnection::leaveAwaitingResponse() {
+    if (phase_ == Phase::AwaitingResponse) context_.onRequestNoLongerWaiting();
+    phase_ = Phase::SendingResponse;
+    phaseStartedAt_ = Clock::now();
+}
+
+void ClientConnection::countResponse(int status) {
+    auto& counters = context_.counters();
+    switch (status) {
+        case 200:
+            ++counters.ok;
+            break;
+        case 503:
+            ++counters.refused;
+            break;
+        default:
+            ++counters.failed;
+    }
+}
+
+void ClientConnection::respond(int status, std::string_view fields, std::string_view body,
+                               net::ByteBudget::Hold reservation) {
+    if (!open()) return;
+    if (isStreaming()) return abortStreaming();
+    if (bodyIncomplete_) keepAlive_ = false;
+    onBody_ = nullptr;
+    reader_.body().releaseReservation();
+    responseReservation_ = std::move(reservation);
+    countResponse(status);
+    leaveAwaitingResponse();
+    if (closesAfterResponse()) keepAlive_ = false;
+    std::string allFields(fields);
+    if (isHttp10_ && keepAlive_) allFields += "Connection: keep-alive\r\n";
+    send(serializeResponse(status, allFields, body, keepAlive_));
+    if (!bodyIncomplete_) return;
+    in_.clear();
+    read();
+}
+
+void ClientConnection::startStreaming(const StreamedHead& head, BodySource source) {
+    if (!open() || phase_ != Phase::AwaitingResponse) return;
+    leaveAwaitingResponse();
+    stream_.emplace(head, std::move(source), isHttp10_);
+    if (closesAfterResponse() || stream_->framing() == ResponseFraming::UntilClose) keepAlive_ = false;
+    send(stream_->serializeHead(keepAlive_));
+    feed([this](net::RingBuffer& out) { stream_->fill(out); });
+}
+
+void ClientConnection::completeStreaming() {
+    if (!open() || !isStreaming()) return;
+    stream_->end();
+    ++context_.counters().ok;
+    endFeed();
+    if (!stream_->trailer().empty()) send(std::string(stream_->trailer()));
+}
+
+// The client has to see that the response is truncated: by its length, by the missing last chunk, or by a
+// reset.
+void ClientConnection::abortStreaming() {
+    stream_->end();
+    ++context_.counters().failed;
+    switch (stream_->framing()) {
+        case ResponseFraming::ContentLength:
+        case ResponseFraming::Chunked:
+            return close();
+        case ResponseFraming::UntilClose:
+            return reset();
+    }
+}
+
+bool ClientConnection::idle() const {
+    if (phase_ != Phase::ReceivingRequest) return false;
+    return !reader_.hasBegun() || sinceLastByte() > kPartialRequestIdle;
+}
+
+int ClientConnection::evictionPriority() const {
+    if (reader_.hasBegun()) return 2;
+    if (hasSentRequest_) return 1;
+    return phaseAge() > kPartialRequestIdle ? 0 : 3;
+}
+
+void ClientConnection::closeGracefully() {
+    if (reader_.hasBegun())
+        reject(rejectPartialRequest(context_.engine().settings()));
+    else
+        linger();
+}
+
+void ClientConnection::evict() {
+    if (reader_.hasBegun()) closeGracefully();
+    close();
+}
+
+void ClientConnection::sweep() {
+    if (!open()) return;
+    switch (phase_) {
+        case Phase::ReceivingRequest:
+            return sweepReceivingRequest();
+        case Phase::AwaitingResponse:
+            return sweepAwaitingResponse();
+        case Phase::SendingResponse:
+            return sweepSendingResponse();
+    }
+}
+
+void ClientConnection::sweepReceivingRequest() {
+    if (reader_.hasBegun()) {
+        if (isRequestOverdue(phaseAge(), sinceLastByte(), reader_.body().size()))
+            reject(rejectOverdueRequest());
+        return;
+    }
+    if (unread() > 0 || phaseAge() <= idleTimeout(hasSentRequest_, isCrowded())) return;
+    ++context_.counters().silent;
+    linger();
+}
+
+// The request is the engine's to end, but for a client that stopped sending its body.
+void ClientConnection::sweepAwaitingResponse() {
+    if (!bodyIncomplete_ || in_.space() == 0 || sinceLastByte() < kStalledClientTimeout) return;
+    context_.engine().clientDisconnected(requestId_);
+    reject(rejectStalledBody());
+}
+
+void ClientConnection::sweepSendingResponse() {
+    if (phaseAge() <= kStalledClientTimeout) return;
+    ++context_.counters().unread;
+    disconnected();
+    close();
+}
+
+// While the program stops no new connection could be opened, so that none is closed for being one of many.
+bool ClientConnection::isCrowded() const {
+    return !context_.hasResponseDeadline() &&
+           http::isCrowded(sessionManager_.connections(), sessionManager_.capacity());
+}
+
+bool ClientConnection::closesAfterResponse() const {
+    if (context_.isDraining()) return true;
+    return !context_.hasResponseDeadline() &&
+           isHalfFull(sessionManager_.connections(), sessionManager_.capacity());
+}
+
+}  // namespace wingproxy::http
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -1,48 +1,46 @@
-// The platform's front: HTTP/1.1 clients, one request at a time on a connection.
+/// \file
+/// The platform's HTTP/1.1 listener: accepts client connections, each with one request at a time.
 #pragma once
 
-#include <memory>
 #include <string>
-#include <unordered_set>
+#include <vector>
 
-#include "http/node_client.h"
+#include "http/front_context.h"
+#include "http/health_check.h"
 #include "net/session.h"
 
 namespace wingproxy::http {
 
+/// Owns the session manager of the listener and what its connections share.
 class Front {
 public:
-    struct Counters {
-        std::uint64_t requests = 0, malformed = 0, tooLarge = 0, unsupported = 0;
-        std::uint64_t silent = 0, slow = 0, unread = 0, repeated = 0, noMemory = 0, crowded = 0,
-                      pipelined = 0;
-        std::uint64_t ok = 0, refused = 0, failed = 0;
-    };
-    Front(net::Engine& engine, net::NodePool& pool, const config::Endpoint& listen, std::size_t mostClients,
-          std::size_t ring = net::kMostRing, int inherited = -1);
-    void startDraining() { draining_ = true; }                   // answers end their connections from now on
-    void setResponseDeadline(Micros when) { answerBy_ = when; }  // whatever a client allows
-    // From now on clients have only the connections that are open: some are kept free for other requests.
-    void expectNoNewConnections() { lastClients_ = true; }
-    // Req-Ids that are open, and those that are open in another process until then.
-    std::vector<std::string> openRequestIds() const { return {ids_.begin(), ids_.end()}; }
+    using Counters = FrontCounters;
+
+    /// \param engine, pool have to outlive the front
+    /// \param maxClients budget of client connections
+    /// \param ringBytes buffer size of each direction of a connection
+    /// \param inheritedListener file descriptor of a listener from another process, or -1 to open one
+    Front(net::Engine& engine, net::NodePool& pool, const config::Endpoint& listen, std::size_t maxClients,
+          std::size_t ringBytes = net::kMostRing, int inheritedListener = -1);
+
+    /// From now on every response closes its connection.
+    void startDraining() { context_.startDraining(); }
+    /// No response is later than this, whatever a client allows.
+    /// \param deadline on the engine's clock, in microseconds
+    void setResponseDeadline(Micros deadline) { context_.setResponseDeadline(deadline); }
+    /// From now on clients have only the connections that are open: some are kept free for other requests.
+    void expectNoNewConnections() { context_.expectNoNewConnections(); }
+
+    /// The Req-Ids that have no response yet, in no order.
+    std::vector<std::string> openRequestIds() const { return context_.requestIds().list(); }
+    /// Rejects requests with these Req-Ids until then: another process still serves them.
     void setRequestsOpenElsewhere(const std::vector<std::string>& ids, Micros until);
+
     net::SessionManager& sessionManager() { return sessionManager_; }
-    const Counters& counters() const { return counters_; }
+    const Counters& counters() const { return context_.counters(); }
 
 private:
-    class Client;
-    struct Pending;
-    void keepSomeFree();
-    net::Engine& engine_;
-    net::NodePool& pool_;
-    bool draining_ = false, lastClients_ = false;
-    std::size_t waiting_ = 0;  // connections whose request has no answer yet
-    Micros answerBy_ = INT64_MAX;
-    Counters counters_;
-    std::unordered_set<std::string> ids_;  // Req-Ids that are open, at a node perhaps
-    std::unordered_set<std::string> elsewhere_;
-    Micros elsewhereUntil_ = 0;
+    FrontContext context_;
     net::SessionManager sessionManager_;
 };
 
--- /dev/null
+++ b/src/http/health_check.cpp
@@ -0,0 +1,91 @@
+#include "http/health_check.h"
+
+#include <fmt/format.h>
+
+#include <chrono>
+#include <memory>
+#include <utility>
+#include <vector>
+
+#include "http/messages.h"
+#include "http/node_response.h"
+#include "net/exchange.h"
+
+namespace wingproxy::http {
+namespace {
+
+// The policy uses only checks that were answered, so this bounds nothing but the resources of one.
+constexpr std::chrono::milliseconds kHealthCheckTimeout{250};
+
+// Keeps itself alive by its handlers until it has completed.
+class HealthCheck : public std::enable_shared_from_this<HealthCheck> {
+public:
+    HealthCheck(net::Engine& engine, net::NodePool& pool, std::string node, config::Endpoint address)
+        : engine_(engine),
+          pool_(pool),
+          node_(std::move(node)),
+          address_(std::move(address)),
+          startedAt_(engine.now()),
+          timer_(engine.io()) {}
+
+    void start() {
+        timer_.expires_after(kHealthCheckTimeout);
+        timer_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
+            if (!error) self->complete(Outcome::Timeout, {});
+        });
+        ticket_ =
+            pool_.acquire(address_, [self = shared_from_this()](std::shared_ptr<net::Connection> connection) {
+                if (connection)
+                    self->sendRequest(std::move(connection));
+                else
+                    self->complete(Outcome::ConnectFailed, {});
+            });
+    }
+
+private:
+    void sendRequest(std::shared_ptr<net::Connection> connection) {
+        auto request =
+            fmt::format("GET /metrics/load HTTP/1.1\r\nHost: {}:{}\r\n\r\n", address_.host, address_.port);
+        exchange_ = std::make_shared<net::Exchange>(
+            std::move(connection), std::move(request), kMaxBufferedBody,
+            [self = shared_from_this()](net::Exchange::Result result, const ResponseMessage& response) {
+                self->onResponse(result, response);
+            });
+        exchange_->start();
+    }
+
+    void onResponse(net::Exchange::Result result, const ResponseMessage& response) {
+        if (result != net::Exchange::Result::Answered) return complete(Outcome::Reset, {});
+        if (auto connection = exchange_->reusable()) pool_.release(std::move(connection));
+        const bool isOk = response.result() == boost::beast::http::status::ok;
+        complete(isOk ? Outcome::Ok : Outcome::Error, parseLoadReport(response.body(), engine_.settings()));
+    }
+
+    void complete(Outcome outcome, std::vector<double> report) {
+        if (std::exchange(completed_, true)) return;
+        timer_.cancel();
+        ticket_ = nullptr;
+        if (exchange_) exchange_->abandon();
+        exchange_ = nullptr;
+        engine_.healthCheckCompleted({node_, outcome, engine_.now() - startedAt_, std::move(report)});
+    }
+
+    net::Engine& engine_;
+    net::NodePool& pool_;
+    std::string node_;
+    config::Endpoint address_;
+    Micros startedAt_;
+    boost::asio::steady_timer timer_;
+    std::shared_ptr<net::NodePool::Ticket> ticket_;
+    std::shared_ptr<net::Exchange> exchange_;
+    bool completed_ = false;
+};
+
+}  // namespace
+
+void probe(net::Engine& engine, net::NodePool& pool, const std::string& node,
+           const config::Endpoint& address) {
+    std::make_shared<HealthCheck>(engine, pool, node, address)->start();
+}
+
+}  // namespace wingproxy::http
--- /dev/null
+++ b/src/http/node_attempt.h
@@ -0,0 +1,89 @@
+/// \file
+/// One attempt of a request over HTTP/1.1, on a connection of the pool: sends the request, receives the
+/// response. It never retries; the engine starts another attempt.
+#pragma once
+
+#include <chrono>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "http/buffered_body.h"
+#include "http/downstream.h"
+#include "http/messages.h"
+#include "net/answer_reader.h"
+#include "net/node_attempt.h"
+
+namespace wingproxy::http {
+
+/// Responses of up to `kMaxBufferedBody` are buffered and can still be discarded for another attempt's;
+/// longer ones are streamed to the client, which ends the choice.
+class NodeAttempt : public net::NodeAttempt {
+public:
+    /// Takes a complete buffered response. Called before the engine learns of its outcome Ok.
+    using OnResponse =
+        std::function<void(int attempt, ResponseMessage response, net::ByteBudget::Hold reservation)>;
+
+    /// \param streamed if set, the message has no body and the client streams it in this framing
+    NodeAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptParams& params,
+                std::shared_ptr<const RequestMessage> message, std::optional<BodyFraming> streamed,
+                std::weak_ptr<Downstream> client, OnResponse onResponse);
+
+private:
+    void connected(std::shared_ptr<net::Connection> connection) override;
+    void late(std::shared_ptr<net::Connection> connection) override;
+    void drop() override;
+
+    // Sending the request.
+    void write();
+    void fillSendBuffer();
+    bool queueBodyPiece(Downstream& client);
+    void onRequestSent();
+
+    // Receiving the response.
+    void read();
+    void processReceived();
+    void processHead();
+    void readBufferedBody(boost::system::error_code& error);
+    void processBufferedBody(boost::system::error_code error);
+    void reportHead();
+    bool isStatusOk() const { return reader_->parser().get().result() == boost::beast::http::status::ok; }
+    std::chrono::microseconds stallTimeout() const;
+    void startStallTimer(std::chrono::microseconds timeout);
+    void onStallTimer(std::chrono::microseconds timeout);
+
+    // Streaming it to the client.
+    void startStreaming();
+    std::size_t consumeResponse(char* to, std::size_t capacity);
+    void continueStreaming(std::size_t consumed, boost::system::error_code error);
+
+    // Ending the attempt.
+    void finish();
+    bool isConnectionReusable() const;
+    void fail();
+
+    std::shared_ptr<NodeAttempt> self() { return std::static_pointer_cast<NodeAttempt>(shared_from_this()); }
+
+    std::shared_ptr<const RequestMessage> message_;
+    std::optional<BodyFraming> streamed_;
+    std::weak_ptr<Downstream> client_;
+    OnResponse onResponse_;
+    std::shared_ptr<net::Connection> connection_;
+    std::string requestText_;  // of which the send buffer has not taken all
+    std::size_t requestTextQueued_ = 0;
+    std::optional<net::AnswerReader> reader_;
+    BufferedBody responseBody_;
+    boost::asio::steady_timer stallTimer_;
+    bool bodyQueued_ = false;    // the complete request is in the send buffer
+    bool requestSent_ = false;   // and written to the socket
+    bool bodyConsumed_ = false;  // a part of the streamed body is taken: no other attempt can send it
+    bool writing_ = false;
+    bool reading_ = false;
+    bool headReceived_ = false;
+    bool headReported_ = false;  // to the engine
+    bool streaming_ = false;     // the response goes to the client as it comes
+    bool nodeClosed_ = false;    // the node ended its side of the connection
+};
+
+}  // namespace wingproxy::http
--- /dev/null
+++ b/src/http/open_request_ids.h
@@ -0,0 +1,34 @@
+/// \file
+/// The Req-Ids of requests that have no answer yet, here or in another process of this host.
+#pragma once
+
+#include <string>
+#include <unordered_set>
+#include <vector>
+
+#include "wingproxy/policy.h"
+
+namespace wingproxy::http {
+
+/// Detects a request whose Req-Id belongs to an open one: a node would take it for a hedged copy of that one.
+class OpenRequestIds {
+public:
+    void add(const std::string& id) { open_.insert(id); }
+    void remove(const std::string& id) { open_.erase(id); }
+
+    /// Those that were added here, in no order.
+    std::vector<std::string> list() const { return {open_.begin(), open_.end()}; }
+
+    /// Replaces the ids that are open in another process, as after a hot restart.
+    /// \param until on the engine's clock; after it none of them counts as open
+    void setOpenElsewhere(const std::vector<std::string>& ids, Micros until);
+
+    bool isOpen(const std::string& id, Micros now) const;
+
+private:
+    std::unordered_set<std::string> open_;
+    std::unordered_set<std::string> openElsewhere_;
+    Micros openElsewhereUntil_ = 0;
+};
+
+}  // namespace wingproxy::http
--- /dev/null
+++ b/src/http/pending_request.cpp
@@ -0,0 +1,65 @@
+#include "http/pending_request.h"
+
+#include <fmt/format.h>
+
+#include <utility>
+
+#include "http/field_values.h"
+#include "http/message_writer.h"
+#include "http/node_attempt.h"
+
+namespace wingproxy::http {
+
+PendingRequest::PendingRequest(FrontContext& context, std::weak_ptr<Downstream> client,
+                               std::shared_ptr<const RequestMessage> message,
+                               std::optional<BodyFraming> streamed, net::ByteBudget::Hold reservation)
+    : context_(context),
+      client_(std::move(client)),
+      message_(std::move(message)),
+      streamed_(streamed),
+      reservation_(std::move(reservation)) {
+    context_.requestIds().add(requestId());
+}
+
+PendingRequest::~PendingRequest() { context_.requestIds().remove(requestId()); }
+
+std::shared_ptr<net::Attempt> PendingRequest::start(const net::AttemptParams& params) {
+    // The engine drops the attempts of a request before the request itself, so `this` outlives the callback.
+    auto onResponse = [this](int attempt, ResponseMessage response, net::ByteBudget::Hold reservation) {
+        keepResponse(attempt, std::move(response), std::move(reservation));
+    };
+    auto attempt = std::make_shared<NodeAttempt>(context_.engine(), context_.pool(), params, message_,
+                                                 streamed_, client_, std::move(onResponse));
+    attempt->start();
+    return attempt;
+}
+
+void PendingRequest::keepResponse(int attempt, ResponseMessage response, net::ByteBudget::Hold reservation) {
+    responses_[attempt] = {std::move(response), std::move(reservation)};
+}
+
+void PendingRequest::deliver(int attempt) {
+    const auto found = responses_.find(attempt);
+    if (found == responses_.end()) {  // it was streamed
+        if (const auto client = client_.lock()) client->completeStreaming();
+        return;
+    }
+    auto& response = found->second;
+    const auto body = std::move(response.message.body());  // freed once it is in the client's send buffer
+    const auto type = toStringView(response.message[boost::beast::http::field::content_type]);
+    const auto fields = type.empty() ? std::string() : fmt::format("Content-Type: {}\r\n", type);
+    respond(200, fields, body, std::move(response.reservation));
+}
+
+void PendingRequest::refuse(Micros retryAfterUs) {
+    respond(503, retryAfterField(context_.engine().settings(), retryAfterUs), "");
+}
+
+void PendingRequest::fail() { respond(500, "", ""); }
+
+void PendingRequest::respond(int status, std::string_view fields, std::string_view body,
+                             net::ByteBudget::Hold reservation) {
+    if (const auto client = client_.lock()) client->respond(status, fields, body, std::move(reservation));
+}
+
+}  // namespace wingproxy::http
--- /dev/null
+++ b/src/http/pending_request.h
@@ -0,0 +1,54 @@
+/// \file
+/// A request while the engine serves it: starts its attempts and gives the chosen response to its client.
+#pragma once
+
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "http/downstream.h"
+#include "http/front_context.h"
+#include "http/messages.h"
+#include "net/engine.h"
+
+namespace wingproxy::http {
+
+/// Owned by the engine until the request and all of its attempts have ended. Its client may be gone before.
+class PendingRequest : public net::Transfer {
+public:
+    /// \param context has to outlive the request
+    /// \param streamed the framing of a body that is not part of `message`
+    /// \param reservation the memory budget's share of the body in `message`
+    PendingRequest(FrontContext& context, std::weak_ptr<Downstream> client,
+                   std::shared_ptr<const RequestMessage> message, std::optional<BodyFraming> streamed,
+                   net::ByteBudget::Hold reservation);
+    ~PendingRequest() override;
+
+    std::shared_ptr<net::Attempt> start(const net::AttemptParams& params) override;
+    void deliver(int attempt) override;
+    void refuse(Micros retryAfterUs) override;
+    void fail() override;
+
+    /// Keeps the complete response of an attempt until the engine delivers one. Streamed responses are not
+    /// kept.
+    void keepResponse(int attempt, ResponseMessage response, net::ByteBudget::Hold reservation);
+
+private:
+    struct BufferedResponse {
+        ResponseMessage message;
+        net::ByteBudget::Hold reservation;
+    };
+    std::string requestId() const { return std::string((*message_)["Req-Id"]); }
+    void respond(int status, std::string_view fields, std::string_view body,
+                 net::ByteBudget::Hold reservation = nullptr);
+
+    FrontContext& context_;
+    std::weak_ptr<Downstream> client_;
+    std::shared_ptr<const RequestMessage> message_;
+    std::optional<BodyFraming> streamed_;
+    net::ByteBudget::Hold reservation_;
+    std::map<int, BufferedResponse> responses_;  // by attempt
+};
+
+}  // namespace wingproxy::http
--- a/tests/http/endings_test.cpp
+++ b/tests/http/endings_test.cpp
@@ -1,5 +1,6 @@
 // What is owed when something ends: clients that leave, connections that are closed, answers without a
 // length, repeats at the end of their window. Each test brings about the bad order itself.
+#include "http/node_attempt.h"
 #include "support/policy_support.h"
 #include "support/process_support.h"
 
@@ -347,13 +348,13 @@
 
 TEST_CASE("an attempt past its window writes nothing on a connection that is up") {
     Rig rig;
-    const auto message = std::make_shared<http::Message>(boost::beast::http::verb::get, "/api", 11);
+    const auto message = std::make_shared<http::RequestMessage>(boost::beast::http::verb::get, "/api", 11);
     const auto attempt = std::make_shared<http::NodeAttempt>(
         rig.engine, rig.pool,
         net::AttemptParams{9, 0, rig.node().address(), rig.engine.now() + 1'000'000,
                            rig.engine.now() + 1'000'000, rig.engine.now() - 1},
-        message, std::nullopt, std::weak_ptr<http::Caller>(),
-        [](int, http::Answer, net::ByteBudget::Hold) {});
+        message, std::nullopt, std::weak_ptr<http::Downstream>(),
+        [](int, http::ResponseMessage, net::ByteBudget::Hold) {});
     attempt->start();
     rig.until([&] { return rig.node().wires.size() == 1 && rig.node().wires[0]->ended; });
     CHECK(rig.node().wires[0]->got.empty());
--- a/tests/http/front_test.cpp
+++ b/tests/http/front_test.cpp
@@ -1,6 +1,7 @@
 // The platform's front on real sockets: one test a rule.
 #include "fleet/restart_recovery.h"
 #include "health/health.h"
+#include "http/node_attempt.h"
 #include "support/net_support.h"
 
 using namespace wingproxy;
@@ -488,13 +489,13 @@
 TEST_CASE("an attempt that took too long to connect writes no byte") {
     auto config = baseConfig();
     Rig rig(std::move(config));
-    const auto message = std::make_shared<http::Message>(boost::beast::http::verb::get, "/api", 11);
+    const auto message = std::make_shared<http::RequestMessage>(boost::beast::http::verb::get, "/api", 11);
     // Its time is over already when the connection is up: the node may be draining by now.
     const auto attempt = std::make_shared<http::NodeAttempt>(
         rig.engine, rig.pool,
         net::AttemptParams{9, 0, rig.node().address(), rig.engine.now() - 1, rig.engine.now() + 1'000'000},
-        message, std::nullopt, std::weak_ptr<http::Caller>(),
-        [](int, http::Answer, net::ByteBudget::Hold) {});
+        message, std::nullopt, std::weak_ptr<http::Downstream>(),
+        [](int, http::ResponseMessage, net::ByteBudget::Hold) {});
     attempt->start();
     rig.until([&] { return rig.engine.counters().late == 1 && rig.node().wires.size() == 1; });
     CHECK(rig.node().wires[0]->got.empty());
