--- /dev/null
+++ b/tests/http/attempt_deadlines_test.cpp
@@ -0,0 +1,145 @@
+// Deadlines of requests, and the idempotency window of retries.
+#include "http/node_attempt.h"
+#include "support/net_support.h"
+#include "support/policy_support.h"
+
+using namespace wingproxy;
+using namespace wingproxy::test;
+
+namespace {
+
+core::Effects step(core::State& state, Micros now, core::Input input) {
+    auto all = core::reduce(state, now, std::move(input));
+    for (auto& e : core::reduce(state, now, core::BatchEnded{}))
+        all.push_back(std::move(e));
+    return all;
+}
+
+template <typename T>
+std::vector<T> of(const core::Effects& effects) {
+    std::vector<T> out;
+    for (const auto& e : effects)
+        if (const auto* t = std::get_if<T>(&e)) out.push_back(*t);
+    return out;
+}
+
+}  // namespace
+
+// The client's time runs from its last byte. Before it has arrived no deadline ends the request; after it,
+// the one that the client named does.
+TEST_CASE("reducer: the deadline of a request with a streamed body runs from the body's end") {
+    core::State state(test::settings(), core::Limits{250 * kMs}, kStart);
+    Micros now = kStart;
+    const auto put = [&](core::Input input) {
+        auto all = core::reduce(state, now, std::move(input));
+        for (auto& e : core::reduce(state, now, core::BatchEnded{}))
+            all.push_back(std::move(e));
+        return all;
+    };
+    const auto count = [](const core::Effects& effects, auto kind) {
+        return std::count_if(effects.begin(), effects.end(),
+                             [](const auto& e) { return std::holds_alternative<decltype(kind)>(e); });
+    };
+    put(EndpointListReceived{nodes({node("n0", 0)})});
+    auto r = request(1, 1, 1, now);
+    r.bodyIncomplete = true;
+    CHECK(count(put(RequestReceived{r}), core::StartAttempt{}) == 1);
+    int ends = 0;
+    const auto run = [&](Micros until) {
+        while (state.nextWake() <= until) {
+            now = std::max(now, state.nextWake());
+            const auto effects = put(core::TimerExpired{});
+            ends += int(count(effects, core::StopAttempt{}) + count(effects, core::SendFailure{}) +
+                        count(effects, core::SendRejection{}));
+        }
+        now = until;
+    };
+    run(kStart + 10 * kSecond);
+    CHECK(ends == 0);
+    CHECK(state.avoidedNodes() == 0);  // nothing is expected of the node yet
+    put(RequestBodyCompleted{1, now + kSecond});
+    run(now + 900 * kMs);
+    CHECK(ends == 0);
+    run(now + 200 * kMs);
+    CHECK(ends == 2);  // the attempt stops and the client has its answer; the bytes are gone
+    CHECK(state.openRequests() == 0);
+    CHECK(state.counters().attempts == 1);
+}
+
+// The key is honoured for 1 s, and the first attempt breaks just before that.
+TEST_CASE("reducer: a retry that is not sent within the idempotency window is stopped") {
+    auto settings = test::settings();
+    settings.classes[1].latencyObjectiveUs = 3 * kSecond;  // so that it is still worth a repeat by then
+    const Micros window = settings.classes[1].keyWindowUs;
+    for (const bool written : {false, true}) {
+        core::State state(settings, core::Limits{250 * kMs}, kStart);
+        step(state, kStart, EndpointListReceived{nodes({node("n0", 0)})});
+        auto asked = request(1, 1, 1, kStart);
+        asked.deadlineUs = kStart + 4 * kSecond;
+        const auto first = of<core::StartAttempt>(step(state, kStart, RequestReceived{asked}));
+        REQUIRE(first.size() == 1);
+        CHECK(first[0].lastByteBy == core::StartAttempt::kNever);
+        step(state, kStart, core::AttemptRequestSent{1, 0});
+        const Micros broke = kStart + window - 20 * kMs;
+        const auto repeat =
+            of<core::StartAttempt>(step(state, broke, core::AttemptFinished{1, 0, Outcome::Reset, 0, 0, {}}));
+        REQUIRE(repeat.size() == 1);
+        CHECK(repeat[0].lastByteBy == kStart + window);
+        CHECK(repeat[0].firstByteBy <= kStart + window);
+        if (written) step(state, kStart + window - kMs, core::AttemptRequestSent{1, 1});
+        const auto after = step(state, kStart + window, core::TimerExpired{});
+        CHECK(of<core::StopAttempt>(after).size() == (written ? 0 : 1));
+        CHECK(of<core::SendFailure>(after).size() == (written ? 0 : 1));  // it may have run: no refusal
+        CHECK(state.counters().tooLate == (written ? 0 : 1));
+    }
+}
+
+TEST_CASE("an attempt past its idempotency window writes nothing on an open connection") {
+    Rig rig;
+    const auto message = std::make_shared<http::RequestMessage>(boost::beast::http::verb::get, "/api", 11);
+    const auto attempt = std::make_shared<http::NodeAttempt>(
+        rig.engine, rig.pool,
+        net::AttemptParams{9, 0, rig.node().address(), rig.engine.now() + 1'000'000,
+                           rig.engine.now() + 1'000'000, rig.engine.now() - 1},
+        message, std::nullopt, std::weak_ptr<http::Downstream>(),
+        [](int, http::ResponseMessage, net::ByteBudget::Hold) {});
+    attempt->start();
+    rig.until([&] { return rig.node().wires.size() == 1 && rig.node().wires[0]->ended; });
+    CHECK(rig.node().wires[0]->got.empty());
+    CHECK(rig.engine.counters().written == 0);
+}
+
+TEST_CASE("an attempt that took too long to connect writes nothing") {
+    auto config = baseConfig();
+    Rig rig(std::move(config));
+    const auto message = std::make_shared<http::RequestMessage>(boost::beast::http::verb::get, "/api", 11);
+    // Its time is over already when the connection is up: the node may be draining by now.
+    const auto attempt = std::make_shared<http::NodeAttempt>(
+        rig.engine, rig.pool,
+        net::AttemptParams{9, 0, rig.node().address(), rig.engine.now() - 1, rig.engine.now() + 1'000'000},
+        message, std::nullopt, std::weak_ptr<http::Downstream>(),
+        [](int, http::ResponseMessage, net::ByteBudget::Hold) {});
+    attempt->start();
+    rig.until([&] { return rig.engine.counters().late == 1 && rig.node().wires.size() == 1; });
+    CHECK(rig.node().wires[0]->got.empty());
+}
+
+TEST_CASE(
+    "at the deadline the client is answered, the attempt's connection is closed, and a late response is "
+    "dropped") {
+    Rig rig;
+    const auto client = rig.client();
+    const auto since = std::chrono::steady_clock::now();
+    client->say(Ask{.deadlineMs = 150}.text());
+    const auto node = rig.nodeHas("Req-Id");
+    rig.until([&] { return client->has("\r\n\r\n"); });
+    CHECK(std::chrono::steady_clock::now() - since < std::chrono::seconds(1));
+    CHECK(!client->has(" 200 "));
+    rig.until([&] { return node->ended; });
+    node->say(ok("tarde"));
+    client->drop();
+    client->say(Ask{.id = "00000000000000b2"}.text());
+    rig.nodeHas("00000000000000b2")->say(ok("propia"));
+    rig.until([&] { return client->has("propia"); });
+    CHECK(!client->has("tarde"));
+}
--- /dev/null
+++ b/tests/http/client_disconnects_test.cpp
@@ -0,0 +1,156 @@
+// Requests whose clients disconnect.
+#include "http/http_test_support.h"
+#include "support/net_support.h"
+
+using namespace wingproxy;
+using namespace wingproxy::test;
+using std::chrono::milliseconds;
+
+namespace {
+
+// A client that disconnected while its request was queued must be noticed within this time.
+constexpr milliseconds kDisconnectNoticed{300};
+
+// A node with as many requests in flight as the policy allows: further ones are queued here.
+struct SaturatedNode {
+    static constexpr int kCapacity = 3;
+    SaturatedNode() : rig(config()) {
+        for (int i = 0; i < kCapacity; ++i) {
+            clients.push_back(rig.client());
+            clients.back()->say(Ask{.id = id(i), .deadlineMs = 30'000}.text());
+            rig.nodeHas(id(i));
+        }
+    }
+    static config::Config config() {
+        auto config = baseConfig();
+        for (auto& c : config.settings.classes)
+            c.latencyObjectiveUs = 20'000'000;
+        return config;
+    }
+    // A connection whose request is queued, with more behind it or a part of its body.
+    std::shared_ptr<tcp::socket> queue(const std::string& text, std::size_t requests = 1) {
+        const auto before = rig.engine.counters().taken;
+        const auto socket = std::make_shared<tcp::socket>(rig.io);
+        socket->connect(net::tcpEndpoint(rig.front.sessionManager().address()));
+        asio::write(*socket, asio::buffer(text));
+        rig.until([&] { return rig.engine.counters().taken == before + requests; }, "the request is queued");
+        return socket;
+    }
+    // The node answers, and another client's request reaches it: by then the queued one would have, too.
+    void expectNothingSentOf(int disconnected) {
+        for (int i = 0; i < kCapacity; ++i)
+            rig.nodeHas(id(i))->say(ok("hecho"));
+        for (const auto& client : clients)
+            rig.until([&] { return client->has("hecho"); });
+        const auto last = rig.client();
+        last->say(Ask{.id = id(999)}.text());
+        rig.nodeHas(id(999));
+        for (const auto& wire : rig.node().wires)
+            CHECK(!wire->has(id(disconnected)));
+        CHECK(rig.engine.counters().taken == kCapacity + 2);
+    }
+    Rig rig;
+    std::vector<WirePtr> clients;
+};
+
+void resetConnection(tcp::socket& socket) {
+    socket.set_option(asio::socket_base::linger(true, 0));
+    socket.close();
+}
+
+// An address whose connections do not open: its accept queue is full.
+struct Unreachable {
+    explicit Unreachable(asio::io_context& io) : acceptor(io) {
+        acceptor.open(tcp::v4());
+        acceptor.bind({asio::ip::make_address("127.0.0.1"), 0});
+        acceptor.listen(0);
+        for (int i = 0; i < 8; ++i) {
+            fillers.emplace_back(io);
+            fillers.back().async_connect(acceptor.local_endpoint(), [](auto) {});
+        }
+    }
+    config::Endpoint address() const { return {"127.0.0.1", acceptor.local_endpoint().port()}; }
+    tcp::acceptor acceptor;
+    std::deque<tcp::socket> fillers;
+};
+
+const std::string kPipelinedFlood = [] {
+    std::string all;
+    for (int i = 0; i < 300; ++i)
+        all += Ask{.id = id(100 + i), .deadlineMs = 30'000}.text();
+    return all;
+}();
+// As much of a long body as fills the receive buffer, and more that stays in the system.
+const std::string kPartialBody =
+    streamedPut("Content-Length: 1000000\r\n", id(100), 30'000) + std::string(3 * net::kMostRing, 'x');
+
+}  // namespace
+
+TEST_CASE("a queued request is dropped within 300 ms when its client disconnects, however it does") {
+    const struct {
+        const char* what;
+        std::string text;
+        bool reset;
+    } cases[] = {
+        {"FIN", Ask{.id = id(100), .deadlineMs = 30'000}.text(), false},
+        {"RST", Ask{.id = id(100), .deadlineMs = 30'000}.text(), true},
+        {"hundreds of requests at once, then FIN", kPipelinedFlood, false},
+        {"hundreds of requests at once, then RST", kPipelinedFlood, true},
+        {"a full receive buffer, then FIN", kPartialBody, false},
+        {"a full receive buffer, then RST", kPartialBody, true},
+    };
+    for (const auto& c : cases) {
+        CAPTURE(c.what);
+        SaturatedNode saturated;
+        auto& rig = saturated.rig;
+        const auto leaver = saturated.queue(c.text);
+        const auto since = std::chrono::steady_clock::now();
+        if (c.reset)
+            resetConnection(*leaver);
+        else
+            leaver->close();
+        rig.until([&] { return rig.engine.counters().disconnected == 1; }, c.what);
+        CHECK(std::chrono::steady_clock::now() - since < kDisconnectNoticed);
+        CHECK(rig.engine.openRequests() == SaturatedNode::kCapacity);
+        saturated.expectNothingSentOf(100);
+        CHECK(rig.front.counters().pipelined == (c.text == kPipelinedFlood ? 1 : 0));
+        CHECK(rig.front.sessionManager().detectHangUp() == (c.text == kPartialBody ? 1 : 0));
+    }
+}
+
+TEST_CASE("a request whose client disconnects while the node connection is being opened is not sent") {
+    for (const bool reset : {false, true}) {
+        auto config = baseConfig();
+        config.connectTimeoutUs = 10'000'000;
+        config.settings.drainGraceUs = 0;
+        Rig rig(std::move(config));
+        Unreachable node(rig.io);
+        rig.engine.endpointListReceived(
+            {{EndpointListKind::Delta, 2, {{"s-0", "z", 0, 1, NodeState::Ready, 1}}}, {node.address()}});
+        const auto client = rig.client();
+        client->say(Ask{.deadlineMs = 30'000}.text());
+        rig.until([&] { return rig.engine.counters().attempts == 1; });
+        REQUIRE(rig.pool.open() == 1);
+        if (reset)
+            client->reset();
+        else
+            client->close();
+        rig.until([&] { return rig.engine.counters().disconnected == 1; });
+        CHECK(rig.engine.counters().withdrawn == 1);
+        rig.until([&] { return rig.pool.open() == 0; });  // closed, so nothing can be written on it
+        CHECK(rig.outcomes(Outcome::Cancelled) == 1);
+        CHECK(rig.engine.counters().written == 0);
+    }
+}
+
+TEST_CASE("a request in flight is closed when its client disconnects") {
+    Rig rig;
+    const auto client = rig.client();
+    client->say(Ask{}.text());
+    const auto node = rig.nodeHas("Req-Id");
+    client->close();
+    rig.until([&] { return rig.engine.counters().disconnected == 1; });
+    CHECK(rig.engine.openRequests() == 0);
+    node->say(ok("para nadie"));
+    rig.until([&] { return rig.outcomes(Outcome::Ok) == 1; });
+}
--- /dev/null
+++ b/tests/http/http_test_support.h
@@ -0,0 +1,35 @@
+// Requests and reads that several tests of this folder share.
+#pragma once
+
+#include <string>
+
+#include "support/net_support.h"
+
+namespace wingproxy::test {
+
+// A Req-Id with this number.
+inline std::string id(int number) { return fmt::format("{:016x}", number); }
+
+// Longer than is buffered: it is streamed.
+inline const std::string kLongBody(200'000, 'x');
+
+// The head of a PUT whose body follows.
+inline std::string streamedPut(std::string_view framing, const std::string& id = "9b1f03aa5c7e2d41",
+                               int deadlineMs = 3000, std::string_view fields = "",
+                               std::string_view version = "1.1") {
+    return fmt::format(
+        "PUT /api HTTP/{}\r\nReq-Id: {}\r\nReq-Kind: alta\r\nTier: prioritario\r\nIdempotency-Key: k\r\n"
+        "Cookie: key=7f3a9c21e0b4d655\r\nReq-Deadline-Ms: {}\r\n{}{}"
+        "IO-Info: volume=00000003b4d60021,units=2,shard=0,hosts=1\r\n\r\n",
+        version, id, deadlineMs, fields, framing);
+}
+
+// Reads everything that arrives; the error says whether the connection ended with a FIN (eof) or a reset.
+inline boost::system::error_code readToEnd(tcp::socket& socket, std::string& got) {
+    boost::system::error_code error;
+    socket.non_blocking(false);
+    asio::read(socket, asio::dynamic_buffer(got), error);
+    return error;
+}
+
+}  // namespace wingproxy::test
--- /dev/null
+++ b/tests/http/message_writer_test.cpp
@@ -0,0 +1,62 @@
+// What is sent to nodes and clients.
+#include "http/message_writer.h"
+
+#include <doctest/doctest.h>
+
+using namespace wingproxy;
+
+namespace {
+
+http::RequestMessage request() {
+    http::RequestMessage m{boost::beast::http::verb::put, "/api?a=b", 11};
+    m.set("Host", "origin.svc");
+    m.set("Req-Id", "1");
+    m.set("Req-Deadline-Ms", "480");
+    m.set("Connection", "keep-alive, X-Hop");
+    m.set("X-Hop", "mine");
+    return m;
+}
+
+}  // namespace
+
+TEST_CASE("message writer: a node gets the request as it came, with the remaining time") {
+    auto message = request();
+    message.body() = "abc";
+    const auto text = http::serializeNodeRequest(message, "1.2.3.4:5", 90'500);
+    CHECK(text.find("PUT /api?a=b HTTP/1.1\r\n") == 0);
+    CHECK(text.find("Req-Deadline-Ms: 90\r\n") != std::string::npos);
+    CHECK(text.find("480") == std::string::npos);
+    CHECK(text.find("X-Hop") == std::string::npos);  // hop-by-hop, as the field Connection names it
+    CHECK(text.substr(text.size() - 7) == "\r\n\r\nabc");
+}
+
+TEST_CASE("message writer: a streamed request ends with its head, in the given framing") {
+    const http::BodyFraming byLength{false, 70'000};
+    const http::BodyFraming inChunks{true, 0};
+    CHECK(
+        http::serializeNodeRequest(request(), "h", 1, &byLength).ends_with("Content-Length: 70000\r\n\r\n"));
+    CHECK(http::serializeNodeRequest(request(), "h", 1, &inChunks)
+              .ends_with("Transfer-Encoding: chunked\r\n\r\n"));
+}
+
+TEST_CASE("message writer: a response has its length, and says whether the connection closes") {
+    CHECK(http::serializeResponse(200, "A: b\r\n", "up", true) ==
+          "HTTP/1.1 200 OK\r\nA: b\r\nContent-Length: 2\r\n\r\nup");
+    CHECK(http::serializeResponse(503, "", "", false) ==
+          "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+}
+
+TEST_CASE("message writer: Retry-After has seconds with three decimals") {
+    CHECK(http::formatRetryAfter(150'000) == "0.150");
+}
+
+TEST_CASE("message writer: Retry-After is bounded by the settings, or left out") {
+    Settings settings;
+    settings.sendsRetryAfter = true;
+    settings.maxRetryAfterUs = 40'000;
+    CHECK(http::retryAfterField(settings, 100'000) == "Retry-After: 0.040\r\n");
+    CHECK(http::retryAfterField(settings, 10'000) == "Retry-After: 0.010\r\n");
+    CHECK(http::retryAfterField(settings, 0).empty());
+    settings.sendsRetryAfter = false;
+    CHECK(http::retryAfterField(settings, 10'000).empty());
+}
--- /dev/null
+++ b/tests/http/request_reader_test.cpp
@@ -0,0 +1,104 @@
+// Reading of requests from a receive buffer.
+#include "http/request_reader.h"
+
+#include <doctest/doctest.h>
+
+using namespace wingproxy;
+using http::RequestProgress;
+
+namespace {
+
+// A reader and its receive buffer.
+struct Fixture {
+    void receive(std::string_view text) { REQUIRE(in.put(text) == text.size()); }
+    net::RingBuffer in{net::kMostRing};
+    http::RequestReader reader{in};
+    boost::system::error_code error;
+};
+
+http::RequestHead head(unsigned version, const char* coding, const char* length = "") {
+    http::RequestHead head;
+    head.version(version);
+    if (*coding) head.set("Transfer-Encoding", coding);
+    if (*length) head.set("Content-Length", length);
+    return head;
+}
+
+}  // namespace
+
+TEST_CASE("request framing: a length and chunks, or chunks in HTTP/1.0, are ambiguous") {
+    CHECK(http::checkFraming(head(11, "chunked", "4")) == http::FramingError::AmbiguousLength);
+    CHECK(http::checkFraming(head(10, "chunked")) == http::FramingError::AmbiguousLength);
+}
+
+TEST_CASE("request framing: chunked is the only transfer coding") {
+    CHECK(!http::checkFraming(head(11, "CHUNKED")));
+    CHECK(!http::checkFraming(head(11, "", "4")));
+    CHECK(http::checkFraming(head(11, "gzip")) == http::FramingError::UnsupportedCoding);
+}
+
+TEST_CASE_FIXTURE(Fixture, "request reader: a request in parts is complete with its last byte") {
+    receive("PUT / HTTP/1.1\r\nContent-");
+    CHECK(!reader.readHead(error));
+    CHECK(reader.hasBegun());
+    receive("Length: 3\r\n\r\nab");
+    REQUIRE(reader.readHead(error));
+    CHECK(reader.readBody(error) == RequestProgress::NeedsMore);
+    receive("c");
+    CHECK(reader.readBody(error) == RequestProgress::Complete);
+    CHECK(!error);
+    CHECK(reader.body().releaseBytes() == "abc");
+}
+
+TEST_CASE_FIXTURE(Fixture, "request reader: a long length is streamed before its body arrives") {
+    receive("PUT / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n");
+    REQUIRE(reader.readHead(error));
+    CHECK(reader.announcesLongBody());
+    REQUIRE(reader.readBody(error) == RequestProgress::Streaming);
+    CHECK(!reader.streamed().chunked);
+    CHECK(reader.streamed().length == 70'000);
+}
+
+TEST_CASE_FIXTURE(Fixture, "request reader: chunks are streamed once they are longer than is buffered") {
+    receive("PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
+    REQUIRE(reader.readHead(error));
+    const std::string piece(1000, 'x');
+    auto progress = RequestProgress::NeedsMore;
+    std::size_t sent = 0;
+    for (; progress == RequestProgress::NeedsMore; sent += piece.size()) {
+        receive("3e8\r\n" + piece + "\r\n");
+        progress = reader.readBody(error);
+    }
+    REQUIRE(progress == RequestProgress::Streaming);
+    CHECK(sent == 66'000);
+    CHECK(reader.streamed().chunked);
+    char first[100];
+    CHECK(reader.consumeBody(first, sizeof first, error) == sizeof first);
+    CHECK(reader.body().size() == sent - sizeof first);
+}
+
+TEST_CASE_FIXTURE(Fixture, "request reader: an unreadable message is invalid, with its error") {
+    receive("PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n");
+    REQUIRE(reader.readHead(error));
+    CHECK(reader.readBody(error) == RequestProgress::Invalid);
+    CHECK(bool(error));
+}
+
+TEST_CASE_FIXTURE(Fixture, "request reader: a body beyond the memory budget gets no reservation") {
+    net::ByteBudget budget(2);
+    receive("PUT / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc");
+    REQUIRE(reader.readHead(error));
+    CHECK(!reader.reserveBody(budget));
+}
+
+TEST_CASE_FIXTURE(Fixture, "request reader: after a reset the next request is read") {
+    receive("GET /1 HTTP/1.1\r\n\r\n");
+    REQUIRE(reader.readHead(error));
+    CHECK(reader.readBody(error) == RequestProgress::Complete);
+    reader.reset();
+    CHECK(!reader.hasBegun());
+    CHECK(!reader.hasHead());
+    receive("GET /2 HTTP/1.1\r\n\r\n");
+    REQUIRE(reader.readHead(error));
+    CHECK(reader.head().target() == "/2");
+}
--- a/tests/http/bodies_test.cpp
+++ b/tests/http/streaming_bodies_test.cpp
@@ -1,16 +1,16 @@
-// Long bodies and answers, slow peers and crowds on real sockets.
+// Request and response bodies that are streamed, and how their ends are framed.
 #include <fstream>
 
+#include "http/http_test_support.h"
 #include "support/net_support.h"
-#include "support/policy_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
 
 namespace {
 
-// Most memory this process ever had, in MB.
-double mostMemory() {
+// Most memory that this process ever had, in MB.
+double peakMemoryMb() {
     std::ifstream in("/proc/self/status");
     std::string word;
     double kb = 0;
@@ -19,9 +19,9 @@
     return kb / 1024;
 }
 
-// Sends so many bytes as fast as they are taken, and counts what comes without keeping it.
-struct Pump : std::enable_shared_from_this<Pump> {
-    explicit Pump(tcp::socket s) : socket(std::move(s)) {}
+// Sends so many bytes as fast as they are taken, and counts what arrives without keeping it.
+struct ByteStream : std::enable_shared_from_this<ByteStream> {
+    explicit ByteStream(tcp::socket s) : socket(std::move(s)) {}
     void count() {
         socket.async_read_some(asio::buffer(in), [self = shared_from_this()](auto error, std::size_t n) {
             self->received += n;
@@ -49,15 +49,6 @@
     bool ended = false;
 };
 
-std::string longPut(std::string_view framing, const std::string& id = "9b1f03aa5c7e2d41",
-                    int deadlineMs = 3000, std::string_view fields = "", std::string_view version = "1.1") {
-    return fmt::format(
-        "PUT /api HTTP/{}\r\nReq-Id: {}\r\nReq-Kind: alta\r\nTier: prioritario\r\nIdempotency-Key: k\r\n"
-        "Cookie: key=7f3a9c21e0b4d655\r\nReq-Deadline-Ms: {}\r\n{}{}"
-        "IO-Info: volume=00000003b4d60021,units=2,shard=0,hosts=1\r\n\r\n",
-        version, id, deadlineMs, fields, framing);
-}
-
 std::string chunked(const std::string& body, std::size_t piece) {
     std::string out;
     for (std::size_t at = 0; at < body.size(); at += piece) {
@@ -67,7 +58,7 @@
     return out + "0\r\nX-Trailer: t\r\n\r\n";
 }
 
-// The body of a chunked message that is here as a whole.
+// The body of a complete chunked message.
 std::string unchunked(const std::string& message) {
     std::string body;
     for (auto at = message.find("\r\n\r\n") + 4;;) {
@@ -79,42 +70,40 @@
     }
 }
 
-const std::string kLong(200'000, 'x');
-
 }  // namespace
 
-// More passes through than memory holds, and hundreds of small requests are served beside it.
-TEST_CASE("40 MB up and 40 MB down in 48 MB, beside small requests") {
+// 40 MB up and 40 MB down with a memory limit of 48 MB.
+TEST_CASE("bodies beyond the memory budget are streamed in both directions while small requests are served") {
     auto config = baseConfig();
     config.memoryMb = 48;
     Rig rig(std::move(config), 2);
     constexpr std::size_t kBytes = 40'000'000;
     rig.node(1).greets = [](Wire& wire) { wire.reply = ok("x"); };
-    const auto before = mostMemory();
+    const auto before = peakMemoryMb();
     // Up: the node counts what it gets.
     tcp::socket up(rig.io), down(rig.io);
     up.connect(net::tcpEndpoint(rig.front.sessionManager().address()));
-    const auto uploader = std::make_shared<Pump>(std::move(up));
-    const auto head = longPut(fmt::format("Content-Length: {}\r\n", kBytes), "a1a1a1a1a1a1a1a1", 60'000);
+    const auto uploader = std::make_shared<ByteStream>(std::move(up));
+    const auto head = streamedPut(fmt::format("Content-Length: {}\r\n", kBytes), "a1a1a1a1a1a1a1a1", 60'000);
     asio::write(uploader->socket, asio::buffer(head));
-    // A node that keeps nothing: the stand-in's own reader would hold all of it.
-    std::shared_ptr<Pump> taker, giver;
+    // A node that keeps nothing: the stand-in's own reader would buffer all of it.
+    std::shared_ptr<ByteStream> taker, giver;
     tcp::acceptor plain(rig.io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     auto list =
         config::EndpointListing{{EndpointListKind::Delta, 2, {{"s-0", "z", 0, 1, NodeState::Ready, 1}}},
                                 {{"127.0.0.1", plain.local_endpoint().port()}}};
     rig.engine.endpointListReceived(std::move(list));
     plain.async_accept([&](auto, tcp::socket socket) {
-        taker = std::make_shared<Pump>(std::move(socket));
+        taker = std::make_shared<ByteStream>(std::move(socket));
         taker->count();
         plain.async_accept(
-            [&](auto, tcp::socket second) { giver = std::make_shared<Pump>(std::move(second)); });
+            [&](auto, tcp::socket second) { giver = std::make_shared<ByteStream>(std::move(second)); });
     });
     rig.until([&] { return taker != nullptr; });
     uploader->send(kBytes);
     // Down: the same node gives.
     down.connect(net::tcpEndpoint(rig.front.sessionManager().address()));
-    const auto reader = std::make_shared<Pump>(std::move(down));
+    const auto reader = std::make_shared<ByteStream>(std::move(down));
     asio::write(reader->socket, asio::buffer(Ask{.id = "a2a2a2a2a2a2a2a2"}.text()));
     rig.until([&] { return giver != nullptr; });
     const auto answer = fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", kBytes);
@@ -133,24 +122,25 @@
     asio::write(taker->socket, asio::buffer(ok("hecho")));
     uploader->count();
     rig.until([&] { return uploader->received > 0 && rig.engine.openRequests() == 0; });
-    CHECK(mostMemory() - before < 24);
+    CHECK(peakMemoryMb() - before < 24);
     CHECK(rig.engine.bodies().held() == 0);
     CHECK(rig.engine.counters().byClass[1].delivered == 1);
 }
 
-TEST_CASE("every form of a long body: the node gets the same bytes, the client one answer") {
+TEST_CASE("a long request body reaches the node unchanged in every framing, and is answered once") {
     const struct {
         std::string text;
         bool expects = false;
     } cases[] = {
-        {longPut(fmt::format("Content-Length: {}\r\n", kLong.size())) + kLong},
-        {longPut("Transfer-Encoding: chunked\r\n") + chunked(kLong, 50'000)},
-        {longPut("transfer-encoding: CHUNKED\r\n") + chunked(kLong, 777)},
-        {longPut(fmt::format("Content-Length: {}\r\n", kLong.size()), "9b1f03aa5c7e2d41", 3000, "", "1.0") +
-         kLong},
-        {longPut(fmt::format("Content-Length: {}\r\n", kLong.size()), "9b1f03aa5c7e2d41", 3000,
-                 "Expect: 100-continue\r\n") +
-             kLong,
+        {streamedPut(fmt::format("Content-Length: {}\r\n", kLongBody.size())) + kLongBody},
+        {streamedPut("Transfer-Encoding: chunked\r\n") + chunked(kLongBody, 50'000)},
+        {streamedPut("transfer-encoding: CHUNKED\r\n") + chunked(kLongBody, 777)},
+        {streamedPut(fmt::format("Content-Length: {}\r\n", kLongBody.size()), "9b1f03aa5c7e2d41", 3000, "",
+                     "1.0") +
+         kLongBody},
+        {streamedPut(fmt::format("Content-Length: {}\r\n", kLongBody.size()), "9b1f03aa5c7e2d41", 3000,
+                     "Expect: 100-continue\r\n") +
+             kLongBody,
          true},
     };
     for (const auto& c : cases) {
@@ -164,9 +154,10 @@
         const auto node = rig.nodeHas("Req-Id");
         const bool inChunks = node->has("Transfer-Encoding: chunked\r\n");
         rig.until(
-            [&] { return inChunks ? node->got.ends_with("\r\n0\r\n\r\n") : node->got.ends_with(kLong); });
+            [&] { return inChunks ? node->got.ends_with("\r\n0\r\n\r\n") : node->got.ends_with(kLongBody); });
         CHECK(inChunks == (c.text.find("Content-Length") == std::string::npos));
-        CHECK((inChunks ? unchunked(node->got) : node->got.substr(node->got.find("\r\n\r\n") + 4)) == kLong);
+        CHECK((inChunks ? unchunked(node->got) : node->got.substr(node->got.find("\r\n\r\n") + 4)) ==
+              kLongBody);
         CHECK(!node->has("Expect"));
         node->say(ok("hecho"));
         rig.until([&] { return client->has("hecho"); });
@@ -174,18 +165,20 @@
     }
 }
 
-TEST_CASE("every form of a long answer: the client gets the same bytes and sees where they end") {
+TEST_CASE("a long response reaches the client unchanged in every framing, with a recognizable end") {
     const struct {
         std::string answer;
         const char* version;
         bool closes, chunks;
     } cases[] = {
-        {ok(kLong), "1.1", false, false},
-        {ok(kLong), "1.0", true, false},
-        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(kLong, 9'000), "1.1", false, true},
-        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(kLong, 9'000), "1.0", true, false},
-        {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + kLong, "1.1", false, true},
-        {"HTTP/1.0 200 OK\r\n\r\n" + kLong, "1.1", false, true},
+        {ok(kLongBody), "1.1", false, false},
+        {ok(kLongBody), "1.0", true, false},
+        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(kLongBody, 9'000), "1.1", false,
+         true},
+        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(kLongBody, 9'000), "1.0", true,
+         false},
+        {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + kLongBody, "1.1", false, true},
+        {"HTTP/1.0 200 OK\r\n\r\n" + kLongBody, "1.1", false, true},
     };
     for (const auto& c : cases) {
         Rig rig;
@@ -196,20 +189,22 @@
         const auto node = rig.nodeHas("Req-Id");
         node->say(c.answer.substr(0, 100));
         node->say(c.answer.substr(100));
-        if (c.answer.find("Content-Length") == std::string::npos &&
-            c.answer.find("chunked") == std::string::npos)
+        const bool hasFraming = c.answer.find("Content-Length") != std::string::npos ||
+                                c.answer.find("chunked") != std::string::npos;
+        if (!hasFraming) {
             rig.until([&] {
                 return rig.front.sessionManager().connections() == 1 && client->got.size() > 100'000;
-            }),
-                node->socket.shutdown(tcp::socket::shutdown_send);
+            });
+            node->socket.shutdown(tcp::socket::shutdown_send);
+        }
         rig.until(
             [&] {
                 if (c.closes) return client->ended;
-                return c.chunks ? client->got.ends_with("\r\n0\r\n\r\n") : client->got.ends_with(kLong);
+                return c.chunks ? client->got.ends_with("\r\n0\r\n\r\n") : client->got.ends_with(kLongBody);
             },
             c.answer.substr(0, 60).c_str());
         CHECK((c.chunks ? unchunked(client->got) : client->got.substr(client->got.find("\r\n\r\n") + 4)) ==
-              kLong);
+              kLongBody);
         rig.until([&] { return rig.engine.openRequests() == 0; });
         CHECK(rig.engine.counters().all().delivered == 1);
         if (c.closes) continue;
@@ -219,8 +214,8 @@
     }
 }
 
-// Back-pressure: what the client does not read is not read from the node either.
-TEST_CASE("a client that reads a byte at a time holds up its own answer, and nothing is kept for it") {
+// What the client does not read is not read from the node either.
+TEST_CASE("a slow reader applies back-pressure to its own node only, and its response is not buffered") {
     Rig rig(baseConfig(), 2);
     rig.node(1).greets = [](Wire& wire) { wire.reply = ok("x"); };
     tcp::socket slow(rig.io);
@@ -229,7 +224,7 @@
     slow.connect(net::tcpEndpoint(rig.front.sessionManager().address()));
     asio::write(slow, asio::buffer(Ask{}.text()));
     const auto node = rig.nodeHas("Req-Id");
-    const auto giver = std::make_shared<Pump>(std::move(node->socket));
+    const auto giver = std::make_shared<ByteStream>(std::move(node->socket));
     constexpr std::size_t kBytes = 32'000'000;
     asio::write(giver->socket,
                 asio::buffer(fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", kBytes)));
@@ -252,86 +247,34 @@
     CHECK(rig.engine.counters().disconnected == 1);
 }
 
-TEST_CASE("a request whose bytes went to a node that broke off is refused, not tried again") {
-    Rig rig;
-    const auto client = rig.client();
-    client->say(longPut(fmt::format("Content-Length: {}\r\n", kLong.size())) + kLong.substr(0, 100'000));
-    rig.nodeHas("xxxx")->reset();
-    rig.until([&] { return client->has("HTTP/1.1 503 "); });
-    client->say(kLong.substr(100'000));  // it may go on sending, and has its answer
-    rig.until([&] { return client->ended; });
-    CHECK(rig.engine.counters().attempts == 1);
-    // Before a byte of it went anywhere another attempt can have it.
-    CHECK(rig.outcomes(Outcome::ConnectFailed) == 1);
-}
-
-TEST_CASE("a long answer that breaks off ends the client's connection short of its length") {
+TEST_CASE("a streamed response that breaks off closes the client's connection before the announced length") {
     Rig rig;
     const auto client = rig.client();
     client->say(Ask{}.text());
     const auto node = rig.nodeHas("Req-Id");
-    node->say(ok(kLong).substr(0, 150'000));
+    node->say(ok(kLongBody).substr(0, 150'000));
     rig.until([&] { return client->got.size() > 140'000; });
     node->close();
     rig.until([&] { return client->ended; });
-    CHECK(client->got.size() < kLong.size());
+    CHECK(client->got.size() < kLongBody.size());
     CHECK(rig.engine.counters().attempts == 1);
     CHECK(rig.engine.counters().all().failed == 1);
 }
 
-TEST_CASE("a node that says that the request is over is not asked again, and is no worse for it") {
-    Rig rig;
-    const auto client = rig.client();
-    for (int i = 1; i < 4; ++i) {
-        client->drop();
-        client->say(Ask{.id = fmt::format("{:016x}", i)}.text());
+TEST_CASE("a response without a length ends with the node's FIN, in HTTP/1.0 and 1.1") {
+    for (const auto* head : {"HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.0 200 OK\r\n\r\n",
+                             "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"}) {
+        CAPTURE(head);
+        Rig rig;
+        const auto client = rig.client();
+        client->say(Ask{}.text());
         const auto node = rig.nodeHas("Req-Id");
-        node->drop(), node->say(i == 2 ? ok("x") : status(504, "Srv-Declined: 1\r\n"));
-        rig.until([&] { return client->has(i == 2 ? " 200 " : " 503 "); });
-        // The next try names the right node: it need not wait, as it meets no backlog.
-        CHECK(client->has("Retry-After: 0.001\r\n") == (i != 2));
+        node->say(std::string(head) + "hasta el fin");
+        node->socket.shutdown(tcp::socket::shutdown_send);
+        rig.until([&] { return client->has("hasta el fin"); });
+        CHECK(client->has("HTTP/1.1 200 "));
+        CHECK(client->has("Content-Length: 12\r\n"));
+        CHECK(rig.node().wires.size() == 1);
+        rig.until([&] { return node->ended; });  // and the connection serves no other
     }
-    CHECK(rig.engine.counters().attempts == 3);
-    CHECK(rig.engine.avoidedNodes() == 0);
-}
-
-// The client's time runs from its last byte. Before it is here no deadline ends the request; after it, the
-// one that the client told does.
-TEST_CASE("reducer: a body that comes for longer than the deadline, and the deadline from its end") {
-    core::State state(test::settings(), core::Limits{250 * kMs}, kStart);
-    Micros now = kStart;
-    const auto put = [&](core::Input input) {
-        auto all = core::reduce(state, now, std::move(input));
-        for (auto& e : core::reduce(state, now, core::BatchEnded{}))
-            all.push_back(std::move(e));
-        return all;
-    };
-    const auto count = [](const core::Effects& effects, auto kind) {
-        return std::count_if(effects.begin(), effects.end(),
-                             [](const auto& e) { return std::holds_alternative<decltype(kind)>(e); });
-    };
-    put(EndpointListReceived{nodes({node("n0", 0)})});
-    auto r = request(1, 1, 1, now);
-    r.bodyIncomplete = true;
-    CHECK(count(put(RequestReceived{r}), core::StartAttempt{}) == 1);
-    int ends = 0;
-    const auto run = [&](Micros until) {
-        while (state.nextWake() <= until) {
-            now = std::max(now, state.nextWake());
-            const auto effects = put(core::TimerExpired{});
-            ends += int(count(effects, core::StopAttempt{}) + count(effects, core::SendFailure{}) +
-                        count(effects, core::SendRejection{}));
-        }
-        now = until;
-    };
-    run(kStart + 10 * kSecond);
-    CHECK(ends == 0);
-    CHECK(state.avoidedNodes() == 0);  // nothing is expected of the node yet
-    put(RequestBodyCompleted{1, now + kSecond});
-    run(now + 900 * kMs);
-    CHECK(ends == 0);
-    run(now + 200 * kMs);
-    CHECK(ends == 2);  // the attempt stops and the client has its answer; the bytes are gone
-    CHECK(state.openRequests() == 0);
-    CHECK(state.counters().attempts == 1);
 }
