--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -75,7 +75,10 @@
 
 void ClientConnection::sent() {
     if (phase_ != Phase::SendingResponse || isStreaming()) return;  // that was "100 Continue", or a piece
-    if (!keepAlive_) return bodyIncomplete_ ? linger(kUnreadBodyLinger) : linger();
+    if (!keepAlive_) {
+        if (bodyIncomplete_) return linger(kUnreadBodyLinger);
+        return linger();
+    }
     awaitNextRequest();
     markActive();
     readRequest();
