--- a/src/http/client_limits.cpp
+++ b/src/http/client_limits.cpp
@@ -8,7 +8,7 @@
 constexpr std::chrono::seconds kFirstRequestTimeout{2};
 constexpr std::chrono::seconds kKeepAliveTimeout{60};
 constexpr std::chrono::milliseconds kHeadTimeout{2'700};
-constexpr std::size_t kMinBodyBytesPerSecond = 16 * 1024;
+constexpr std::size_t kMinBodyBytesPerSecond = std::size_t{16} * 1024;
 constexpr std::size_t kReservedDivisor = 3;
 constexpr std::size_t kMinReserved = 4;
 
--- a/src/http/messages.h
+++ b/src/http/messages.h
@@ -15,11 +15,11 @@
 using ResponseMessage = boost::beast::http::response<boost::beast::http::string_body>;
 
 /// Bodies of up to so many bytes are buffered completely; longer ones are streamed through the ring buffers.
-constexpr std::size_t kMaxBufferedBody = 64 * 1024;
+constexpr std::size_t kMaxBufferedBody = std::size_t{64} * 1024;
 
 /// Longer bodies are rejected with 413: more than any client of the platform sends, and far below the range
 /// of the counters.
-constexpr std::size_t kMaxBody = 64 * 1024 * 1024;
+constexpr std::size_t kMaxBody = std::size_t{64} * 1024 * 1024;
 
 /// How a request body that is streamed to a node is delimited.
 struct BodyFraming {
--- a/tests/http/attempt_deadlines_test.cpp
+++ b/tests/http/attempt_deadlines_test.cpp
@@ -30,12 +30,7 @@
 TEST_CASE("reducer: the deadline of a request with a streamed body runs from the body's end") {
     core::State state(test::settings(), core::Limits{250 * kMs}, kStart);
     Micros now = kStart;
-    const auto put = [&](core::Input input) {
-        auto all = core::reduce(state, now, std::move(input));
-        for (auto& e : core::reduce(state, now, core::BatchEnded{}))
-            all.push_back(std::move(e));
-        return all;
-    };
+    const auto put = [&](core::Input input) { return step(state, now, std::move(input)); };
     const auto count = [](const core::Effects& effects, auto kind) {
         return std::count_if(effects.begin(), effects.end(),
                              [](const auto& e) { return std::holds_alternative<decltype(kind)>(e); });
--- a/tests/http/discovery_watch_test.cpp
+++ b/tests/http/discovery_watch_test.cpp
@@ -10,18 +10,18 @@
     const std::string list =
         "HTTP/1.1 200 OK\r\n\r\n{\n  \"generation\": 9,\n  \"reset\": true,\n  \"instances\": [ ]\n}\n";
     Rig rig;
-    const auto asked = [&](std::size_t i) {
+    const auto nextPoll = [&](std::size_t i) {
         rig.until([&] {
             return rig.discoveryServer.wires.size() == i + 1 && rig.discoveryServer.wires[i]->has("\r\n\r\n");
         });
         return rig.discoveryServer.wires[i];
     };
-    auto wire = asked(0);
+    auto wire = nextPoll(0);
     asio::write(wire->socket, asio::buffer(list));
     wire->reset();
     rig.until([&] { return rig.discovery.counters().failed == 1; });
     CHECK(rig.engine.listVersion() != 9);
-    wire = asked(1);
+    wire = nextPoll(1);
     wire->say(list);
     wire->socket.shutdown(tcp::socket::shutdown_send);
     rig.until([&] { return rig.discovery.counters().answers == 1; });
@@ -91,7 +91,8 @@
         rig.until([&] { return next.wires.back()->has("GET /discovery/hosts HTTP/1.1\r\n"); });
         next.wires.back()->drop();
         rig.until([&] { return rig.discovery.counters().failed == 1; });
-        rig.until([&] { return next.wires.back()->has("GET /discovery/hosts HTTP/1.1\r\n"); }, "asked again");
+        rig.until([&] { return next.wires.back()->has("GET /discovery/hosts HTTP/1.1\r\n"); },
+                  "the list is polled again");
         next.wires.back()->say(ok(R"({"generation":7,"reset":true,"instances":[]})"));
         rig.until([&] { return rig.engine.listVersion() == 7; });
         CHECK(rig.discoveryServer.wires.size() == 1);
@@ -106,7 +107,7 @@
     wire->say(ok("{\"generation\":3,\"instances\":7}"));
     rig.until([&] { return rig.discovery.counters().malformed == 1; });
     CHECK(rig.discovery.counters().failed == 1);  // which the module hears as a call that was lost
-    rig.until([&] { return rig.discovery.counters().calls == 3; });  // and it asks again
+    rig.until([&] { return rig.discovery.counters().calls == 3; });  // and it polls again
     CHECK(rig.engine.listVersion() == 2);
 }
 
@@ -153,7 +154,7 @@
     CHECK(rig.discoveryServer.wires.size() == 1);
 }
 
-TEST_CASE("pushed lists: the front watches without being asked, and again after a failure") {
+TEST_CASE("pushed lists: the front watches on its own, and again after a failure") {
     auto config = baseConfig();
     config.settings.pollsEndpointList = false;
     Rig rig(std::move(config));
--- a/tests/http/graceful_shutdown_test.cpp
+++ b/tests/http/graceful_shutdown_test.cpp
@@ -88,7 +88,7 @@
     Platform platform;
     auto& rig = platform.rig;
     auto& process = platform.startReady();
-    const auto busy = platform.client(), asks = platform.client();
+    const auto busy = platform.client(), lateClient = platform.client();
     tcp::socket idle(rig.io);
     idle.connect(platform.listening.local_endpoint());
     asio::write(idle, asio::buffer(std::string("GET /up HTTP/1.1\r\n\r\n")));
@@ -97,9 +97,9 @@
     process.signal(SIGTERM);
     platform.untilSaid(process, "stopping: 1 requests open");
     const auto since = std::chrono::steady_clock::now();
-    asks->say(Ask{.id = id(2)}.text());  // after SIGTERM, on a connection that is open
+    lateClient->say(Ask{.id = id(2)}.text());  // after SIGTERM, on a connection that is open
     rig.nodeHas(id(2))->say(ok("dos"));
-    rig.until([&] { return asks->has("dos"); });
+    rig.until([&] { return lateClient->has("dos"); });
     CHECK(process.running());
     node->say(ok("uno"));
     rig.until([&] { return busy->has("uno") && busy->has(" 200 "); });
@@ -131,12 +131,12 @@
         tcp::socket idle(rig.io);
         idle.connect(platform.listening.local_endpoint());
         asio::write(idle, asio::buffer(std::string("GET /up HTTP/1.1\r\n\r\n")));
-        const auto asks = platform.client();
-        platform.serve(asks, id(1));
+        const auto lateClient = platform.client();
+        platform.serve(lateClient, id(1));
         const auto since = std::chrono::steady_clock::now();
         process.signal(SIGTERM);
         platform.untilSaid(process, "stopping: 0 requests open");
-        platform.serve(asks, id(2));  // it serves on
+        platform.serve(lateClient, id(2));  // still served while draining
         rig.until([&] { return !process.running(); }, "the exit");
         CHECK(std::chrono::steady_clock::now() - since < c.kill);
         CHECK(WIFEXITED(process.status));
--- a/tests/http/invalid_responses_test.cpp
+++ b/tests/http/invalid_responses_test.cpp
@@ -88,7 +88,7 @@
     exchange->start();
     auto& node = rig.node().wires[0]->socket;
     asio::write(node,
-                asio::buffer("HTTP/1.1 200", 12));  // the first line stays in the ring until it is whole
+                asio::buffer("HTTP/1.1 200", 12));  // the first line stays in the ring until it is complete
     rig.until([&] { return connection->in.size() == 12; });
     asio::write(node, asio::buffer(" O", 2));
     for (const auto since = std::chrono::steady_clock::now();
--- a/tests/http/node_response_test.cpp
+++ b/tests/http/node_response_test.cpp
@@ -3,18 +3,10 @@
 
 #include <doctest/doctest.h>
 
-#include "config/config.h"
+#include "http/platform_request_support.h"
 
 using namespace wingproxy;
-
-namespace {
-
-Settings settings() {
-    const auto path = std::string(WINGPROXY_SOURCE) + "/tests/support/config.json";
-    return config::parseConfig(config::readFile(path)).settings;
-}
-
-}  // namespace
+using test::testSettings;
 
 TEST_CASE("node response: the outcome follows from the status and Srv-Declined") {
     const struct {
@@ -28,27 +20,27 @@
         http::ResponseMessage response;
         response.result(c.status);
         if (c.declined) response.set("Srv-Declined", "1");
-        CHECK(http::interpretNodeResponse(response, settings()).outcome == c.outcome);
+        CHECK(http::interpretNodeResponse(response, testSettings()).outcome == c.outcome);
     }
 }
 
 TEST_CASE("node response: only a declined 504 leaves the request spent") {
     http::ResponseMessage response;
     response.result(504);
-    CHECK(!http::interpretNodeResponse(response, settings()).requestSpent);
+    CHECK(!http::interpretNodeResponse(response, testSettings()).requestSpent);
     response.set("Srv-Declined", "1");
-    CHECK(http::interpretNodeResponse(response, settings()).requestSpent);
+    CHECK(http::interpretNodeResponse(response, testSettings()).requestSpent);
     response.result(503);
-    CHECK(!http::interpretNodeResponse(response, settings()).requestSpent);
+    CHECK(!http::interpretNodeResponse(response, testSettings()).requestSpent);
 }
 
 TEST_CASE("node response: the load fields are translated to the policy's figures") {
     http::ResponseMessage response;
-    CHECK(http::interpretNodeResponse(response, settings()).loadPercent == 0);  // no field
+    CHECK(http::interpretNodeResponse(response, testSettings()).loadPercent == 0);  // no field
     response.set("Volume-Load", "85");
     response.set("Other-Hosts", "3.5");
     response.set("Srv-Load", "queue=7");
-    const auto result = http::interpretNodeResponse(response, settings());
+    const auto result = http::interpretNodeResponse(response, testSettings());
     CHECK(result.loadPercent == 86);  // one more, as 0 stands for no field
     CHECK(result.loadElsewhere == 3.5);
     CHECK(result.loadReport == std::vector<double>{7});
@@ -56,9 +48,9 @@
 
 TEST_CASE("load report: any missing or unreadable column makes it empty") {
     for (const char* report : {"", "queue", "queue=", "queue=x", "inflight=3"})
-        CHECK(http::parseLoadReport(report, settings()).empty());
+        CHECK(http::parseLoadReport(report, testSettings()).empty());
 }
 
 TEST_CASE("load report: a column is found by the setting's name or the header's") {
-    CHECK(http::parseLoadReport("inflight=1, depth=4", settings()) == std::vector<double>{4});
+    CHECK(http::parseLoadReport("inflight=1, depth=4", testSettings()) == std::vector<double>{4});
 }
--- a/tests/http/rejection_test.cpp
+++ b/tests/http/rejection_test.cpp
@@ -5,33 +5,19 @@
 
 #include <boost/beast/http/error.hpp>
 
-#include "config/config.h"
+#include "http/platform_request_support.h"
 
 using namespace wingproxy;
 using http::FrontCounters;
 using http::Rejection;
+using test::platformRequest;
+using test::testSettings;
 
 namespace {
 
-Settings settings() {
-    const auto path = std::string(WINGPROXY_SOURCE) + "/tests/support/config.json";
-    return config::parseConfig(config::readFile(path)).settings;
-}
-
-http::RequestMessage message(boost::beast::http::verb method) {
-    http::RequestMessage m{method, "/api", 11};
-    m.set("Req-Id", "9b1f03aa5c7e2d41");
-    m.set("Req-Kind", "lectura");
-    m.set("Tier", "basico");
-    m.set("Cookie", "key=7f3a9c21e0b4d655");
-    m.set("Req-Deadline-Ms", "480");
-    m.set("IO-Info", "volume=00000003b4d60021,units=2,shard=0,hosts=1");
-    return m;
-}
-
 Rejection rejectionOf(const http::RequestMessage& message, bool isStreamed,
                       const http::OpenRequestIds& ids = {}) {
-    return std::get<Rejection>(http::validateRequest(message, isStreamed, settings(), ids, 0));
+    return std::get<Rejection>(http::validateRequest(message, isStreamed, testSettings(), ids, 0));
 }
 
 using boost::beast::http::verb;
@@ -53,18 +39,18 @@
 }
 
 TEST_CASE("validation: a valid request is accepted") {
-    const auto result = http::validateRequest(message(verb::get), false, settings(), {}, 0);
+    const auto result = http::validateRequest(platformRequest(verb::get), false, testSettings(), {}, 0);
     CHECK(std::holds_alternative<http::ParsedRequest>(result));
 }
 
 TEST_CASE("validation: other methods are rejected, and HEAD closes the connection") {
-    CHECK(rejectionOf(message(verb::delete_), false).status == 405);
-    CHECK(!rejectionOf(message(verb::delete_), false).closesConnection);
-    CHECK(rejectionOf(message(verb::head), false).closesConnection);
+    CHECK(rejectionOf(platformRequest(verb::delete_), false).status == 405);
+    CHECK(!rejectionOf(platformRequest(verb::delete_), false).closesConnection);
+    CHECK(rejectionOf(platformRequest(verb::head), false).closesConnection);
 }
 
 TEST_CASE("validation: a streamed body of a rejected request closes the connection") {
-    auto invalid = message(verb::put);
+    auto invalid = platformRequest(verb::put);
     invalid.erase("Tier");
     CHECK(!rejectionOf(invalid, false).closesConnection);
     CHECK(rejectionOf(invalid, true).closesConnection);
@@ -72,12 +58,12 @@
 }
 
 TEST_CASE("validation: a read with a streamed body is rejected") {
-    CHECK(rejectionOf(message(verb::get), true).body == "Content-Length: a read has no body\n");
+    CHECK(rejectionOf(platformRequest(verb::get), true).body == "Content-Length: a read has no body\n");
 }
 
 TEST_CASE("validation: an open Req-Id is rejected with 409") {
     http::OpenRequestIds ids;
     ids.add("9b1f03aa5c7e2d41");
-    CHECK(rejectionOf(message(verb::get), false, ids).status == 409);
-    CHECK(rejectionOf(message(verb::get), false, ids).counter == &FrontCounters::repeated);
+    CHECK(rejectionOf(platformRequest(verb::get), false, ids).status == 409);
+    CHECK(rejectionOf(platformRequest(verb::get), false, ids).counter == &FrontCounters::repeated);
 }
--- a/tests/http/request_parser_test.cpp
+++ b/tests/http/request_parser_test.cpp
@@ -3,33 +3,14 @@
 
 #include <doctest/doctest.h>
 
-#include "config/config.h"
+#include "http/platform_request_support.h"
 
 using namespace wingproxy;
-
-namespace {
-
-Settings settings() {
-    const auto path = std::string(WINGPROXY_SOURCE) + "/tests/support/config.json";
-    return config::parseConfig(config::readFile(path)).settings;
-}
-
-http::RequestMessage validRequest() {
-    http::RequestMessage m{boost::beast::http::verb::put, "/api", 11};
-    m.set("Req-Id", "9b1f03aa5c7e2d41");
-    m.set("Req-Kind", "alta");
-    m.set("Tier", "basico");
-    m.set("Cookie", "a=b; key=7f3a9c21e0b4d655");
-    m.set("Req-Deadline-Ms", "480");
-    m.set("Idempotency-Key", "k");
-    m.set("IO-Info", "volume=00000003b4d60021,units=2,shard=-1,hosts=3");
-    return m;
-}
-
-}  // namespace
+using test::platformRequest;
+using test::testSettings;
 
 TEST_CASE("request parser: the fields of a valid request are translated") {
-    const auto parsed = std::get<http::ParsedRequest>(http::parseRequest(validRequest(), settings()));
+    const auto parsed = std::get<http::ParsedRequest>(http::parseRequest(platformRequest(), testSettings()));
     CHECK(parsed.timeoutUs == 480'000);
     CHECK(parsed.request.classIndex == 1);
     CHECK(parsed.request.planIndex == 0);
@@ -65,9 +46,9 @@
          "IO-Info hosts"},
     };
     for (const auto& c : cases) {
-        auto message = validRequest();
+        auto message = platformRequest();
         message.set(c.field, c.value);
-        const auto result = http::parseRequest(message, settings());
+        const auto result = http::parseRequest(message, testSettings());
         const auto* error = std::get_if<http::RequestError>(&result);
         REQUIRE_MESSAGE(error, c.named);
         CHECK_MESSAGE(*error == c.error, c.named);
@@ -76,9 +57,9 @@
 }
 
 TEST_CASE("request parser: a read with a body is invalid") {
-    auto message = validRequest();
+    auto message = platformRequest();
     message.method(boost::beast::http::verb::get);
     message.body() = "x";
-    const auto result = http::parseRequest(message, settings());
+    const auto result = http::parseRequest(message, testSettings());
     CHECK(std::get<http::RequestError>(result) == http::RequestError::BodyOnRead);
 }
--- a/tests/http/request_rejections_test.cpp
+++ b/tests/http/request_rejections_test.cpp
@@ -97,8 +97,8 @@
     auto config = baseConfig();
     config.memoryMb = 16;
     Rig rig(std::move(config));
-    auto rest = rig.engine.bodies().take(6 * 1024 * 1024 - 1000);
-    REQUIRE(rest);
+    auto otherBodies = rig.engine.bodies().take(6 * 1024 * 1024 - 1000);
+    REQUIRE(otherBodies);
     CHECK(!rig.engine.bodies().take(1001));
     const auto writer = rig.client(), reader = rig.client();
     writer->say(Ask{.kind = "alta", .body = std::string(2000, 'x')}.text());
@@ -111,7 +111,7 @@
     node->say(ok(std::string(2000, 'y')));
     rig.until([&] { return node->ended && rig.outcomes(Outcome::Reset) == 1; });
     const auto second = rig.nodeHas("Req-Id");
-    rest = nullptr;
+    otherBodies = nullptr;
     second->say(ok(std::string(2000, 'z')));
     rig.until([&] { return reader->has("zzz"); });
     rig.until([&] { return rig.engine.bodies().held() == 0; });
@@ -141,7 +141,8 @@
     rig.until([&] { return client->has("405") && client->has("Allow: GET, PUT\r\n"); });
 }
 
-TEST_CASE("a short body that is announced with Expect is asked for at once, before any node is involved") {
+TEST_CASE(
+    "a short body that is announced with Expect gets 100 Continue at once, before any node is involved") {
     Rig rig;
     const auto client = rig.client();
     auto text = Ask{.kind = "alta", .body = "datos"}.text();
