--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -51,10 +51,10 @@
             updateLevel(cluster_.cells()[std::size_t(i)], levelAt(i));
     }
 
-    /// What a unit of work on a request is worth, if it is answered in time.
+    /// Value of a unit of work on a request, if it is answered in time.
     [[nodiscard]] double value(const PendingRequest& request) const;
     /// The longest latency at which a request is still sent to a node, in microseconds. Beyond it the node is
-    /// kept for what is worth more.
+    /// kept for requests of higher value.
     [[nodiscard]] double longestLatency(const PendingRequest& request) const;
 
     /// The level of a cell.
--- a/src/policy/latency_estimate.h
+++ b/src/policy/latency_estimate.h
@@ -14,7 +14,7 @@
     double units = 1;         ///< of a request, smoothed
     double perUnit = 0;       ///< latency / units
     LatencyFloor floor;       ///< of `perUnit`
-    Micros heardAt = kNever;  ///< last answer, or last word of a peer on the wait there
+    Micros heardAt = kNever;  ///< last answer, or last report of a peer on the wait there
 
     /// Latency of a request of mean size without a queue.
     [[nodiscard]] double unqueued() const { return floor.value() * units; }
