--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -1,6 +1,6 @@
 /// \file
-/// The effects of the reducer: what is to be done outside. Those that the policy orders and the reducer
-/// passes on are the policy's own action types.
+/// The effects of the reducer: what is to be done outside, as value types without behaviour. Actions of the
+/// policy that the reducer only passes on are the policy's own types (wingproxy/policy.h).
 #pragma once
 
 #include <cstdint>
@@ -12,16 +12,17 @@
 
 namespace wingproxy::core {
 
+/// Sends the request to a node. The caller writes no byte after the times that concern writing; the reducer
+/// itself stops the attempt at `timeoutAt` and at `lastByteBy`.
 struct StartAttempt {
-    static constexpr Micros kNever = INT64_MAX;
+    static constexpr Micros kNever = INT64_MAX;  ///< a point in time that does not come
 
     RequestId id = 0;
-    int attempt = 0;
+    int attempt = 0;  ///< counts the attempts of the request, from 0
     std::string node;
-    Micros firstByteBy = 0;  ///< after this time no byte may be written
-    Micros timeoutAt = 0;    ///< kept by the reducer
-    Micros lastByteBy =
-        kNever;  ///< after this time the last byte may not be written; kept by the reducer too
+    Micros firstByteBy = 0;      ///< after this time the first byte must not be written
+    Micros timeoutAt = 0;        ///< the attempt is stopped if it has not ended by then
+    Micros lastByteBy = kNever;  ///< the attempt is stopped if its last byte is not written by then
 };
 
 /// Closes the attempt's connection; the attempt reports nothing more.
@@ -47,8 +48,10 @@
     RequestId id = 0;
 };
 
+/// Any effect of the reducer.
 using Effect = std::variant<StartAttempt, StopAttempt, DeliverResponse, SendRejection, SendFailure,
                             SendPeerMessage, WatchEndpointList, StartHealthCheck, LogLine>;
+/// What is to be done, in this order.
 using Effects = std::vector<Effect>;
 
 }  // namespace wingproxy::core
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -1,161 +1,136 @@
-// The one place where state changes: (State, Input) -> Effects. No I/O, no clock, no wire.
-//
-// A front brings requests, the node clients bring how attempts ended; the decisions come from the Policy,
-// which is fed in batches. What is to be done outside leaves as effects, in order.
+/// \file
+/// The reducer: the one place where the state of a front changes, as (State, Input) -> Effects.
+///
+/// It has no I/O, no clock and no knowledge of a wire format. The protocol fronts report requests, the node
+/// clients report how attempts ended; the `Policy`, which is fed in batches, decides. What is to be done
+/// outside is returned as effects, in order.
+///
+/// `State` joins the request table, the endpoint table, the timer queue and the policy, and owns all four.
+/// Not thread-safe: one event loop owns a `State`.
 #pragma once
 
-#include <array>
-#include <deque>
-#include <map>
-#include <set>
+#include <cstddef>
 #include <string>
-#include <unordered_map>
-#include <variant>
 #include <vector>
 
+#include "core/attempt_deadlines.h"
+#include "core/counters.h"
 #include "core/effects.h"
+#include "core/endpoint_table.h"
 #include "core/events.h"
+#include "core/request_table.h"
+#include "core/state_snapshot.h"
+#include "core/timer_queue.h"
 #include "wingproxy/policy.h"
 
 namespace wingproxy::core {
 
-struct Limits {
-    Micros connectUs = 250'000;  // a connection that is not up by then has failed
-};
-
-// Final answers of one class. What its client left before is in none of them.
-struct Answers {
-    std::uint64_t delivered = 0, refused = 0, failed = 0;
-};
-struct Counters {
-    std::uint64_t taken = 0, disconnected = 0, overdue = 0, batches = 0;
-    std::uint64_t withdrawn = 0;  // attempts stopped as the client left before they were whole at their node
-    std::uint64_t tooLate = 0;    // repeats that were not whole at their node within their class's window
-    std::uint64_t attempts = 0, written = 0, late = 0;  // written: whole, to a node
-    std::vector<Answers> byClass;                       // by class; the last for those of none
-    Answers all() const {
-        Answers sum;
-        for (const auto& c : byClass)
-            sum.delivered += c.delivered, sum.refused += c.refused, sum.failed += c.failed;
-        return sum;
-    }
-    std::array<std::uint64_t, 8> outcomes{};  // by Outcome
-};
-
-// What a successor process of this front starts from.
-struct StateSnapshot {
-    std::vector<NodeInfo> listed;
-    std::map<std::string, Micros, std::less<>> drains;
-    std::vector<std::string> seen;
-    std::string module;
-};
-
+/// Everything that one front knows and decides.
 class State {
 public:
-    State(const Settings& settings, const Limits& limits, Micros now);
-    Micros nextWake() const;  // no earlier wake-up is needed; kNoWake: none
-    const Counters& counters() const { return counters_; }
-    std::size_t openRequests() const { return open_; }  // requests without their final answer
-    // Entries in all tables, the module's too, but for the ids of nodes that are gone: of those it keeps
-    // kMostSeen, for an operator's call.
-    std::size_t tableEntries() const {
-        return requests_.size() + alarms_.size() + listed_.size() + drains_.size() + overrides_.size() +
-               policy_.tableEntries();
-    }
-    // Listed nodes that it does not use: by hand, draining, or by choice.
-    std::size_t avoidedNodes() const { return policy_.avoidedNodes(); }
-    const fleet::RestartRecovery& recovery() const { return policy_.recovery(); }
-    bool everListed(const std::string& node) const { return listed_.contains(node) || seen_.contains(node); }
-    const AdminOverrides& overrides() const { return overrides_; }
-    std::size_t adminDrainedNodes() const;
     static constexpr Micros kNoWake = INT64_MAX;
-    static constexpr std::size_t kMostSeen = 4'096;  // the oldest go first
+
+    /// \param now the start of this process, in microseconds since the Unix epoch
+    State(const Settings& settings, const Limits& limits, Micros now);
+
+    /// See `core::reduce`.
+    Effects reduce(Micros now, Input input);
+    /// See `core::takeSnapshot`.
+    StateSnapshot takeSnapshot(Micros now);
+    /// See `core::restore`.
+    [[nodiscard]] bool restore(const StateSnapshot& snapshot);
+
+    /// When `TimerExpired` must be put in, at the latest; kNoWake: not before another input.
+    [[nodiscard]] Micros nextWake() const;
+    [[nodiscard]] const Counters& counters() const { return counters_; }
+    /// Requests without their final answer.
+    [[nodiscard]] std::size_t openRequests() const { return requests_.unanswered(); }
+    /// Entries in all tables, the policy's too, but for the ever-listed ids, which have their own bound.
+    [[nodiscard]] std::size_t tableEntries() const;
+    /// Listed nodes that get no requests: under an administrative drain, draining, or ejected by the policy.
+    [[nodiscard]] std::size_t avoidedNodes() const { return policy_.avoidedNodes(); }
+    /// What this front may spend and lend after its start.
+    [[nodiscard]] const fleet::RestartRecovery& recovery() const { return policy_.recovery(); }
+    /// Whether the node is listed or was listed before.
+    [[nodiscard]] bool everListed(const std::string& node) const { return endpoints_.everListed(node); }
+    [[nodiscard]] const AdminOverrides& overrides() const { return endpoints_.overrides(); }
+    /// Nodes under an administrative drain.
+    [[nodiscard]] std::size_t adminDrainedNodes() const { return endpoints_.adminDrainedNodes(); }
 
 private:
-    friend Effects reduce(State& state, Micros now, Input input);
-    friend StateSnapshot takeSnapshot(State& state, Micros now);
-    friend bool restore(State& state, const StateSnapshot& snapshot);
-    struct Attempt {
-        std::string node;
-        Micros startedAt = 0, timeoutAt = 0, lastByteBy = StartAttempt::kNever;
-        bool written = false;  // whole, to its node
-    };
-    struct Live {
-        Micros deadlineUs = 0;
-        int cell = -1, classIndex = -1, attempts = 0;
-        bool done = false, streaming = false, unbounded = false;
-        bool bodyIncomplete = false, longBody = false;  // its body still comes; it came piece by piece
-        std::map<int, Attempt> out;
-    };
-    enum class Due { Timer, AttemptTimeout, Overdue, LastByte };
-    struct Alarm {
-        Micros at = 0;
-        Due due = Due::Timer;
-        std::uint64_t what = 0;  // a token, or a request
-        int attempt = 0;
-        auto operator<=>(const Alarm&) const = default;
-    };
-    using Requests = std::unordered_map<RequestId, Live>;
-
-    void take(const RequestReceived& in);
-    void take(const RequestBodyCompleted& in);
-    void take(AttemptFinished in);
-    void take(const AttemptRequestSent& in);
-    void take(const ResponseHeadReceived& in);
-    void take(const ResponseForwardingStarted& in);
-    void take(const ClientDisconnected& in);
-    void take(const ShutdownStarted& in);
-    void take(const CapacityNeeded& in);
-    void take(EndpointListReceived in);
-    void take(const AdminOverrideChanged& in);
-    void take(PeerMessageReceived in);
-    void take(HealthCheckCompleted in);
-    void take(const TimerExpired&);
-    void take(const BatchEnded&);
-    void act(const ForwardRequest& a);
-    void act(const RejectRequest& a);
-    void act(const FailRequest& a);
-    void act(const CancelAttempt& a);
-    void act(const StartHealthCheck& a);
-    void act(const SendPeerMessage& a);
-    void act(const SetTimer& a);
-    void act(const WatchEndpointList& a);
-    void act(const LogLine& a);
-    void tell(const Event& event);
-    void endAttempt(Requests::iterator it, int attempt, AttemptFinished how);
-    void stop(Requests::iterator it, int attempt, Outcome how);  // the last of an answered request forgets it
-    void answer(RequestId id, std::uint64_t Answers::*kind, Effect effect);  // final, unless there was one
-    std::uint64_t& count(const Live& live, std::uint64_t Answers::*kind);
-    NodeInfo asTold(NodeInfo listed) const;  // with the operators' override laid over the list's
-    void noteDrain(const NodeInfo& told);
-    void finish(Live& live);
-    void forget(Requests::iterator it);
-    void quiet(const Alarm& alarm);
-    bool sendable(const Live& live, const std::string& node) const;
+    // Inputs.
+    void handle(const RequestReceived& input);
+    void handle(const RequestBodyCompleted& input);
+    void handle(AttemptFinished input);
+    void handle(const AttemptRequestSent& input);
+    void handle(const ResponseHeadReceived& input);
+    void handle(const ResponseForwardingStarted& input);
+    void handle(const ClientDisconnected& input);
+    void handle(const ShutdownStarted& input);
+    void handle(const CapacityNeeded& input);
+    void handle(EndpointListReceived input);
+    void handle(const AdminOverrideChanged& input);
+    void handle(PeerMessageReceived input);
+    void handle(HealthCheckCompleted input);
+    void handle(const TimerExpired& input);
+    void handle(const BatchEnded& input);
+
+    // Expired timers.
+    void expire(const Timer& timer);
+    void expireAttempt(const Timer& timer);
+    void expireLastByte(const Timer& timer);
+    void expireRequest(RequestId id);
+
+    // Actions of the policy.
+    void apply(const ForwardRequest& action);
+    void apply(const RejectRequest& action);
+    void apply(const FailRequest& action);
+    void apply(const CancelAttempt& action);
+    void apply(const StartHealthCheck& action);
+    void apply(const SendPeerMessage& action);
+    void apply(const SetTimer& action);
+    void apply(const WatchEndpointList& action);
+    void apply(const LogLine& action);
+
+    void notifyPolicy(const Event& event);
+    void notifyNotStarted();
+
+    // Attempts.
+    [[nodiscard]] ResponseStarted responseStarted(RequestId id, int attempt,
+                                                  const InFlightAttempt& inFlight) const;
+    [[nodiscard]] bool mayStart(const InFlightRequest& request, const std::string& node) const;
+    void startAttempt(const ForwardRequest& action, int attempt, InFlightRequest& request);
+    void extendAttempts(RequestId id, InFlightRequest& request);
+    void stopAttempt(RequestId id, int attempt, Outcome outcome);
+    void endAttempt(InFlightRequest& request, AttemptFinished result);
+    void answerFromAttempt(InFlightRequest& request, const AttemptFinished& result);
+
+    // Requests.
+    void answer(RequestId id, std::uint64_t Answers::*count, Effect effect);
+    void markAnswered(InFlightRequest& request, std::uint64_t Answers::*count);
+    void eraseIfFinished(RequestId id);
+    [[nodiscard]] Answers& answersOf(const InFlightRequest& request);
 
     Settings settings_;
     Limits limits_;
     Micros now_;
     Policy policy_;
-    Requests requests_;
-    std::map<std::string, NodeInfo, std::less<>> listed_;  // as the list says
-    std::set<std::string> seen_;                           // ever listed
-    std::deque<std::string> seenOrder_;
-    AdminOverrides overrides_;  // who is out by hand, and who was called back: cold from there on
-    std::map<std::string, Micros, std::less<>> drains_;  // of those that drain: when that was read
-    std::multiset<Alarm> alarms_;
-    std::vector<AttemptFinished> moot_;  // told in the next batch, as the module expects
-    Effects effects_;
+    RequestTable requests_;
+    EndpointTable endpoints_;
+    TimerQueue timers_;
     Counters counters_;
-    std::size_t open_ = 0;
-    bool touched_ = true;  // the module's first actions are waiting
+    Effects effects_;                                  // of the input that is being handled
+    std::vector<AttemptFinished> notStartedAttempts_;  // the policy is notified of them in the next batch
+    bool policyPending_ = true;  // the policy has actions that were not taken; at the start its first ones
 };
 
-// Moves the state by one input at a time that never falls, and returns what is to be done outside.
+/// Takes one input and returns what is to be done outside.
+/// \param now never falls; an earlier time counts as that of the last input
 Effects reduce(State& state, Micros now, Input input);
-// The rights pass to a successor; what is open here is finished.
+/// What a successor starts from. It has all rights from then on; requests in flight are finished here.
 StateSnapshot takeSnapshot(State& state, Micros now);
-// Before the first input but operators' overrides. False: the module refused its part, and the rest is taken.
+/// Takes over a snapshot; to be called before the first input, admin overrides excepted.
+/// \return false: the policy rejected its part; the rest is in force
 bool restore(State& state, const StateSnapshot& snapshot);
 
 }  // namespace wingproxy::core
--- /dev/null
+++ b/src/core/timer_queue.h
@@ -0,0 +1,47 @@
+/// \file
+/// The timers of the reducer in the order in which they expire. Owns no clock: the time is passed in.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+#include <set>
+
+#include "wingproxy/policy.h"
+
+namespace wingproxy::core {
+
+/// What a timer is for. Timers of the same time expire in the order of the kinds here.
+enum class TimerKind {
+    Policy,           ///< set by the policy; `Timer::id` is its token
+    AttemptTimeout,   ///< an attempt has no response in time
+    RequestDeadline,  ///< a request must have its final answer
+    LastByte,         ///< the last byte of an attempt's request must be with the node
+};
+
+/// One timer. Equal timers are the same one to `TimerQueue::cancel`.
+struct Timer {
+    Micros at = 0;
+    TimerKind kind = TimerKind::Policy;
+    std::uint64_t id = 0;  ///< a RequestId, or the policy's token
+    int attempt = 0;       ///< 0 where the timer concerns no attempt
+    auto operator<=>(const Timer&) const = default;
+};
+
+/// Timers that have not expired yet.
+class TimerQueue {
+public:
+    void schedule(const Timer& timer) { timers_.insert(timer); }
+    /// Removes one timer equal to this one, if there is any.
+    void cancel(const Timer& timer);
+    /// Takes out the first timer that expires at `now` or before; nothing where none does.
+    std::optional<Timer> popExpired(Micros now);
+    /// When the first timer expires; nothing where there is none.
+    [[nodiscard]] std::optional<Micros> nextExpiry() const;
+    [[nodiscard]] std::size_t size() const { return timers_.size(); }
+
+private:
+    std::multiset<Timer> timers_;  // the policy may set equal timers
+};
+
+}  // namespace wingproxy::core
