--- a/src/fleet/restart_recovery.h
+++ b/src/fleet/restart_recovery.h
@@ -1,124 +1,166 @@
-// What a host that has just started may spend and lend of its chunks, and how it learns that sooner than by
-// waiting for every lease to run out. Pure: no I/O, the time is passed in (microseconds, never falling).
-//
-// A host lends chunks of its limits for short leases and, started anew, knows nothing of the loans of its
-// earlier life. It is clear of them when all peers have said that they hold none, when a lease has passed
-// since its start, or when the time is over that its earlier life named in a shutdown notice. A shutdown
-// notice is told while a host leaves in order, to a few peers that keep it: its holders. docs/fleet.md has
-// the proof.
+/// \file
+/// Which leases a restarted host may spend and grant, and how it learns that sooner than by waiting until
+/// every lease has expired. No I/O and no clock: the time is passed in and never falls.
+///
+/// A host grants its peers leases on chunks of its limits. After a restart it does not know the leases that
+/// its earlier incarnation granted. It has *recovered*, so that it may spend all its chunks, when
+///  - all peers have replied that they hold no lease of an earlier incarnation,
+///  - the longest lease has passed since the start, or
+///  - the time has passed that the earlier incarnation named in its shutdown notice.
+/// During a graceful shutdown a host sends that notice to a few peers, its *notice holders*, which return it
+/// to the next incarnation. docs/fleet.md has the proof that no chunk is ever with two hosts.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <set>
 #include <string>
 #include <vector>
 
-namespace wingproxy::fleet {
+#include "fleet/recovery_datagram.h"
 
-using Micros = std::int64_t;
+namespace wingproxy::fleet {
 
+/// A datagram that the caller must send.
 struct OutgoingDatagram {
-    int to = 0;  // a host's number
+    int to = 0;  ///< a host index
     std::string bytes;
 };
 
+/// The recovery of one host after its start, and its part in that of its peers. Owns what it knows of the
+/// incarnations of the peers and the shutdown notices that it stores for them.
 class RestartRecovery {
 public:
-    // Until a shutdown notice is this old a new life may go by it; so long a host whose holders have not
-    // answered lends nothing, as a later life might go by a shutdown notice from before it.
+    /// A shutdown notice counts until it is this old. For as long after its start a host grants no lease
+    /// while a notice holder has not replied, as that holder might return an older notice to a later
+    /// incarnation.
     static constexpr Micros kNoticeRetention = 10'000'000;
-    static constexpr Micros kQueryInterval =
-        500'000;  // between two hellos, or shutdown notices, to the same host
-    static constexpr Micros kHoldersOnlyPeriod =
-        50'000;                            // then all are asked: a crossing of the network and more
-    static constexpr int kSmallFleet = 8;  // of so many hosts all are asked at once
-    static constexpr Micros kStaleIncarnationPeriod =
-        10'000'000;  // a life before the newest is not believed for so long
-    static constexpr std::size_t kMaxDatagramBytes = 22;  // of a datagram
+    /// Between two queries, or two notices, to the same host. A lease of 2 s leaves time for three repeats.
+    static constexpr Micros kQueryInterval = 500'000;
+    /// After its start a host asks only the notice holders for so long, and then everyone: more than a round
+    /// trip within a site.
+    static constexpr Micros kHoldersOnlyPeriod = 50'000;
+    /// Up to this number of hosts, all peers are asked at once.
+    static constexpr int kSmallFleet = 8;
+    /// A message of an earlier incarnation is ignored for so long after the newer one was last heard; later
+    /// it means that the peer's clock was set back.
+    static constexpr Micros kStaleIncarnationPeriod = 10'000'000;
 
     struct Options {
-        int host = 0, hosts = 1;
-        Micros lease = 0;   // of a chunk, at the longest
-        bool talks = true;  // hosts may tell each other anything
+        int hostIndex = 0;
+        int hostCount = 1;
+        Micros leaseDuration = 0;  ///< the longest lease on a chunk
+        bool mayGossip = true;     ///< hosts may send each other messages
     };
     struct Counters {
-        std::uint64_t stale = 0, malformed = 0;  // datagrams that changed nothing
-        std::uint64_t newIncarnations = 0;       // of peers that began anew
-        std::uint64_t storedNotices = 0;         // kept here for others
+        std::uint64_t stale = 0;            ///< messages of an earlier incarnation, which changed nothing
+        std::uint64_t malformed = 0;        ///< datagrams that could not be read, which changed nothing
+        std::uint64_t newIncarnations = 0;  ///< restarts of peers that were observed
+        std::uint64_t storedNotices = 0;    ///< shutdown notices stored here for peers
+    };
+    /// The sender's incarnation compared with what is known of that host.
+    enum class IncarnationStatus {
+        Known,  ///< the current one, or the first that was heard of
+        New,    ///< the host restarted: all leases of its earlier incarnation are over
+        Stale,  ///< an earlier one: the message must be ignored
     };
-    enum class IncarnationStatus { Known, New, Stale };
-    enum class RecoveryCause {
-        NotRecovered,
-        ShutdownNotice,
-        AllPeersReplied,
-        LeaseExpired
-    };  // what made it clear
+    /// What made it certain that no lease of an earlier incarnation is out.
+    enum class RecoveryCause { NotRecovered, ShutdownNotice, AllPeersReplied, LeaseExpired };
 
+    /// A host that is alone.
     RestartRecovery() = default;
-    RestartRecovery(const Options& terms, Micros startedAt);
+    RestartRecovery(const Options& options, Micros startedAt);
+
+    /// This run of the host. A later run has a higher number unless the machine's clock is set back.
+    [[nodiscard]] Incarnation incarnation() const { return incarnation_; }
+    /// Counts a datagram that is neither of this protocol nor of the policy's gossip.
+    void countMalformed() { ++counters_.malformed; }
+    /// Whether a datagram is one for `handleDatagram`.
+    static bool isRecoveryDatagram(const std::string& bytes) { return fleet::isRecoveryDatagram(bytes); }
 
-    // Names this life: a later one has a higher number, for as long as the machine's clock is not set back.
-    std::uint32_t incarnation() const { return life_; }
-    void countMalformed() { ++counters_.malformed; }           // a datagram in neither of the front's forms
-    static bool isRecoveryDatagram(const std::string& bytes);  // a datagram for heard()
     struct DatagramResult {
-        IncarnationStatus status =
-            IncarnationStatus::Stale;  // Fresh: whatever that host lent in its earlier life is over
+        IncarnationStatus status = IncarnationStatus::Stale;
         std::vector<OutgoingDatagram> replies;
     };
+    /// \param from the sender's host index, as the transport reports it
     DatagramResult handleDatagram(int from, const std::string& bytes, Micros now);
-    IncarnationStatus observeIncarnation(int from, std::uint32_t life, Micros now);  // in whatever it says
-    std::vector<OutgoingDatagram> dueDatagrams(
-        Micros now);  // hellos and shutdown notices; to be asked a few times a second
-
-    bool isRecovered(Micros now) const { return now >= clearAt_; }  // may spend all of its own chunks
-    bool mayLend(Micros now) const;                                 // may lend them for a whole lease
-    RecoveryCause recoveryCause() const { return by_; }
-    // It ends in order: nothing is lent beyond then, or beyond what is lent already, and the holders are
-    // told.
-    void startShutdown(Micros until, Micros now) {
-        leavingUntil_ = until > now + terms_.lease ? until : now + terms_.lease;
-    }
-    const Counters& counters() const { return counters_; }
-    std::size_t tableEntries() const { return peers_.size() + notices_.size(); }
-    std::vector<int> holders() const;  // three at the most, spread over the numbers
+    /// Notes the incarnation that stands in any message of a peer.
+    IncarnationStatus observeIncarnation(int from, Incarnation incarnation, Micros now);
+    /// The queries and shutdown notices that are due; to be called a few times a second.
+    std::vector<OutgoingDatagram> dueDatagrams(Micros now);
 
+    /// Whether this host may spend all its own chunks.
+    [[nodiscard]] bool isRecovered(Micros now) const { return now >= recoveredAt_; }
+    /// Whether this host may grant a lease of the longest duration.
+    [[nodiscard]] bool mayLend(Micros now) const;
+    [[nodiscard]] RecoveryCause recoveryCause() const { return cause_; }
+    /// Begins a graceful shutdown: the notice holders are notified, and no lease is granted beyond `until`,
+    /// or beyond those that may be out at `now`, whichever is later.
+    void startShutdown(Micros until, Micros now);
+    [[nodiscard]] const Counters& counters() const { return counters_; }
+    [[nodiscard]] std::size_t tableEntries() const { return peers_.size() + notices_.size(); }
+    /// The peers that store this host's shutdown notice: three at the most, spread over the host indices.
+    [[nodiscard]] std::vector<int> holders() const;
+
+    /// For the snapshot of a hot restart, which fixes the order and the types; counters are not in it.
     template <typename Archive>
-    void serialize(Archive& a) {
-        a(terms_.host, terms_.hosts, terms_.lease, terms_.talks, startedAt_, clearAt_, lastHello_, lastToAll_,
-          lastNotice_, leavingUntil_, life_, askAll_, by_, peers_, welcomedBy_, notices_);
+    void serialize(Archive& archive) {
+        archive(options_.hostIndex, options_.hostCount, options_.leaseDuration, options_.mayGossip,
+                startedAt_, recoveredAt_, lastQueryAt_, lastQueryToAllAt_, lastNoticeAt_, servesUntil_,
+                incarnation_, queriesAll_, cause_, peers_, repliedPeers_, notices_);
     }
 
 private:
     struct Peer {
-        std::uint32_t life = 0;
-        Micros at = 0;  // heard last
+        Incarnation incarnation = 0;
+        Micros heardAt = 0;
         template <typename Archive>
-        void serialize(Archive& a) {
-            a(life, at);
+        void serialize(Archive& archive) {
+            archive(incarnation, heardAt);
         }
     };
-    struct ShutdownNotice {
-        std::uint32_t life = 0, sentMs = 0, overMs = 0;  // of the leaving host's clock
-        std::uint32_t next = 0;                          // the life that followed it, once it is met
+    /// A shutdown notice that is stored for the peer that wrote it.
+    struct StoredNotice {
+        Incarnation incarnation = 0;  ///< that wrote it
+        WireMillis sentMs = 0;
+        WireMillis leasesExpiredMs = 0;
+        Incarnation successor = 0;  ///< the incarnation after it; 0: none was heard of yet
         template <typename Archive>
-        void serialize(Archive& a) {
-            a(life, sentMs, overMs, next);
+        void serialize(Archive& archive) {
+            archive(incarnation, sentMs, leasesExpiredMs, successor);
         }
     };
-    void clearBy(RecoveryCause by, Micros at);
-    bool holdersKnow(
-        Micros now) const;  // of this life, all of them; or no shutdown notice from before it counts
-
-    Options terms_;
-    Micros startedAt_ = 0, clearAt_ = 0, lastHello_ = 0, lastToAll_ = 0, lastNotice_ = 0, leavingUntil_ = 0;
-    std::uint32_t life_ = 0;
-    bool askAll_ = false;  // a holder knows of no shutdown notice
-    RecoveryCause by_ = RecoveryCause::NotRecovered;
+
+    std::vector<OutgoingDatagram> handle(int from, Incarnation sender, const RecoveryQuery& query);
+    void handle(int from, Incarnation sender, const ShutdownNotice& notice);
+    void handle(int from, const RecoveryReply& reply, Micros now);
+    [[nodiscard]] bool isKnown(int from, Incarnation incarnation) const;
+    void discardOutdatedNotice(int from, Incarnation current);
+
+    std::vector<OutgoingDatagram> dueNotices(Micros now);
+    std::vector<OutgoingDatagram> dueQueries(Micros now);
+    [[nodiscard]] bool queriesEveryone(Micros now) const;
+    [[nodiscard]] OutgoingDatagram message(int to, const RecoveryMessage& message) const;
+
+    void recoverAt(Micros at, RecoveryCause cause);
+    /// Whether no notice holder can return a notice from before this incarnation to a later one.
+    [[nodiscard]] bool holdersKnowIncarnation(Micros now) const;
+    [[nodiscard]] bool isHolder(int host) const;
+
+    Options options_;
+    Micros startedAt_ = 0;
+    Micros recoveredAt_ = 0;
+    Micros lastQueryAt_ = 0;
+    Micros lastQueryToAllAt_ = 0;
+    Micros lastNoticeAt_ = 0;
+    Micros servesUntil_ = 0;  // 0: no shutdown has begun
+    Incarnation incarnation_ = 0;
+    bool queriesAll_ = false;  // the notice holders cannot help: all peers are asked
+    RecoveryCause cause_ = RecoveryCause::NotRecovered;
     std::map<int, Peer> peers_;
-    std::set<int> welcomedBy_;               // they hold nothing of earlier lives
-    std::map<int, ShutdownNotice> notices_;  // by the host that left
+    std::set<int> repliedPeers_;           // they hold no lease of an earlier incarnation
+    std::map<int, StoredNotice> notices_;  // by the host that wrote it
     Counters counters_;
 };
 
