--- /dev/null
+++ b/tests/core/counters_test.cpp
@@ -0,0 +1,14 @@
+#include "core/counters.h"
+
+#include <doctest/doctest.h>
+
+using namespace wingproxy::core;
+
+TEST_CASE("counters: the total adds the final answers of all classes") {
+    Counters counters;
+    counters.byClass = {{1, 2, 3}, {10, 20, 30}};
+    const Answers total = counters.all();
+    CHECK(total.delivered == 11);
+    CHECK(total.refused == 22);
+    CHECK(total.failed == 33);
+}
--- /dev/null
+++ b/tests/core/reducer_scale_test.cpp
@@ -0,0 +1,133 @@
+// The reducer over long days and in large fleets: its tables stay bounded, its messages follow the work.
+#include <doctest/doctest.h>
+
+#include <algorithm>
+#include <string>
+
+#include "core/reducer_fixture.h"
+
+using namespace wingproxy;
+using namespace wingproxy::core;
+using namespace wingproxy::test;
+
+// Nodes are replaced under new ids, volumes and clients are always new, and some clients allow an hour.
+TEST_CASE("reducer at scale: over a long day no table keeps what is gone") {
+    ReducerFixture front;
+    std::size_t entriesEarly = 0;
+    for (RequestId id = 1; id <= 6'000; ++id) {
+        front.expireTimersAt(front.now + 50 * kMs);
+        if (id % 20 == 0)
+            front.put(EndpointListReceived{
+                nodes({node(std::string("old-").append(std::to_string(id - 20)), 0, NodeState::Removed),
+                       node(std::string("old-").append(std::to_string(id)), 0)},
+                      EndpointListKind::Delta)});
+        auto received = request(id, 0, id % 2, front.now);
+        received.volume = std::string("v").append(std::to_string(id));
+        received.deadlineUs = front.now + 3'600'000 * kMs;
+        const auto starts = effectsOf<StartAttempt>(front.put(RequestReceived{received}));
+        for (const auto& start : starts)
+            front.put(finished(id, start.attempt, Outcome::Ok));
+        if (id == 2'000) entriesEarly = front.state.tableEntries();
+    }
+    CHECK(front.state.counters().all().delivered > 5'900);
+    CHECK(front.state.tableEntries() <= entriesEarly + entriesEarly / 10);
+}
+
+namespace {
+
+constexpr int kHosts = 300;
+constexpr int kNodes = 200;
+constexpr int kRequests = 2'000;
+constexpr int kVolumes = 40;
+
+Settings settingsOfLargeFleet() {
+    auto large = settings(0, kHosts);
+    large.cellCount = kNodes;
+    return large;
+}
+
+/// One of 300 fronts, which hears nothing of the others.
+struct LargeFleetFront {
+    LargeFleetFront() : state(settingsOfLargeFleet(), Limits{250 * kMs}, kStart) {
+        std::vector<NodeInfo> list;
+        for (int i = 0; i < kNodes; ++i)
+            list.push_back(node(std::string("n").append(std::to_string(i)), i));
+        put(EndpointListReceived{nodes(list)});
+    }
+    Effects put(Input input) {
+        auto effects = reduceBatch(state, now, std::move(input));
+        for (const auto& message : effectsOf<SendPeerMessage>(effects)) {
+            REQUIRE(message.to >= 0);  // no broadcast
+            CHECK(message.bytes.size() <= 256);
+            ++messagesSent;
+            bytesSent += message.bytes.size();
+        }
+        return effects;
+    }
+    /// Returns how many times a timer woke the front.
+    std::size_t runTo(Micros until) {
+        std::size_t wakeUps = 0;
+        for (; state.nextWake() <= until; ++wakeUps) {
+            now = std::max(now, state.nextWake());
+            put(TimerExpired{});
+        }
+        now = until;
+        return wakeUps;
+    }
+    /// The recovery after the start ends within 11 s.
+    void runThroughRecovery() {
+        runTo(now + 11'000 * kMs);
+        messagesInRecovery = messagesSent;
+        messagesSent = 0;
+        bytesSent = 0;
+    }
+    /// Requests over all nodes and volumes, each answered after 2 ms.
+    void serveRequests() {
+        for (RequestId id = 1; id <= kRequests; ++id) {
+            auto received = request(id, 0, int(id % 2), now, 2, int(id * 7 % kNodes), 3);
+            received.volume = std::string("vol-").append(std::to_string(id % kVolumes));
+            for (const auto& start : effectsOf<StartAttempt>(put(RequestReceived{received}))) {
+                now += 2 * kMs;
+                put(finished(start.id, start.attempt, Outcome::Ok));
+            }
+            runTo(now + 20 * kMs);
+        }
+    }
+
+    State state;
+    Micros now = kStart;
+    std::size_t messagesSent = 0;
+    std::size_t bytesSent = 0;
+    std::size_t messagesInRecovery = 0;
+};
+
+}  // namespace
+
+// Queries to silent peers, every 0.5 s: to all for 2 s, to the three notice holders for 10 s.
+TEST_CASE("reducer at scale: a start queries silent peers only until leases have expired") {
+    LargeFleetFront front;
+    front.runThroughRecovery();
+    CHECK(front.messagesInRecovery <= 4 * (kHosts - 1) + 3 * 21);
+}
+
+TEST_CASE(
+    "reducer at scale: an idle front sends nothing and wakes up once a tick, however many nodes there are") {
+    LargeFleetFront front;
+    front.runThroughRecovery();
+    CHECK(front.runTo(front.now + 1'000 * kMs) <= 101);
+    CHECK(front.messagesSent == 0);
+}
+
+// What is harmless in one of 4 fronts must be so in one of 300 with 200 nodes: what a front stores and sends
+// follows the requests that it gets, not the size of the fleet. At most 256 bytes a request, three entries
+// for each node and volume, and two for each request in flight.
+TEST_CASE("reducer at scale: state and messages of one of 300 fronts follow its requests") {
+    LargeFleetFront front;
+    front.runThroughRecovery();
+    front.runTo(front.now + 1'000 * kMs);
+    front.serveRequests();
+    CHECK(front.state.counters().taken == kRequests);
+    CHECK(front.state.counters().all().delivered > kRequests / 2);
+    CHECK(front.bytesSent <= 256 * kRequests);
+    CHECK(front.state.tableEntries() <= 3 * kNodes + 3 * kVolumes + 2 * front.state.openRequests() + 16);
+}
