--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,60 +1,59 @@
-// The configuration, decoded once into plain values (simdjson stays inside config.cpp).
+/// \file
+/// The configuration file of a front, decoded into plain values. The program reads it at its start and again
+/// on SIGHUP. No other module sees the file's format.
 #pragma once
 
 #include <algorithm>
-#include <cstdint>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <vector>
 
+#include "config/config_error.h"
+#include "config/endpoint.h"
+#include "config/endpoint_listing.h"
+#include "config/reload_differences.h"
 #include "wingproxy/policy.h"
 
 namespace wingproxy::config {
 
-// What is wrong, in one line that names the field.
-struct ConfigError : std::runtime_error {
-    using std::runtime_error::runtime_error;
-};
-
-struct Endpoint {
-    std::string host;
-    std::uint16_t port = 0;
-    auto operator<=>(const Endpoint&) const = default;
-};
-Endpoint parseEndpoint(std::string_view text, std::string_view field);  // an IPv4 address and a port
-
-// One list as discovery gives it: for the module, and where each node listens.
-struct EndpointListing {
-    EndpointList list;
-    std::vector<Endpoint> addresses;  // beside list.nodes
-};
-EndpointListing parseEndpointListing(std::string_view json);
-
+/// One configuration. An endpoint with port 0 is absent.
 struct Config {
-    std::string name;
-    Endpoint listen, discovery;
+    std::string name;    ///< this front's name, in logs and in the names of its files
+    Endpoint listen;     ///< for clients
+    Endpoint discovery;  ///< where the endpoint list comes from
     Settings settings;
-    EndpointListing cachedEndpoints;  // kind Cached
-    std::vector<Endpoint> peers;      // by host number, this one included
-    Endpoint peerListen, peersAll;    // port 0: none
-    Endpoint adminListen;             // where operators call; port 0: nowhere
-    int inheritedListenerFd = -1;     // the descriptor that listens for clients already; -1: none
-    int maxDescriptors = 1024, memoryMb = 192;
-    Micros connectTimeoutUs = 250'000, connIdleUs = 30'000'000;
+    EndpointListing cachedEndpoints;  ///< of an earlier run; its kind is Cached
+    std::vector<Endpoint> peers;      ///< by host index, this host included
+    Endpoint peerListen;              ///< for messages of peers
+    Endpoint peersAll;                ///< reaches every peer
+    Endpoint adminListen;             ///< for operators
+    int inheritedListenerFd = -1;     ///< a descriptor that already listens for clients; -1: none
+    int maxDescriptors = 1024;
+    int memoryMb = 192;  ///< in MiB
+    Micros connectTimeoutUs = 250'000;
+    Micros connIdleUs = 30'000'000;  ///< after which an unused connection to a node is closed
 };
+
+/// Reads a configuration.
+/// \throws ConfigError for the first field that is missing or wrong
 Config parseConfig(std::string_view json);
-// What the environment says besides: PROXY_MGMT and PROXY_FD; null where it is not set.
-void applyEnvironment(Config& c, const char* mgmt, const char* fd);
-// The place of the class or plan with this name; -1: none.
+
+/// Adds what the environment says.
+/// \param adminListen value of PROXY_MGMT, which counts where the file has no such address; null if not set
+/// \param listenerFd value of PROXY_FD; null if not set
+/// \throws ConfigError if one of them is malformed
+void applyEnvironment(Config& config, const char* adminListen, const char* listenerFd);
+
+/// The index of the class or plan with this name; -1: none.
 template <typename List>
 int indexOf(const List& list, std::string_view name) {
-    const auto it =
+    const auto found =
         std::find_if(list.begin(), list.end(), [&](const auto& item) { return item.name == name; });
-    return it == list.end() ? -1 : int(it - list.begin());
+    return found == list.end() ? -1 : static_cast<int>(found - list.begin());
 }
-// The fields in which two configurations differ and that a running program does not take over.
-std::string fieldsNeedingRestart(const Config& running, const Config& fresh);
+
+/// The whole content of a file.
+/// \throws ConfigError if it cannot be read
 std::string readFile(const std::string& path);
 
 }  // namespace wingproxy::config
--- /dev/null
+++ b/src/config/endpoint.h
@@ -0,0 +1,24 @@
+/// \file
+/// Network addresses as the configuration and discovery write them.
+#pragma once
+
+#include <compare>
+#include <cstdint>
+#include <string>
+#include <string_view>
+
+namespace wingproxy::config {
+
+/// An IPv4 address in dotted form and a port. Port 0 of an optional address: there is none.
+struct Endpoint {
+    std::string host;
+    std::uint16_t port = 0;
+    auto operator<=>(const Endpoint&) const = default;
+};
+
+/// Reads "ADDRESS:PORT".
+/// \param field names the text in the error
+/// \throws ConfigError if `text` is no IPv4 address and port
+Endpoint parseEndpoint(std::string_view text, std::string_view field);
+
+}  // namespace wingproxy::config
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -1,41 +1,17 @@
-// Configuration and endpoint lists: what is accepted, what is rejected, and which field the error names.
+// The configuration file and the environment: which values the program gets, and which field an error names.
 #include "config/config.h"
 
-#include <doctest/doctest.h>
-
-#include "config/operator.h"
+#include "config_test_support.h"
 
 using namespace wingproxy;
+using namespace wingproxy::test;
 
-namespace {
-
-std::string configText() {
-    return config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json");
+TEST_CASE("config: a valid file is accepted") {
+    CHECK(errorOf([] { config::parseConfig(validConfig()); }) == "");
 }
 
-std::string replaced(std::string text, const std::string& from, const std::string& to) {
-    const auto at = text.find(from);
-    REQUIRE(at != std::string::npos);
-    return text.replace(at, from.size(), to);
-}
-
-template <typename F>
-std::string complaint(F&& f) {
-    try {
-        f();
-    } catch (const config::ConfigError& bad) {
-        return bad.what();
-    }
-    return "";
-}
-
-}  // namespace
-
-TEST_CASE("config: each bad field is named") {
-    CHECK(complaint([] { config::parseConfig(configText()); }) == "");
-    const struct {
-        const char *from, *to, *names;
-    } cases[] = {
+TEST_CASE("config: an error is one line that begins with the invalid field") {
+    const InvalidChange cases[] = {
         {"\"listen\":\"127.0.0.1:0\"", "\"listen\":\"nowhere\"", "listen"},
         {"\"discovery\":\"127.0.0.1:1\",", "", "discovery: missing"},
         {"\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"xyz\"", "seed"},
@@ -51,78 +27,52 @@
         {"{\"name\"", "{name", "config"},
     };
     for (const auto& c : cases) {
-        const auto what = complaint([&] { config::parseConfig(replaced(configText(), c.from, c.to)); });
-        CHECK_MESSAGE(what.find(c.names) == 0, what);
-        CHECK(what.find('\n') == std::string::npos);
+        const auto error = errorOf([&] { config::parseConfig(replaced(validConfig(), c.from, c.to)); });
+        CHECK_MESSAGE(error.find(c.errorStart) == 0, error);
+        CHECK(error.find('\n') == std::string::npos);
     }
 }
 
-TEST_CASE("config: the values that the module must get") {
-    const auto c = config::parseConfig(configText());
-    CHECK(c.settings.seed == 0x8c1f30d27a5be964ull);
-    CHECK(c.settings.classes[1].retrySafety == RetrySafety::IdempotentWithKey);
-    CHECK(c.settings.classes[1].keyScope == KeyScope::Cell);
-    CHECK(c.settings.classes[1].writes);
-    CHECK(c.settings.plans[0].limitSlack == 6);
-    CHECK(c.settings.pollsEndpointList);
-    CHECK(c.cachedEndpoints.list.kind == EndpointListKind::Cached);  // old knowledge, however complete it was
+TEST_CASE("config: the settings reach the policy") {
+    const auto config = config::parseConfig(validConfig());
+    CHECK(config.settings.seed == 0x8c1f30d27a5be964ull);
+    CHECK(config.settings.classes[1].retrySafety == RetrySafety::IdempotentWithKey);
+    CHECK(config.settings.classes[1].keyScope == KeyScope::Cell);
+    CHECK(config.settings.classes[1].writes);
+    CHECK(config.settings.plans[0].limitSlack == 6);
+    CHECK(config.settings.pollsEndpointList);
 }
 
-TEST_CASE("discovery's list") {
-    const std::string entry =
-        R"({"instanceId":"s-1","hostPort":"127.0.0.1:80","zone":"z","cell":3,"lifecycle":"draining","weight":1.5,"startedAtMs":7})";
-    const auto list = [](const std::string& entries) {
-        return R"({"generation":9,"reset":false,"instances":[)" + entries + "]}";
-    };
-    const auto hosts = config::parseEndpointListing(list(entry));
-    CHECK(hosts.list.kind == EndpointListKind::Delta);
-    CHECK(hosts.list.version == 9);
-    CHECK(hosts.list.nodes[0].state == NodeState::Draining);
-    CHECK(hosts.list.nodes[0].rating == 1.5);
-    CHECK(hosts.list.nodes[0].startedUs == 7000);
-    CHECK(hosts.addresses[0] == config::Endpoint{"127.0.0.1", 80});
-    for (const char* bad : {"", "[]", "{}", R"({"generation":1,"instances":[{}]})", "{\"generation\":1}"})
-        CHECK(complaint([&] { config::parseEndpointListing(bad); }) != "");
-    CHECK(complaint([&] {
-              config::parseEndpointListing(list(replaced(entry, "draining", "asleep")));
-          }).find("lifecycle") != std::string::npos);
-    CHECK(complaint([&] {
-              config::parseEndpointListing(list(replaced(entry, "\"cell\":3", "\"cell\":-3")));
-          }).find("cell") != std::string::npos);
+TEST_CASE("config: endpoints of an earlier run are cached ones, even if their list was full") {
+    REQUIRE(validConfig().find("\"reset\":true") != std::string::npos);
+    CHECK(config::parseConfig(validConfig()).cachedEndpoints.list.kind == EndpointListKind::Cached);
 }
 
-TEST_CASE("the operator's file: each bad field is named") {
-    const auto settings = config::parseConfig(configText()).settings;
-    const std::string good =
-        R"({"rsync":{"listen":"127.0.0.1:0","modules":[{"name":"m","volume":"v","plan":"basico","cell":1,)"
-        R"("pull_class":"lectura","push_class":"alta"}]},"agent":{"listen":"127.0.0.1:0"}})";
-    const auto o = config::parseOperatorConfig(good, settings);
-    CHECK(o.rsync->modules[0].pushClass == 1);
-    CHECK(o.rsync->modules[0].nodeModule == "m");
-    CHECK(o.agent.has_value());
-    CHECK(!o.health.has_value());
-    CHECK(!config::parseOperatorConfig("{}", settings).rsync.has_value());
-    const struct {
-        const char *from, *to, *names;
-    } cases[] = {
-        {"\"plan\":\"basico\"", "\"plan\":\"oro\"", "rsync.modules.0.plan"},
-        {"\"cell\":1", "\"cell\":4", "rsync.modules.0.cell"},
-        {"\"cell\":1,", "", "rsync.modules.0.cell: missing"},
-        {"\"name\":\"m\"", "\"name\":\"a/b\"", "rsync.modules.0.name"},
-        // A pull may be repeated and a push carries a key: another class would break the rule on resends.
-        {"\"pull_class\":\"lectura\"", "\"pull_class\":\"alta\"", "rsync.modules.0.pull_class"},
-        {"\"push_class\":\"alta\"", "\"push_class\":\"lectura\"", "rsync.modules.0.push_class"},
-        {"\"agent\":{\"listen\":\"127.0.0.1:0\"}", "\"agent\":{\"listen\":\"x\"}", "agent.listen"},
-    };
-    for (const auto& c : cases) {
-        const auto what =
-            complaint([&] { config::parseOperatorConfig(replaced(good, c.from, c.to), settings); });
-        CHECK_MESSAGE(what.find(c.names) == 0, what);
-    }
-    const auto example = config::readFile(std::string(WINGPROXY_SOURCE) + "/deploy/operator.example.json");
-    CHECK(complaint([&] {
-              auto wide = settings;
-              wide.classes.push_back({"exportacion"});
-              config::parseOperatorConfig(example, wide);
-          }) == "");
+TEST_CASE("config: a missing optional field keeps its default") {
+    const auto text =
+        replaced(validConfig(), R"("limits":{"cores":1.0,"memory_mb":192,"sockets":1024},)", "");
+    const auto config = config::parseConfig(text);
+    CHECK(config.maxDescriptors == config::Config().maxDescriptors);
+    CHECK(config.memoryMb == config::Config().memoryMb);
+    CHECK(config.adminListen.port == 0);
+}
+
+TEST_CASE("config: PROXY_MGMT counts where the file has no address for operators") {
+    config::Config config;
+    config::applyEnvironment(config, "127.0.0.1:9", nullptr);
+    CHECK(config.adminListen == config::Endpoint{"127.0.0.1", 9});
+    config::applyEnvironment(config, "127.0.0.1:10", nullptr);
+    CHECK(config.adminListen.port == 9);
+}
+
+TEST_CASE("config: PROXY_FD names a descriptor above the standard streams") {
+    config::Config config;
+    config::applyEnvironment(config, nullptr, "7");
+    CHECK(config.inheritedListenerFd == 7);
+    for (const char* invalid : {"", "2", "-1", "7x"})
+        CHECK(errorOf([&] { config::applyEnvironment(config, nullptr, invalid); }).starts_with("PROXY_FD: "));
+}
+
+TEST_CASE("config: a file that cannot be read is named") {
+    CHECK(errorOf([] { config::readFile("/nonexistent.json"); }) == "/nonexistent.json: cannot be read");
 }
--- /dev/null
+++ b/tests/config/config_test_support.h
@@ -0,0 +1,44 @@
+/// \file
+/// Helpers of the configuration's tests: a valid configuration, changes to it, and the error that one causes.
+#pragma once
+
+#include <doctest/doctest.h>
+
+#include <string>
+
+#include "config/config.h"
+
+namespace wingproxy::test {
+
+/// A valid configuration.
+inline std::string validConfig() {
+    return config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json");
+}
+
+/// `text` with the first `from` in it replaced, which must be there.
+inline std::string replaced(std::string text, const std::string& from, const std::string& to) {
+    const auto at = text.find(from);
+    REQUIRE(at != std::string::npos);
+    return text.replace(at, from.size(), to);
+}
+
+/// The text of the ConfigError that `function` throws; empty if it throws none.
+template <typename Function>
+std::string errorOf(Function&& function) {
+    try {
+        function();
+    } catch (const config::ConfigError& error) {
+        CHECK(error.what() == error.fieldPath + ": " + error.reason);
+        return error.what();
+    }
+    return "";
+}
+
+/// A change to a valid document that makes it invalid, and how the error begins.
+struct InvalidChange {
+    const char* from;
+    const char* to;
+    const char* errorStart;
+};
+
+}  // namespace wingproxy::test
--- /dev/null
+++ b/tests/config/endpoint_listing_test.cpp
@@ -0,0 +1,56 @@
+// The endpoint list of discovery: which nodes it becomes, and which field an error names.
+#include "config/endpoint_listing.h"
+
+#include "config_test_support.h"
+
+using namespace wingproxy;
+using namespace wingproxy::test;
+
+namespace {
+
+const std::string kEntry =
+    R"({"instanceId":"s-1","hostPort":"127.0.0.1:80","zone":"z","cell":3,"lifecycle":"draining","weight":1.5,"startedAtMs":7})";
+
+std::string listOf(const std::string& entries) {
+    return R"({"generation":9,"reset":false,"instances":[)" + entries + "]}";
+}
+
+}  // namespace
+
+TEST_CASE("endpoint list: kind, version and nodes are read") {
+    const auto listing = config::parseEndpointListing(listOf(kEntry));
+    CHECK(listing.list.kind == EndpointListKind::Delta);
+    CHECK(listing.list.version == 9);
+    CHECK(listing.list.nodes[0].state == NodeState::Draining);
+    CHECK(listing.list.nodes[0].rating == 1.5);
+    CHECK(listing.list.nodes[0].startedUs == 7000);
+    CHECK(listing.addresses[0] == config::Endpoint{"127.0.0.1", 80});
+}
+
+TEST_CASE("endpoint list: a list with \"reset\" is full") {
+    const auto listing = config::parseEndpointListing(replaced(listOf(kEntry), "false", "true"));
+    CHECK(listing.list.kind == EndpointListKind::Full);
+}
+
+TEST_CASE("endpoint list: only a removed node may lack its address") {
+    const auto entry = replaced(kEntry, R"("hostPort":"127.0.0.1:80",)", "");
+    const auto removed = config::parseEndpointListing(listOf(replaced(entry, "draining", "removed")));
+    CHECK(removed.list.nodes[0].state == NodeState::Removed);
+    CHECK(removed.addresses[0] == config::Endpoint{});
+    CHECK(errorOf([&] { config::parseEndpointListing(listOf(entry)); }) == "instances.0.hostPort: missing");
+}
+
+TEST_CASE("endpoint list: a document without the list's fields is rejected") {
+    for (const char* invalid : {"", "[]", "{}", R"({"generation":1,"instances":[{}]})", "{\"generation\":1}"})
+        CHECK(errorOf([&] { config::parseEndpointListing(invalid); }) != "");
+}
+
+TEST_CASE("endpoint list: an error names the node's invalid field") {
+    const InvalidChange cases[] = {{"draining", "asleep", "instances.0.lifecycle"},
+                                   {"\"cell\":3", "\"cell\":-3", "instances.0.cell"}};
+    for (const auto& c : cases) {
+        const auto list = listOf(replaced(kEntry, c.from, c.to));
+        const auto error = errorOf([&] { config::parseEndpointListing(list); });
+        CHECK_MESSAGE(error.find(c.errorStart) == 0, error);
+    }
+}
--- /dev/null
+++ b/tests/config/reload_differences_test.cpp
@@ -0,0 +1,32 @@
+// Reload: which differences between two configurations need a restart.
+#include "config/reload_differences.h"
+
+#include "config_test_support.h"
+
+using namespace wingproxy;
+using namespace wingproxy::test;
+
+TEST_CASE("reload: equal configurations have no differences") {
+    const auto config = config::parseConfig(validConfig());
+    CHECK(config::fieldsNeedingRestart(config, config) == "");
+}
+
+TEST_CASE("reload: what a running program can change needs no restart") {
+    const auto running = config::parseConfig(validConfig());
+    auto reloaded = running;
+    reloaded.settings.seed += 1;
+    reloaded.discovery.port += 1;
+    reloaded.peers.push_back({"127.0.0.1", 9});
+    reloaded.maxDescriptors += 1;
+    CHECK(config::fieldsNeedingRestart(running, reloaded) == "");
+}
+
+TEST_CASE("reload: fields that need a restart are named as in the file") {
+    const auto running = config::parseConfig(validConfig());
+    auto reloaded = running;
+    reloaded.name = "other";
+    reloaded.adminListen.port += 1;
+    reloaded.memoryMb += 1;
+    reloaded.connIdleUs += 1;
+    CHECK(config::fieldsNeedingRestart(running, reloaded) == "name, mgmt, limits.memory_mb, settings");
+}
