--- a/adapter/instances.h
+++ b/adapter/instances.h
@@ -1,40 +1,58 @@
-// The instance table: which Policy each event of a batch belongs to. Translation only.
+/// \file
+/// The hosts of a simulation, each with its own policy, and the batches of messages that the simulator
+/// exchanges with them. It translates only: no decision is taken here, and hosts share nothing but the
+/// input's lists.
 #pragma once
 
-#include <array>
+#include <cstddef>
 #include <functional>
 #include <istream>
 #include <map>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
-#include "wire.h"
+#include "base64.h"  // for the users of this header
+#include "wingproxy/policy.h"
+#include "wire_events.h"
+#include "wire_line.h"
 
 namespace wingproxy::wire {
 
 class Instances {
 public:
-    // Reads one batch and appends its reply to out; false at the end of input.
-    // Throws Malformed on what is not the wire.
+    /// Reads one batch and appends the response to it: the actions of each host that got a message, in the
+    /// order of their first messages, and the line that ends the batch. \return false at the end of the input
+    /// \throws WireError on malformed input
     bool serveBatch(std::istream& in, std::string& out);
 
 private:
+    /// One host. It has settings and a policy from its start to its end.
     struct Instance {
-        std::optional<Settings> settings;  // empty: not started, or killed
+        std::string name;
+        std::optional<Settings> settings;
         std::optional<Policy> policy;
-        std::string fault;      // text of an exception out of the module
-        std::size_t batch = 0;  // the last one that brought it an event
+        std::string exception;      ///< text of one that left the policy; it gets no further events
+        std::size_t lastBatch = 0;  ///< in which a message was for it
     };
-    bool nextLine(std::istream& in);
-    void guarded(Instance& instance, const std::function<void()>& call);
-    void deliver(const Line& line, Micros now);
-    Instance& instanceOf(const Line& line);
+
+    bool readLine(std::istream& in);
+    void readMessages(std::istream& in, const WireLine& header, Micros now);
+    void readEndpointList(std::istream& in, const WireLine& header, const WireLine& line);
+    void handleMessage(const WireLine& line, Micros now);
+    void start(Instance& instance, const WireLine& line, Micros now);
+    static void stop(Instance& instance);
+    static void catchExceptions(Instance& instance, const std::function<void()>& call);
+    static void appendActions(Instance& instance, Micros now, std::string& out);
+    Instance& instanceOf(const WireLine& line);
+
     std::map<std::string, Instance, std::less<>> instances_;
-    std::vector<std::pair<const std::string*, Instance*>> touched_;
-    std::array<std::vector<NodeInfo>, 16> lists_;
-    std::string line_;
-    std::size_t lineNumber_ = 0, batch_ = 0;
+    std::vector<Instance*> inBatch_;  ///< those with a message in this batch
+    EndpointListTable endpointLists_;
+    std::string line_;  ///< the one that was read last
+    std::size_t lineNumber_ = 0;
+    std::size_t batchCount_ = 0;
 };
 
 }  // namespace wingproxy::wire
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,23 +1,38 @@
-// Speaks the simulator's wire on standard input and output (see docs/design.md, "The adapter").
+/// \file
+/// A program that serves the simulator's wire on standard input and output (see docs/design.md, "The
+/// adapter"). Exit codes: 0 at the end of the input, 1 if the output is closed, 2 on malformed input.
 #include <cstdio>
 #include <iostream>
 
 #include "instances.h"
 
+namespace {
+
+constexpr int kExitEndOfInput = 0;
+constexpr int kExitOutputClosed = 1;
+constexpr int kExitMalformedInput = 2;
+
+int serve(std::istream& in, std::ostream& out) {
+    wingproxy::wire::Instances instances;
+    std::string response;
+    while (instances.serveBatch(in, response)) {
+        out.write(response.data(), static_cast<std::streamsize>(response.size()));
+        out.flush();
+        if (!out) return kExitOutputClosed;
+        response.clear();
+    }
+    return kExitEndOfInput;
+}
+
+}  // namespace
+
 int main() {
     std::ios::sync_with_stdio(false);
     std::cin.tie(nullptr);
-    wingproxy::wire::Instances instances;
-    std::string reply;
     try {
-        while (reply.clear(), instances.serveBatch(std::cin, reply)) {
-            std::cout.write(reply.data(), static_cast<std::streamsize>(reply.size()));
-            std::cout.flush();
-            if (!std::cout) return 1;
-        }
+        return serve(std::cin, std::cout);
     } catch (const std::exception& error) {
         std::cerr << "wingproxy_wirehost: " << error.what() << '\n';
-        return 2;
+        return kExitMalformedInput;
     }
-    return 0;
 }
