--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -1,25 +1,43 @@
 #include "log/log.h"
 
+#include <algorithm>
+#include <array>
+#include <iterator>
 #include <string>
 
 namespace wingproxy::log {
+namespace {
 
-void Logger::write(Level level, std::string_view text) {
-    static constexpr std::string_view kNames[] = {"debug", "info", "warn", "error"};
-    std::string line = fmt::format("{}: ", kNames[static_cast<int>(level)]);
-    // What came from outside may hold line breaks: one call stays one line.
-    for (const char c : text)
-        line += static_cast<unsigned char>(c) < 0x20 ? ' ' : c;
+struct LevelName {
+    Level level;
+    std::string_view name;
+};
+constexpr std::array<LevelName, 4> kLevelNames{
+    {{Level::Debug, "debug"}, {Level::Info, "info"}, {Level::Warn, "warn"}, {Level::Error, "error"}}};
+
+std::string_view nameOf(Level level) {
+    return std::find_if(kLevelNames.begin(), kLevelNames.end(),
+                        [level](const LevelName& entry) { return entry.level == level; })
+        ->name;
+}
+
+bool isControlCharacter(char c) { return static_cast<unsigned char>(c) < 0x20; }
+
+}  // namespace
+
+void Logger::writeLine(Level level, std::string_view message) {
+    std::string line = fmt::format("{}: ", nameOf(level));
+    // Text from clients and nodes may contain line breaks, which would look like messages of this program.
+    std::replace_copy_if(message.begin(), message.end(), std::back_inserter(line), isControlCharacter, ' ');
     line += '\n';
-    std::fwrite(line.data(), 1, line.size(), to_);
-    std::fflush(to_);
+    std::fwrite(line.data(), 1, line.size(), stream_);
+    std::fflush(stream_);
 }
 
 Level levelFrom(std::string_view name) {
-    if (name == "debug") return Level::Debug;
-    if (name == "warn") return Level::Warn;
-    if (name == "error") return Level::Error;
-    return Level::Info;
+    const auto* const found = std::find_if(kLevelNames.begin(), kLevelNames.end(),
+                                           [name](const LevelName& entry) { return entry.name == name; });
+    return found == kLevelNames.end() ? Level::Info : found->level;
 }
 
 }  // namespace wingproxy::log
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,45 +1,58 @@
-// One small logger: a level, one line a call, to standard error. Never called once per request.
+/// \file
+/// The program's log: lines with a level on standard error, which the platform collects.
 #pragma once
 
 #include <fmt/format.h>
 
 #include <cstdio>
 #include <string_view>
+#include <utility>
 
 namespace wingproxy::log {
 
 enum class Level { Debug, Info, Warn, Error };
 
+/// Writes the messages of one level and above; each is one line, "LEVEL: message".
+///
+/// Each line is flushed, so a message for each request would cost a system call each: not for those.
+/// Format strings are checked when the caller is compiled.
 class Logger {
 public:
-    explicit Logger(Level least = Level::Info, std::FILE* to = stderr) : least_(least), to_(to) {}
+    /// \param threshold the lowest level that is written
+    /// \param stream must outlive the logger
+    explicit Logger(Level threshold = Level::Info, std::FILE* stream = stderr)
+        : threshold_(threshold), stream_(stream) {}
+
+    template <typename... Args>
+    void log(Level level, fmt::format_string<Args...> format, Args&&... args) {
+        if (level >= threshold_) writeLine(level, fmt::vformat(format, fmt::make_format_args(args...)));
+    }
     template <typename... Args>
-    void debug(fmt::format_string<Args...> f, Args&&... a) {
-        line(Level::Debug, f, a...);
+    void debug(fmt::format_string<Args...> format, Args&&... args) {
+        log(Level::Debug, format, std::forward<Args>(args)...);
     }
     template <typename... Args>
-    void info(fmt::format_string<Args...> f, Args&&... a) {
-        line(Level::Info, f, a...);
+    void info(fmt::format_string<Args...> format, Args&&... args) {
+        log(Level::Info, format, std::forward<Args>(args)...);
     }
     template <typename... Args>
-    void warn(fmt::format_string<Args...> f, Args&&... a) {
-        line(Level::Warn, f, a...);
+    void warn(fmt::format_string<Args...> format, Args&&... args) {
+        log(Level::Warn, format, std::forward<Args>(args)...);
     }
     template <typename... Args>
-    void error(fmt::format_string<Args...> f, Args&&... a) {
-        line(Level::Error, f, a...);
+    void error(fmt::format_string<Args...> format, Args&&... args) {
+        log(Level::Error, format, std::forward<Args>(args)...);
     }
 
 private:
-    template <typename Format, typename... Args>
-    void line(Level level, const Format& f, Args&... a) {
-        if (level >= least_) write(level, fmt::vformat(f, fmt::make_format_args(a...)));
-    }
-    void write(Level level, std::string_view text);
-    Level least_;
-    std::FILE* to_;
+    void writeLine(Level level, std::string_view message);
+
+    Level threshold_;
+    std::FILE* stream_;
 };
 
-Level levelFrom(std::string_view name);  // "debug", "info", "warn", "error"; anything else is info
+/// The level of this name: "debug", "info", "warn" or "error"; Info for any other text, as a mistyped level
+/// must not keep the program from starting.
+Level levelFrom(std::string_view name);
 
 }  // namespace wingproxy::log
--- /dev/null
+++ b/tests/log/logger_test.cpp
@@ -0,0 +1,56 @@
+// The log: what a line looks like, and which levels are written.
+#include <doctest/doctest.h>
+
+#include <cstdio>
+#include <memory>
+#include <string>
+
+#include "log/log.h"
+
+using namespace wingproxy;
+
+namespace {
+
+using File = std::unique_ptr<std::FILE, int (*)(std::FILE*)>;
+
+/// What `write` logs with this threshold.
+template <typename Function>
+std::string logged(log::Level threshold, Function&& write) {
+    const File file(std::tmpfile(), &std::fclose);
+    REQUIRE(file);
+    log::Logger logger(threshold, file.get());
+    write(logger);
+    std::rewind(file.get());
+    char text[1024];
+    return {text, std::fread(text, 1, sizeof text, file.get())};
+}
+
+}  // namespace
+
+TEST_CASE("log: a line has the level's name and the formatted message") {
+    CHECK(logged(log::Level::Debug, [](log::Logger& logger) {
+              logger.debug("a {}", 1);
+              logger.info("b");
+              logger.warn("c");
+              logger.error("d {}", "e");
+          }) == "debug: a 1\ninfo: b\nwarn: c\nerror: d e\n");
+}
+
+TEST_CASE("log: levels below the threshold are not written") {
+    CHECK(logged(log::Level::Warn, [](log::Logger& logger) {
+              logger.info("a");
+              logger.warn("b");
+          }) == "warn: b\n");
+}
+
+TEST_CASE("log: control characters in a message do not break its line") {
+    CHECK(logged(log::Level::Info, [](log::Logger& logger) { logger.info("a\nb\tc"); }) == "info: a b c\n");
+}
+
+TEST_CASE("log: a level is read by its name, and an unknown one is Info") {
+    CHECK(log::levelFrom("debug") == log::Level::Debug);
+    CHECK(log::levelFrom("info") == log::Level::Info);
+    CHECK(log::levelFrom("warn") == log::Level::Warn);
+    CHECK(log::levelFrom("error") == log::Level::Error);
+    CHECK(log::levelFrom("loud") == log::Level::Info);
+}
