--- a/src/admin/admin_client.h
+++ b/src/admin/admin_client.h
@@ -1,4 +1,5 @@
-// One call to a running front, from outside it. Blocks for as long as a caller waits: not for the loop.
+/// \file
+/// Sends one request to the operators' interface of a running front, from another process.
 #pragma once
 
 #include <chrono>
@@ -6,24 +7,20 @@
 #include <string>
 
 #include "admin/admin_request.h"
-#include "config/config.h"
+#include "config/endpoint.h"
 
 namespace wingproxy::admin {
 
-// Every call is answered within a second, however busy the front; this is a little more.
-constexpr std::chrono::milliseconds kAskFor{1'500};
+/// A front responds within 1 s however busy it is; the rest is for the connection.
+inline constexpr std::chrono::milliseconds kResponseTimeout{1'500};
 
 struct AdminResult {
-    std::optional<AdminResponse> reply;  // none: the front could not be reached, or did not answer in time
-    std::string why;                     // in that case
+    std::optional<AdminResponse> reply;  ///< empty: no connection, no HTTP, or no response in time
+    std::string why;                     ///< the error in that case
 };
-AdminResult sendAdminRequest(const config::Endpoint& front, const AdminRequest& call,
-                             std::chrono::milliseconds wait = kAskFor);
 
-// The request line and body of a call: the other direction of readCall.
-struct HttpRequestParts {
-    std::string method, target, body;
-};
-HttpRequestParts encodeAdminRequest(const AdminRequest& call);
+/// Sends a request and waits for the response. It blocks, so it is not for a thread with an event loop.
+AdminResult sendAdminRequest(const config::Endpoint& front, const AdminRequest& request,
+                             std::chrono::milliseconds timeout = kResponseTimeout);
 
 }  // namespace wingproxy::admin
--- a/src/admin/admin_request.cpp
+++ b/src/admin/admin_request.cpp
@@ -3,11 +3,35 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <array>
+#include <cstdint>
 #include <nlohmann/json.hpp>
 
 namespace wingproxy::admin {
 namespace {
 
+using Kind = AdminRequest::Kind;
+
+/// How the HTTP interface names a kind of request.
+struct Route {
+    Kind kind;
+    std::string_view method;
+    std::string_view path;
+};
+constexpr std::array<Route, 4> kRoutes{{{Kind::CheckReadiness, "GET", "/_ready"},
+                                        {Kind::ReadMetrics, "GET", "/_vars"},
+                                        {Kind::DrainNode, "POST", "/_chunk-servers/detach"},
+                                        {Kind::UndrainNode, "POST", "/_chunk-servers/attach"}}};
+
+/// The keys of `/_vars` whose values are counted by class, and the core's counters that they show.
+struct ClassCounterKey {
+    const char* key;
+    std::uint64_t core::Answers::*counter;
+};
+constexpr std::array<ClassCounterKey, 3> kClassCounterKeys{{{"fulfilled", &core::Answers::delivered},
+                                                            {"throttled", &core::Answers::refused},
+                                                            {"faulted", &core::Answers::failed}}};
+
 std::string_view trim(std::string_view text) {
     constexpr std::string_view kBlank = " \t\r\n";
     const auto first = text.find_first_not_of(kBlank);
@@ -15,67 +39,74 @@
     return text.substr(first, text.find_last_not_of(kBlank) - first + 1);
 }
 
-struct Path {
-    std::string_view path, method;
-    AdminRequest::Kind kind;
-};
-constexpr Path kPaths[] = {{"/_ready", "GET", AdminRequest::Kind::Ready},
-                           {"/_vars", "GET", AdminRequest::Kind::Vars},
-                           {"/_chunk-servers/detach", "POST", AdminRequest::Kind::Detach},
-                           {"/_chunk-servers/attach", "POST", AdminRequest::Kind::Attach}};
+AdminResponse checkReadiness(const AdminHandler& handler) {
+    if (handler.isReady()) return {200, "ready\n", ""};
+    return {503, "not ready\n", ""};
+}
+
+AdminResponse readMetrics(const AdminHandler& handler) {
+    return {200, renderMetrics(handler.metrics()), "Content-Type: application/json\r\n"};
+}
+
+AdminResponse setAdminDrain(const std::string& nodeId, bool drained, const AdminHandler& handler) {
+    if (!handler.setAdminDrain(nodeId, drained))
+        return {404, fmt::format("{}: no chunk server of this id was ever listed\n", nodeId), ""};
+    return {200, fmt::format("{}: {}\n", nodeId, drained ? "out until it is attached" : "back"), ""};
+}
 
 }  // namespace
 
+bool namesNode(AdminRequest::Kind kind) { return kind == Kind::DrainNode || kind == Kind::UndrainNode; }
+
+HttpRequestParts encodeAdminRequest(const AdminRequest& request) {
+    const auto* const route = std::find_if(kRoutes.begin(), kRoutes.end(),
+                                           [&](const Route& known) { return known.kind == request.kind; });
+    return {std::string(route->method), std::string(route->path), request.nodeId};
+}
+
 std::variant<AdminRequest, AdminResponse> parseAdminRequest(std::string_view method, std::string_view target,
                                                             std::string_view body) {
     const auto path = target.substr(0, target.find('?'));
-    const auto known =
-        std::find_if(std::begin(kPaths), std::end(kPaths), [&](const Path& p) { return p.path == path; });
-    if (known == std::end(kPaths)) return AdminResponse{404, fmt::format("{}: no such call\n", path), ""};
-    if (known->method != method)
-        return AdminResponse{405, fmt::format("{}: {} only\n", path, known->method),
-                             fmt::format("Allow: {}\r\n", known->method)};
-    const bool ofNode =
-        known->kind == AdminRequest::Kind::Detach || known->kind == AdminRequest::Kind::Attach;
-    const auto node = trim(body);
-    if (ofNode && node.empty()) return AdminResponse{400, "the body names no chunk server\n", ""};
-    if (body.size() > kMostBody) return AdminResponse{413, "the body is too long\n", ""};
-    return AdminRequest{known->kind, ofNode ? std::string(node) : std::string()};
+    const auto* const route =
+        std::find_if(kRoutes.begin(), kRoutes.end(), [&](const Route& known) { return known.path == path; });
+    if (route == kRoutes.end()) return AdminResponse{404, fmt::format("{}: no such call\n", path), ""};
+    if (route->method != method)
+        return AdminResponse{405, fmt::format("{}: {} only\n", path, route->method),
+                             fmt::format("Allow: {}\r\n", route->method)};
+    const auto nodeId = namesNode(route->kind) ? trim(body) : std::string_view();
+    if (namesNode(route->kind) && nodeId.empty())
+        return AdminResponse{400, "the body names no chunk server\n", ""};
+    if (body.size() > kMaxBodyBytes) return AdminResponse{413, "the body is too long\n", ""};
+    return AdminRequest{route->kind, std::string(nodeId)};
 }
 
-std::string renderVars(const AdminMetrics& metrics) {
-    nlohmann::json all;
-    const std::pair<const char*, std::uint64_t core::Answers::*> kinds[] = {
-        {"fulfilled", &core::Answers::delivered},
-        {"throttled", &core::Answers::refused},
-        {"faulted", &core::Answers::failed}};
-    for (const auto& [name, kind] : kinds) {
-        auto& byClass = all[name] = nlohmann::json::object();
-        for (std::size_t i = 0; i < metrics.classes.size() && i < metrics.counters.byClass.size(); ++i)
-            byClass[metrics.classes[i]] = metrics.counters.byClass[i].*kind;
+std::string renderMetrics(const AdminMetrics& metrics) {
+    nlohmann::json vars;
+    const auto& counters = metrics.counters;
+    for (const auto& [key, counter] : kClassCounterKeys) {
+        auto& byClass = vars[key] = nlohmann::json::object();
+        for (std::size_t i = 0; i < metrics.classes.size() && i < counters.byClass.size(); ++i)
+            byClass[metrics.classes[i]] = counters.byClass[i].*counter;
     }
-    all["relayed"] = metrics.counters.written;
-    all["open_requests"] = metrics.open;
-    all["registry_entries"] = metrics.listed;
-    all["out_of_rotation"] = metrics.avoided;
-    return all.dump() + "\n";
+    vars["relayed"] = counters.written;
+    vars["open_requests"] = metrics.openRequests;
+    vars["registry_entries"] = metrics.listedNodes;
+    vars["out_of_rotation"] = metrics.avoidedNodes;
+    return vars.dump() + "\n";
 }
 
-AdminResponse handleAdminRequest(const AdminRequest& call, const AdminHandler& handler) {
-    switch (call.kind) {
-        case AdminRequest::Kind::Ready:
-            return handler.ready() ? AdminResponse{200, "ready\n", ""}
-                                   : AdminResponse{503, "not ready\n", ""};
-        case AdminRequest::Kind::Vars:
-            return {200, renderVars(handler.metrics()), "Content-Type: application/json\r\n"};
-        case AdminRequest::Kind::Detach:
-        case AdminRequest::Kind::Attach:
-            break;
+AdminResponse handleAdminRequest(const AdminRequest& request, const AdminHandler& handler) {
+    switch (request.kind) {
+        case Kind::CheckReadiness:
+            return checkReadiness(handler);
+        case Kind::ReadMetrics:
+            return readMetrics(handler);
+        case Kind::DrainNode:
+            return setAdminDrain(request.nodeId, true, handler);
+        case Kind::UndrainNode:
+            return setAdminDrain(request.nodeId, false, handler);
     }
-    const bool out = call.kind == AdminRequest::Kind::Detach;
-    if (!handler.setDrained(call.node, out))
-        return {404, fmt::format("{}: no chunk server of this id was ever listed\n", call.node), ""};
-    return {200, fmt::format("{}: {}\n", call.node, out ? "out until it is attached" : "back"), ""};
+    return {500, "", ""};
 }
 
 }  // namespace wingproxy::admin
--- a/src/admin/admin_request.h
+++ b/src/admin/admin_request.h
@@ -1,4 +1,6 @@
-// What an operator's call means and what it is answered. No sockets and no clock.
+/// \file
+/// The operators' interface without its sockets: which request an HTTP message is, and what the response
+/// says.
 #pragma once
 
 #include <cstddef>
@@ -12,36 +14,69 @@
 
 namespace wingproxy::admin {
 
-// A chunk server's id is not longer than this; a longer body is no call.
-constexpr std::size_t kMostBody = 256;
+/// The longest accepted body. Bodies are node ids, which are shorter.
+inline constexpr std::size_t kMaxBodyBytes = 256;
 
 struct AdminRequest {
-    enum class Kind { Ready, Vars, Detach, Attach } kind = Kind::Ready;
-    std::string node;  // of Detach and Attach
+    enum class Kind {
+        CheckReadiness,  ///< GET /_ready
+        ReadMetrics,     ///< GET /_vars
+        DrainNode,       ///< POST /_chunk-servers/detach
+        UndrainNode,     ///< POST /_chunk-servers/attach
+    };
+    Kind kind = Kind::CheckReadiness;
+    std::string nodeId;  ///< of DrainNode and UndrainNode; otherwise empty
 };
+
+/// Whether requests of this kind concern one node.
+bool namesNode(AdminRequest::Kind kind);
+
+/// An HTTP response.
 struct AdminResponse {
     int status = 200;
-    std::string body, fields;  // fields: whole header lines
+    std::string body;
+    std::string headerLines;  ///< complete lines, each with its line break, beside the usual ones
+};
+
+/// The parts of an HTTP request.
+struct HttpRequestParts {
+    std::string method;
+    std::string target;
+    std::string body;
 };
 
-// A call, or why it is none: 400 without a node, 404 for a path that does not exist, 405 for another method.
+/// The HTTP request that `parseAdminRequest` reads as `request`.
+HttpRequestParts encodeAdminRequest(const AdminRequest& request);
+
+/// Reads an HTTP request.
+/// \return the request, or the response that rejects it: 400 without a node id, 404 for an unknown path, 405
+/// for
+///         another method, 413 for a body beyond kMaxBodyBytes
 std::variant<AdminRequest, AdminResponse> parseAdminRequest(std::string_view method, std::string_view target,
                                                             std::string_view body);
 
-// What the metrics are made of, all of it the reducer's own.
+/// What `/_vars` shows, as it is at one moment.
 struct AdminMetrics {
-    std::vector<std::string> classes;
+    std::vector<std::string> classes;  ///< names, by class index
     core::Counters counters;
-    std::size_t open = 0, listed = 0, avoided = 0;
+    std::size_t openRequests = 0;
+    std::size_t listedNodes = 0;
+    std::size_t avoidedNodes = 0;  ///< of the listed ones: drained, draining or ejected
 };
-std::string renderVars(const AdminMetrics& metrics);  // as one JSON object
 
-// What the program has to say to a call.
+/// The metrics as one JSON object and a line break.
+std::string renderMetrics(const AdminMetrics& metrics);
+
+/// The program's side of the interface. All functions must be set.
 struct AdminHandler {
-    std::function<bool()> ready;
+    /// Whether this process accepts requests.
+    std::function<bool()> isReady;
     std::function<AdminMetrics()> metrics;
-    std::function<bool(const std::string& node, bool out)> setDrained;  // false: that id was never listed
+    /// Sets or ends the administrative drain of a node; false: no endpoint list ever had that node.
+    std::function<bool(const std::string& nodeId, bool drained)> setAdminDrain;
 };
-AdminResponse handleAdminRequest(const AdminRequest& call, const AdminHandler& handler);
+
+/// Executes a request.
+AdminResponse handleAdminRequest(const AdminRequest& request, const AdminHandler& handler);
 
 }  // namespace wingproxy::admin
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -4,6 +4,10 @@
 
 #include <boost/beast/http/parser.hpp>
 #include <boost/beast/http/string_body.hpp>
+#include <chrono>
+#include <string>
+#include <string_view>
+#include <utility>
 
 #include "net/http_step.h"
 
@@ -11,80 +15,89 @@
 namespace {
 
 namespace http = boost::beast::http;
-// A caller waits 1 s; one that has not said its call by then and much longer says none.
-constexpr std::chrono::seconds kWholeBy{8}, kTaken{2};
-
-std::string text(const AdminResponse& reply) {
-    const auto reason = http::obsolete_reason(http::int_to_status(unsigned(reply.status)));
-    return fmt::format("HTTP/1.1 {} {}\r\n{}Content-Length: {}\r\nConnection: close\r\n\r\n{}", reply.status,
-                       std::string_view(reason.data(), reason.size()), reply.fields, reply.body.size(),
-                       reply.body);
+using Clock = std::chrono::steady_clock;
+
+/// Clients give up after about 1 s (kResponseTimeout): a connection without a request by then is stuck.
+constexpr std::chrono::seconds kRequestTimeout{8};
+/// From the response until its client has taken it and closed.
+constexpr std::chrono::seconds kCloseTimeout{2};
+
+std::string_view toView(boost::beast::string_view text) { return {text.data(), text.size()}; }
+
+std::string encodeResponse(const AdminResponse& response) {
+    const auto status = http::int_to_status(static_cast<unsigned>(response.status));
+    return fmt::format("HTTP/1.1 {} {}\r\n{}Content-Length: {}\r\nConnection: close\r\n\r\n{}",
+                       response.status, toView(http::obsolete_reason(status)), response.headerLines,
+                       response.body.size(), response.body);
+}
+
+int statusOf(const boost::system::error_code& parseError) {
+    if (parseError == http::error::header_limit) return 431;
+    if (parseError == http::error::body_limit) return 413;
+    return 400;
 }
 
 }  // namespace
 
-class AdminServer::Caller : public net::Session {
+class AdminServer::Connection : public net::Session {
 public:
-    Caller(AdminServer& server, net::SessionManager& sessionManager, boost::asio::ip::tcp::socket socket)
-        : Session(sessionManager, std::move(socket)),
-          server_(server),
-          since_(std::chrono::steady_clock::now()) {
+    Connection(AdminServer& server, net::SessionManager& sessionManager, boost::asio::ip::tcp::socket socket)
+        : Session(sessionManager, std::move(socket)), server_(server) {
         parser_.header_limit(net::headLimit(in_));
-        parser_.body_limit(kMostBody);
+        parser_.body_limit(kMaxBodyBytes);
     }
-    bool idle() const override { return !answered_; }
+
+    bool idle() const override { return !responded_; }
+
     void sweep() override {
-        const auto age = std::chrono::steady_clock::now() - since_;
-        if (!open() || age < (answered_ ? kTaken : kWholeBy)) return;
-        if (!answered_) ++server_.counters_.hung;
+        const auto age = Clock::now() - phaseStart_;
+        if (!open() || age < (responded_ ? kCloseTimeout : kRequestTimeout)) return;
+        if (!responded_) ++server_.counters_.hung;
         close();
     }
 
 protected:
     void received() override {
-        if (answered_) return in_.clear();
+        if (responded_) return in_.clear();
         boost::system::error_code error;
         while (in_.size() > 0 && !parser_.is_done() && net::step(parser_, in_, error)) {}
-        if (error) {
-            const bool head = error == http::error::header_limit, body = error == http::error::body_limit;
-            ++server_.counters_.malformed;
-            return encodeAdminRequest({head   ? 431
-                                       : body ? 413
-                                              : 400,
-                                       fmt::format("{}\n", error.message()), ""});
-        }
-        if (!parser_.is_done()) return;
-        const auto& m = parser_.get();
-        const auto view = [](auto part) { return std::string_view(part.data(), part.size()); };
-        auto read = parseAdminRequest(view(m.method_string()), view(m.target()), m.body());
-        if (const auto* wrong = std::get_if<AdminResponse>(&read)) {
-            ++server_.counters_.malformed;
-            return encodeAdminRequest(*wrong);
-        }
-        const auto reply = handleAdminRequest(std::get<AdminRequest>(read), server_.handler_);
-        ++(reply.status == 200 ? server_.counters_.yes : server_.counters_.no);
-        encodeAdminRequest(reply);
+        if (error) return reject({statusOf(error), fmt::format("{}\n", error.message()), ""});
+        if (parser_.is_done()) handle(parser_.get());
     }
+
     void sent() override { linger(); }
 
 private:
-    void encodeAdminRequest(const AdminResponse& reply) {
-        answered_ = true;
-        since_ = std::chrono::steady_clock::now();
-        send(text(reply));
+    void handle(const http::request<http::string_body>& message) {
+        const auto parsed =
+            parseAdminRequest(toView(message.method_string()), toView(message.target()), message.body());
+        if (const auto* rejection = std::get_if<AdminResponse>(&parsed)) return reject(*rejection);
+        const auto response = handleAdminRequest(std::get<AdminRequest>(parsed), server_.handler_);
+        ++(response.status == 200 ? server_.counters_.yes : server_.counters_.no);
+        respond(response);
+    }
+    void reject(const AdminResponse& response) {
+        ++server_.counters_.malformed;
+        respond(response);
     }
+    void respond(const AdminResponse& response) {
+        responded_ = true;
+        phaseStart_ = Clock::now();
+        send(encodeResponse(response));
+    }
+
     AdminServer& server_;
     http::request_parser<http::string_body> parser_;
-    std::chrono::steady_clock::time_point since_;  // its connecting, then its answer
-    bool answered_ = false;
+    Clock::time_point phaseStart_ = Clock::now();  // of waiting for the request, then for the client's close
+    bool responded_ = false;
 };
 
-AdminServer::AdminServer(boost::asio::io_context& io, const config::Endpoint& at, AdminHandler handler)
+AdminServer::AdminServer(boost::asio::io_context& io, const config::Endpoint& address, AdminHandler handler)
     : handler_(std::move(handler)),
       sessionManager_(
-          io, at, kMostCallers,
+          io, address, kMostCallers,
           [this](net::SessionManager& sessionManager, boost::asio::ip::tcp::socket socket) {
-              return std::make_shared<Caller>(*this, sessionManager, std::move(socket));
+              return std::make_shared<Connection>(*this, sessionManager, std::move(socket));
           },
           net::kLeastRing) {}
 
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,6 +1,9 @@
-// Where operators call: HTTP/1.1, one call to a connection.
+/// \file
+/// The HTTP/1.1 server of the operators' interface. It owns its listener and connections, reads one request
+/// from each connection and closes it after the response.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <memory>
 
@@ -9,21 +12,30 @@
 
 namespace wingproxy::admin {
 
-// So many connections at once, in descriptors of their own. Where more come, the oldest that asked nothing
-// yet makes room, so that callers that hang keep no other from being heard.
-constexpr std::size_t kMostCallers = 24;
+/// Connections at once. Their descriptors are reserved, so clients cannot use them up. Beyond this number the
+/// oldest connection without a complete request is closed, so that stuck operators do not lock out others.
+inline constexpr std::size_t kMostCallers = 24;
 
 class AdminServer {
 public:
+    /// How requests ended.
     struct Counters {
-        std::uint64_t yes = 0, no = 0, malformed = 0, hung = 0;  // hung: closed without a whole call
+        std::uint64_t yes = 0;        ///< executed
+        std::uint64_t no = 0;         ///< understood, but the response is an error
+        std::uint64_t malformed = 0;  ///< not HTTP, or not a request of the interface
+        std::uint64_t hung = 0;       ///< no complete request in time
     };
-    AdminServer(boost::asio::io_context& io, const config::Endpoint& at, AdminHandler handler);
+
+    /// Listens from the session manager's `open()` on.
+    /// \param address port 0: one that the system chooses, which `sessionManager().address()` has
+    AdminServer(boost::asio::io_context& io, const config::Endpoint& address, AdminHandler handler);
+
     net::SessionManager& sessionManager() { return sessionManager_; }
     const Counters& counters() const { return counters_; }
 
 private:
-    class Caller;
+    class Connection;
+
     AdminHandler handler_;
     Counters counters_;
     net::SessionManager sessionManager_;
--- a/src/cli/command.h
+++ b/src/cli/command.h
@@ -1,5 +1,6 @@
-// The command line: what the program is asked to do. No I/O but what CLI11 itself writes for --help and
-// errors.
+/// \file
+/// The command line: which command it holds, and where its files are. It reads no file and calls no front;
+/// CLI11 itself prints the texts of --help, --version and usage errors.
 #pragma once
 
 #include <string>
@@ -9,24 +10,32 @@
 
 namespace wingproxy::cli {
 
-// Exit codes. A front that runs ends with kDone after SIGTERM.
-constexpr int kExitOk = 0, kExitDenied = 1, kExitUsage = 2, kExitUnreachable = 3;
+/// Exit codes of the program, which scripts rely on.
+inline constexpr int kExitOk = 0;           ///< done; a front that served ends with it after SIGTERM
+inline constexpr int kExitDenied = 1;       ///< a running front rejected the request
+inline constexpr int kExitUsage = 2;        ///< wrong command line or configuration
+inline constexpr int kExitUnreachable = 3;  ///< no front responded
 
-// Where the files are. Empty: not told, neither by an option nor by the environment.
+/// What the options say, with the environment's values where an option is missing. Empty: neither has it.
 struct Files {
     std::string config, operators, adminListen, descriptor, logLevel;
 };
-struct RunCommand {  // no command: the front itself, as the platform starts it
+
+/// No command: serve, as the platform starts the program.
+struct RunCommand {
     Files files;
 };
-struct CheckCommand {  // both files, nothing is started
+/// Read both files and start nothing.
+struct CheckCommand {
     Files files;
 };
-struct AdminCommand {  // a call to a running front
+/// A request to a running front.
+struct AdminCommand {
     Files files;
     admin::AdminRequest call;
 };
-struct ExitCommand {  // --help, --version or a wrong line: it has been said
+/// Nothing more to do: --help or --version, or a usage error that is printed already.
+struct ExitCommand {
     int code = kExitOk;
 };
 using Command = std::variant<RunCommand, CheckCommand, AdminCommand, ExitCommand>;
--- /dev/null
+++ b/tests/admin/admin_client_test.cpp
@@ -0,0 +1,43 @@
+// Requests to a front from another process: what happens where no front responds.
+#include "admin/admin_client.h"
+
+#include <doctest/doctest.h>
+
+#include <boost/asio.hpp>
+#include <thread>
+
+using namespace wingproxy;
+namespace asio = boost::asio;
+using asio::ip::tcp;
+
+namespace {
+
+/// A listener to which the system lets clients connect; what they get is up to the test.
+struct Listener {
+    asio::io_context io;
+    tcp::acceptor acceptor{io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)};
+    config::Endpoint address() const { return {"127.0.0.1", acceptor.local_endpoint().port()}; }
+};
+
+}  // namespace
+
+TEST_CASE("admin client: a server that never responds ends the request at its timeout") {
+    const Listener silent;
+    const auto result = admin::sendAdminRequest(
+        silent.address(), {admin::AdminRequest::Kind::CheckReadiness, ""}, std::chrono::milliseconds(50));
+    CHECK(!result.reply);
+    CHECK(result.why == "no answer in 50 ms");
+}
+
+TEST_CASE("admin client: a response that is not HTTP is an error of reading") {
+    Listener listener;
+    std::thread server([&] {
+        tcp::socket socket = listener.acceptor.accept();
+        asio::write(socket, asio::buffer(std::string("what?\r\n\r\n")));
+    });
+    const auto result =
+        admin::sendAdminRequest(listener.address(), {admin::AdminRequest::Kind::ReadMetrics, ""});
+    server.join();
+    CHECK(!result.reply);
+    CHECK(result.why.starts_with("read: "));
+}
--- /dev/null
+++ b/tests/admin/admin_server_test.cpp
@@ -0,0 +1,231 @@
+// The operators' interface of a front: requests and responses on its connections, the metrics against what
+// clients and nodes saw, and the administrative drain.
+#include "admin/admin_server.h"
+
+#include <deque>
+#include <nlohmann/json.hpp>
+#include <sstream>
+
+#include "support/process_support.h"
+
+using namespace wingproxy;
+using namespace wingproxy::test;
+
+namespace {
+
+/// An admin server for the rig's front, wired as main.cpp does it.
+struct AdminFixture {
+    explicit AdminFixture(Rig& rig) : rig(rig), server(rig.io, {"127.0.0.1", 0}, handler()) {}
+    ~AdminFixture() {
+        server.sessionManager().closeListener();
+        server.sessionManager().stop();
+    }
+    admin::AdminHandler handler() {
+        return {[this] { return ready; }, [this] { return metrics(); },
+                [this](const std::string& nodeId, bool drained) {
+                    return rig.engine.setAdminDrain(nodeId, drained);
+                }};
+    }
+    admin::AdminMetrics metrics() const {
+        admin::AdminMetrics metrics{{},
+                                    rig.engine.counters(),
+                                    rig.engine.openRequests(),
+                                    rig.engine.nodeCount(),
+                                    rig.engine.avoidedNodes()};
+        for (const auto& info : rig.engine.settings().classes)
+            metrics.classes.push_back(info.name);
+        return metrics;
+    }
+    /// The complete response to one HTTP request.
+    std::string send(const std::string& request) {
+        const auto connection = rig.connect(server.sessionManager().address());
+        connection->say(request);
+        rig.until([&] { return connection->ended; }, request.c_str());
+        return connection->got;
+    }
+    std::string post(const std::string& path, const std::string& body) {
+        return send(fmt::format("POST {} HTTP/1.1\r\nHost: f\r\nContent-Length: {}\r\n\r\n{}", path,
+                                body.size(), body));
+    }
+    nlohmann::json vars() {
+        const auto response = send("GET /_vars HTTP/1.1\r\nHost: f\r\n\r\n");
+        return nlohmann::json::parse(response.substr(response.find("\r\n\r\n") + 4));
+    }
+
+    Rig& rig;
+    bool ready = true;
+    admin::AdminServer server;
+};
+
+bool hasStatus(const std::string& response, int status) {
+    return response.starts_with(fmt::format("HTTP/1.1 {} ", status));
+}
+
+}  // namespace
+
+TEST_CASE("admin server: each request gets its response, and anything else a 4xx") {
+    const struct {
+        std::string request;
+        int status;
+    } cases[] = {
+        {"GET /_ready HTTP/1.1\r\nHost: f\r\n\r\n", 200},
+        {"GET /_ready HTTP/1.0\r\n\r\n", 200},
+        {"GET /_ready?verbose HTTP/1.1\r\n\r\n", 200},
+        {"GET /_vars HTTP/1.1\r\n\r\n", 200},
+        {"POST /_chunk-servers/detach HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-0", 200},
+        {"POST /_chunk-servers/detach HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ns-0\r\n0\r\n\r\n",
+         200},
+        {"POST /_chunk-servers/attach HTTP/1.1\r\nContent-Length: 5\r\n\r\ns-0\r\n", 200},
+        {"POST /_chunk-servers/attach HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-9", 404},
+        {"POST /_chunk-servers/detach HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-9", 404},
+        {"POST /_chunk-servers/detach HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 400},
+        {"POST /_chunk-servers/detach HTTP/1.1\r\nContent-Length: 300\r\n\r\n" + std::string(300, 'a'), 413},
+        {"GET /_chunk-servers/detach HTTP/1.1\r\n\r\n", 405},
+        {"POST /_ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405},
+        {"GET / HTTP/1.1\r\n\r\n", 404},
+        {"GET /_ready HTTP/1.1\r\nX: " + std::string(9000, 'a') + "\r\n\r\n", 431},
+        {"hello\r\n\r\n", 400},
+    };
+    Rig rig;
+    AdminFixture admin(rig);
+    for (const auto& c : cases) {
+        const auto response = admin.send(c.request);
+        CHECK_MESSAGE(hasStatus(response, c.status), c.request.substr(0, 60), " -> ", response);
+    }
+}
+
+TEST_CASE("admin server: a front that no longer accepts requests is not ready") {
+    Rig rig;
+    AdminFixture admin(rig);
+    admin.ready = false;
+    CHECK(hasStatus(admin.send("GET /_ready HTTP/1.1\r\n\r\n"), 503));
+}
+
+TEST_CASE("admin server: requests are counted by how they ended") {
+    Rig rig;
+    AdminFixture admin(rig);
+    admin.send("GET /_ready HTTP/1.1\r\n\r\n");
+    admin.post("/_chunk-servers/detach", "s-9");
+    admin.send("GET / HTTP/1.1\r\n\r\n");
+    CHECK(admin.server.counters().yes == 1);
+    CHECK(admin.server.counters().no == 1);
+    CHECK(admin.server.counters().malformed == 1);
+}
+
+TEST_CASE("admin server: connections without a complete request are closed for one that sends its request") {
+    Rig rig;
+    AdminFixture admin(rig);
+    std::vector<WirePtr> stuck;
+    for (std::size_t i = 0; i < admin::kMostCallers; ++i) {
+        stuck.push_back(rig.connect(admin.server.sessionManager().address()));
+        if (i % 2) stuck.back()->say("POST /_chunk-servers/det");
+    }
+    rig.until([&] { return admin.server.sessionManager().connections() == admin::kMostCallers; });
+    const auto start = std::chrono::steady_clock::now();
+    CHECK(hasStatus(admin.send("GET /_ready HTTP/1.1\r\n\r\n"), 200));
+    CHECK(std::chrono::steady_clock::now() - start < std::chrono::seconds(1));
+}
+
+TEST_CASE("admin metrics: requests are counted by their final answer, attempts when they are written") {
+    Rig rig(baseConfig(), 2);
+    AdminFixture admin(rig);
+    const auto served = rig.client();
+    const auto retried = rig.client();
+    const auto cancelled = rig.client();
+    const auto rejected = rig.client();
+    served->say(Ask{.id = "0000000000000001"}.text());
+    rig.nodeHas("0000000000000001")->say(ok("uno"));
+    rig.until([&] { return served->has("uno"); });
+    retried->say(Ask{.id = "0000000000000002", .kind = "alta"}.text());  // two attempts, one answer
+    const auto firstAttempt = rig.nodeHas("0000000000000002");
+    firstAttempt->drop();
+    firstAttempt->say(status(503, "Srv-Declined: 1\r\n"));
+    rig.nodeHas("0000000000000002")->say(ok("dos"));
+    rig.until([&] { return retried->has("dos"); });
+    cancelled->say(Ask{.id = "0000000000000003"}.text());
+    rig.nodeHas("0000000000000003");
+    CHECK(admin.vars()["open_requests"] == 1);
+    cancelled->close();
+    rig.until([&] { return rig.engine.openRequests() == 0; });
+    // No node has shard 3, so the request is rejected without an attempt.
+    rejected->say(Ask{.id = "0000000000000004", .deadlineMs = 60, .shard = 3}.text());
+    rig.until([&] { return rejected->has("HTTP/1.1 503"); });
+    const auto vars = admin.vars();
+    CHECK(vars["fulfilled"] == nlohmann::json{{"lectura", 1}, {"alta", 1}});
+    CHECK(vars["throttled"] == nlohmann::json{{"lectura", 1}, {"alta", 0}});
+    CHECK(vars["faulted"] == nlohmann::json{{"lectura", 0}, {"alta", 0}});
+    CHECK(vars["relayed"] == 4);
+    CHECK(vars["open_requests"] == 0);
+    CHECK(vars["registry_entries"] == 2);
+    CHECK(vars["out_of_rotation"] == 0);
+}
+
+TEST_CASE(
+    "administrative drain: no new requests until it ends, even if the endpoint list has the node as up") {
+    constexpr Micros kDrainGraceUs = 20'000;
+    auto config = baseConfig();
+    config.settings.drainGraceUs = kDrainGraceUs;
+    Rig rig(std::move(config));
+    AdminFixture admin(rig);
+    const auto before = rig.client();
+    before->say(Ask{.id = "0000000000000001"}.text());
+    const auto inFlight = rig.nodeHas("0000000000000001");
+    CHECK(hasStatus(admin.post("/_chunk-servers/detach", "s-0"), 200));
+    CHECK(hasStatus(admin.post("/_chunk-servers/detach", "s-0"), 200));  // a repetition changes nothing
+    CHECK(admin.vars()["out_of_rotation"] == 1);
+    inFlight->say(ok("uno"));  // requests in flight are completed
+    rig.until([&] { return before->has("uno"); });
+    const auto graceEnd = rig.engine.now() + kDrainGraceUs;  // until then a cell's only node is still used
+    rig.until([&] { return rig.engine.now() > graceEnd; });
+    rig.tellState("s-0", "draining");
+    rig.tellState("s-0", "up");
+    const auto during = rig.client();
+    during->say(Ask{.id = "0000000000000002", .deadlineMs = 200}.text());
+    rig.until([&] { return during->has("HTTP/1.1 503"); });
+    CHECK(hasStatus(admin.post("/_chunk-servers/attach", "s-0"), 200));
+    const auto after = rig.client();
+    after->say(Ask{.id = "0000000000000003"}.text());
+    rig.nodeHas("0000000000000003")->say(ok("tres"));
+    rig.until([&] { return after->has("tres"); });
+    CHECK(admin.vars()["out_of_rotation"] == 0);
+}
+
+// A measurement and not a check, so it is skipped unless asked for: `wingproxy_front_tests --no-skip
+// -tc="measure*"`. docs/bodies.md has its results.
+TEST_CASE("measure: processor time of a connection that sends no request and is closed" * doctest::skip()) {
+    Platform platform(192);
+    platform.rig.node().greets = [](Wire& wire) { wire.reply = ok("x"); };
+    auto& front = platform.startReady();
+    const auto processorSeconds = [&] {  // user and system, of the process
+        std::ifstream in(fmt::format("/proc/{}/stat", front.pid));
+        const std::string all(std::istreambuf_iterator<char>(in), {});
+        std::istringstream fields(all.substr(all.rfind(')') + 2));
+        std::string skipped;
+        for (int i = 0; i < 11; ++i)
+            fields >> skipped;
+        double user = 0;
+        double system = 0;
+        fields >> user >> system;
+        return (user + system) / double(sysconf(_SC_CLK_TCK));
+    };
+    const auto start = std::chrono::steady_clock::now();
+    const auto elapsedSeconds = [&] {
+        return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
+    };
+    const auto before = processorSeconds();
+    constexpr int kConnections = 20'000;
+    constexpr std::size_t kOpen = 400;
+    std::deque<tcp::socket> connections;
+    int served = 0;
+    for (int i = 0; i < kConnections; ++i) {
+        connections.emplace_back(platform.rig.io);
+        connections.back().connect(platform.listening.local_endpoint());
+        if (connections.size() > kOpen) connections.pop_front();
+        if (i % 200 != 199) continue;
+        platform.serve(platform.client(), fmt::format("{:016x}", i));  // a real request in between
+        ++served;
+    }
+    const auto used = processorSeconds() - before;
+    MESSAGE(kConnections, " connections in ", elapsedSeconds(), " s, ", served,
+            " requests served among them: ", used / kConnections * 1e6, " us of processor time each");
+}
--- /dev/null
+++ b/tests/cli/command_test.cpp
@@ -0,0 +1,88 @@
+// The command line without a process: which command it is, and where its values come from.
+#include "cli/command.h"
+
+#include <doctest/doctest.h>
+
+#include <cstdlib>
+#include <map>
+#include <optional>
+#include <vector>
+
+using namespace wingproxy;
+using admin::AdminRequest;
+
+namespace {
+
+/// Clears the environment variables that the command line reads, and restores them at the end.
+class CleanEnvironment {
+public:
+    CleanEnvironment() {
+        for (const char* name :
+             {"PROXY_CONFIG", "WINGPROXY_OPERATOR", "PROXY_MGMT", "WINGPROXY_LOG", "PROXY_FD"}) {
+            const char* const value = std::getenv(name);
+            saved_[name] = value ? std::optional<std::string>(value) : std::nullopt;
+            unsetenv(name);
+        }
+    }
+    ~CleanEnvironment() {
+        for (const auto& [name, value] : saved_) {
+            if (value)
+                setenv(name.c_str(), value->c_str(), 1);
+            else
+                unsetenv(name.c_str());
+        }
+    }
+    CleanEnvironment(const CleanEnvironment&) = delete;
+    CleanEnvironment& operator=(const CleanEnvironment&) = delete;
+
+private:
+    std::map<std::string, std::optional<std::string>> saved_;
+};
+
+cli::Command parse(std::vector<const char*> arguments) {
+    arguments.insert(arguments.begin(), "wingproxy");
+    return cli::parse(static_cast<int>(arguments.size()), arguments.data());
+}
+
+}  // namespace
+
+TEST_CASE("command: without a command the program serves") {
+    const CleanEnvironment environment;
+    const auto command = std::get<cli::RunCommand>(parse({"--config", "a.json", "--log", "warn"}));
+    CHECK(command.files.config == "a.json");
+    CHECK(command.files.logLevel == "warn");
+    CHECK(command.files.operators.empty());
+}
+
+TEST_CASE("command: options may stand before or after the command") {
+    const CleanEnvironment environment;
+    CHECK(std::get<cli::CheckCommand>(parse({"--config", "a.json", "check"})).files.config == "a.json");
+    CHECK(std::get<cli::CheckCommand>(parse({"check", "--config", "a.json"})).files.config == "a.json");
+}
+
+TEST_CASE("command: the environment has the values of missing options") {
+    const CleanEnvironment environment;
+    setenv("PROXY_CONFIG", "environment.json", 1);
+    setenv("WINGPROXY_OPERATOR", "operator.json", 1);
+    setenv("PROXY_MGMT", "127.0.0.1:9", 1);
+    setenv("WINGPROXY_LOG", "debug", 1);
+    setenv("PROXY_FD", "7", 1);
+    const auto command = std::get<cli::RunCommand>(parse({"--config", "option.json"}));
+    CHECK(command.files.config == "option.json");
+    CHECK(command.files.operators == "operator.json");
+    CHECK(command.files.adminListen == "127.0.0.1:9");
+    CHECK(command.files.logLevel == "debug");
+    CHECK(command.files.descriptor == "7");
+}
+
+TEST_CASE("command: each admin command is its request") {
+    const CleanEnvironment environment;
+    const auto requestOf = [](std::vector<const char*> arguments) {
+        return std::get<cli::AdminCommand>(parse(std::move(arguments))).call;
+    };
+    CHECK(requestOf({"ready"}).kind == AdminRequest::Kind::CheckReadiness);
+    CHECK(requestOf({"vars"}).kind == AdminRequest::Kind::ReadMetrics);
+    CHECK(requestOf({"detach", "s-1"}).kind == AdminRequest::Kind::DrainNode);
+    CHECK(requestOf({"detach", "s-1"}).nodeId == "s-1");
+    CHECK(requestOf({"attach", "s-1"}).kind == AdminRequest::Kind::UndrainNode);
+}
