--- a/src/admin/admin_client.cpp
+++ b/src/admin/admin_client.cpp
@@ -20,7 +20,7 @@
 using boost::system::error_code;
 
 /// Enough for the metrics of thousands of classes; whatever sends more is no front.
-constexpr std::uint64_t kMaxResponseBytes = 1024 * 1024;
+constexpr std::uint64_t kMaxResponseBytes = 1024UL * 1024UL;
 constexpr unsigned kHttp11 = 11;
 
 /// One connection with one request and its response. Each step starts the next one.
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -26,11 +26,7 @@
         {"\"generation\":1", "\"generation\":\"x\"", "known.generation"},
         {"{\"name\"", "{name", "config"},
     };
-    for (const auto& c : cases) {
-        const auto error = errorOf([&] { config::parseConfig(replaced(validConfig(), c.from, c.to)); });
-        CHECK_MESSAGE(error.find(c.errorStart) == 0, error);
-        CHECK(error.find('\n') == std::string::npos);
-    }
+    checkErrors(validConfig(), cases, [](const std::string& json) { config::parseConfig(json); });
 }
 
 TEST_CASE("config: the settings reach the policy") {
--- a/tests/config/config_test_support.h
+++ b/tests/config/config_test_support.h
@@ -4,6 +4,7 @@
 
 #include <doctest/doctest.h>
 
+#include <cstddef>
 #include <string>
 
 #include "config/config.h"
@@ -41,4 +42,15 @@
     const char* errorStart;
 };
 
+/// Checks that each change makes `parse` fail on the document, with one line that begins with `errorStart`.
+template <typename Parse, std::size_t Count>
+void checkErrors(const std::string& validDocument, const InvalidChange (&changes)[Count], Parse&& parse) {
+    for (const auto& change : changes) {
+        const auto document = replaced(validDocument, change.from, change.to);
+        const auto error = errorOf([&] { parse(document); });
+        CHECK_MESSAGE(error.find(change.errorStart) == 0, error);
+        CHECK(error.find('\n') == std::string::npos);
+    }
+}
+
 }  // namespace wingproxy::test
--- a/tests/config/endpoint_listing_test.cpp
+++ b/tests/config/endpoint_listing_test.cpp
@@ -48,9 +48,5 @@
 TEST_CASE("endpoint list: an error names the node's invalid field") {
     const InvalidChange cases[] = {{"draining", "asleep", "instances.0.lifecycle"},
                                    {"\"cell\":3", "\"cell\":-3", "instances.0.cell"}};
-    for (const auto& c : cases) {
-        const auto list = listOf(replaced(kEntry, c.from, c.to));
-        const auto error = errorOf([&] { config::parseEndpointListing(list); });
-        CHECK_MESSAGE(error.find(c.errorStart) == 0, error);
-    }
+    checkErrors(listOf(kEntry), cases, [](const std::string& json) { config::parseEndpointListing(json); });
 }
--- a/tests/config/operator_config_test.cpp
+++ b/tests/config/operator_config_test.cpp
@@ -37,11 +37,7 @@
         {"\"name\":\"m\"", "\"name\":\"a/b\"", "rsync.modules.0.name"},
         {"\"agent\":{\"listen\":\"127.0.0.1:0\"}", "\"agent\":{\"listen\":\"x\"}", "agent.listen"},
     };
-    for (const auto& c : cases) {
-        const auto error =
-            errorOf([&] { config::parseOperatorConfig(replaced(kValid, c.from, c.to), settings); });
-        CHECK_MESSAGE(error.find(c.errorStart) == 0, error);
-    }
+    checkErrors(kValid, cases, [&](const std::string& json) { config::parseOperatorConfig(json, settings); });
 }
 
 TEST_CASE("operator config: a pull needs an idempotent class and a push one with idempotency keys") {
@@ -50,11 +46,7 @@
         {"\"pull_class\":\"lectura\"", "\"pull_class\":\"alta\"", "rsync.modules.0.pull_class"},
         {"\"push_class\":\"alta\"", "\"push_class\":\"lectura\"", "rsync.modules.0.push_class"},
     };
-    for (const auto& c : cases) {
-        const auto error =
-            errorOf([&] { config::parseOperatorConfig(replaced(kValid, c.from, c.to), settings); });
-        CHECK_MESSAGE(error.find(c.errorStart) == 0, error);
-    }
+    checkErrors(kValid, cases, [&](const std::string& json) { config::parseOperatorConfig(json, settings); });
 }
 
 TEST_CASE("operator config: two modules of one name are rejected") {
