--- /dev/null
+++ b/src/hot_restart/checked_file.h
@@ -0,0 +1,31 @@
+/// \file
+/// The format that the snapshot and the overrides file share: a header, then the payload. No I/O.
+///
+/// | offset | bytes | field |
+/// | --- | --- | --- |
+/// | 0 | 4 | magic: the kind of file and the version of its payload |
+/// | 4 | 8 | length of the payload, little-endian |
+/// | 12 | 4 | CRC-32 of the payload, little-endian |
+/// | 16 | | payload |
+#pragma once
+
+#include <cstddef>
+#include <string>
+#include <string_view>
+#include <variant>
+
+#include "hot_restart/snapshot_error.h"
+
+namespace wingproxy::hot_restart {
+
+constexpr std::size_t kMagicBytes = 4;
+
+/// \param magic `kMagicBytes` characters
+[[nodiscard]] std::string encodeCheckedFile(std::string_view magic, std::string_view payload);
+
+/// Checks magic, length and CRC, in that order, before anything of the payload may be used.
+/// \return the payload, a view into `bytes`
+[[nodiscard]] std::variant<std::string_view, SnapshotError> decodeCheckedFile(std::string_view magic,
+                                                                              std::string_view bytes);
+
+}  // namespace wingproxy::hot_restart
--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -1,18 +1,28 @@
 #include "hot_restart/hot_restart.h"
 
+#include <cstdio>
+#include <utility>
+
+#include "hot_restart/atomic_file.h"
+
 namespace wingproxy::hot_restart {
 namespace {
 
-// How soon a successor notices that the right to serve is free: well within an aim.
-constexpr std::chrono::milliseconds kLookEvery{5};
-// Thousands of chunk servers out by hand; more is no file of ours.
-constexpr std::size_t kMostOverrides = 1024 * 1024;
+/// How often a successor tries to take over: clients wait in the listener's queue meanwhile, so it is far
+/// below the latency objectives of the classes.
+constexpr std::chrono::milliseconds kTakeOverInterval{5};
+/// Bytes: thousands of drained nodes. A longer file is none of ours.
+constexpr std::size_t kMaxOverridesBytes = std::size_t{1024} * 1024;
+
+// File names are stored data: two versions of the program share them.
+constexpr const char* kSnapshotFile = "snapshot";
+constexpr const char* kOverridesFile = "words";
 
 }  // namespace
 
 HotRestart::HotRestart(boost::asio::io_context& io, std::string folder, std::string front,
                        log::Logger& logger)
-    : again_(io),
+    : retryTimer_(io),
       folder_(std::move(folder)),
       front_(std::move(front)),
       logger_(logger),
@@ -23,96 +33,111 @@
 
 std::string HotRestart::path(const char* name) const { return folder_ + "/wingproxy." + name; }
 
-void HotRestart::begin(std::function<void(std::optional<Snapshot>)> takeOver) {
-    if (serving_.take()) {
+void HotRestart::start(TakeOverHandler takeOver) {
+    if (serving_.tryAcquire()) {
         role_ = Role::First;
         return;
     }
     role_ = Role::Successor;
     takeOver_ = std::move(takeOver);
-    logger_.info("handover: another process serves, this one waits for it");
-    tryAgain();
+    logger_.info("hot restart: another process serves, this one waits as its successor");
+    tryTakeOver();
+}
+
+void HotRestart::stop() {
+    retryTimer_.cancel();
+    takeOver_ = nullptr;
+}
+
+void HotRestart::scheduleTakeOver() {
+    retryTimer_.expires_after(kTakeOverInterval);
+    retryTimer_.async_wait([this](const boost::system::error_code& cancelled) {
+        if (!cancelled) tryTakeOver();
+    });
 }
 
-void HotRestart::tryAgain() {
-    successor_.take();  // where another one waits already, until that has served
-    if (!successor_.held() || !serving_.take()) {
-        again_.expires_after(kLookEvery);
-        again_.async_wait([this](const boost::system::error_code& stopped) {
-            if (!stopped) tryAgain();
-        });
+void HotRestart::tryTakeOver() {
+    successor_.tryAcquire();  // where another successor waits already, this one is next after it
+    if (!successor_.held() || !serving_.tryAcquire()) {
+        scheduleTakeOver();
         return;
     }
     role_ = Role::Serving;
     successor_.release();
+    auto snapshot = consumeSnapshot();
+    if (snapshot) ++counters_.restored;
+    std::exchange(takeOver_, nullptr)(std::move(snapshot));
+}
+
+std::optional<Snapshot> HotRestart::consumeSnapshot() {
+    const auto bytes = readWholeFile(path(kSnapshotFile), kMaxSnapshotBytes);
+    if (!bytes) {
+        logger_.warn("hot restart: the previous process left no snapshot; starting as after a crash");
+        return std::nullopt;
+    }
+    auto decoded = decode(*bytes, front_, net::Clock().now());
     std::optional<Snapshot> snapshot;
-    if (const auto bytes = readFile(path("snapshot"), kMostBytes)) {
-        auto read = decode(*bytes, front_, net::Clock().now());
-        if (const auto* refused = std::get_if<Refused>(&read)) {
-            ++counters_.refused;
-            logger_.warn("handover: snapshot refused, {}; starting as after a crash", refused->why);
-        } else {
-            snapshot = std::move(std::get<Snapshot>(read));
-        }
-        std::remove(path("snapshot").c_str());  // a loan counts once
+    if (const auto* error = std::get_if<SnapshotError>(&decoded)) {
+        ++counters_.rejected;
+        logger_.warn("hot restart: snapshot rejected, {}; starting as after a crash", describe(*error));
     } else {
-        logger_.warn("handover: the other process left no snapshot; starting as after a crash");
+        snapshot = std::move(std::get<Snapshot>(decoded));
     }
-    if (snapshot) ++counters_.taken;
-    std::exchange(takeOver_, nullptr)(std::move(snapshot));
+    // A lease in it may be used by one process only.
+    std::remove(path(kSnapshotFile).c_str());
+    return snapshot;
 }
 
-bool HotRestart::another() {
-    if (role_ == Role::Successor || role_ == Role::ShutdownStarted) return true;
-    Lock leaving(path("leaving"));
-    return successorWaits() || !leaving.take();
+bool HotRestart::anotherProcessRuns() const {
+    if (role_ == Role::Successor || role_ == Role::Transferred) return true;
+    if (successorWaits()) return true;
+    FileLock leaving(path("leaving"));
+    return !leaving.tryAcquire();
 }
 
-bool HotRestart::successorWaits() {
-    Lock successor(path("successor"));
-    return !successor.take(true);  // shared: two that look do not take each other for one
+bool HotRestart::successorWaits() const {
+    FileLock successor(path("successor"));
+    // Shared, so that two processes that look at the same time do not take each other for a successor.
+    return !successor.tryAcquire(FileLock::Mode::Shared);
 }
 
-void HotRestart::give(const Snapshot& snapshot) {
-    role_ = Role::ShutdownStarted;
-    if (writeFile(path("snapshot"), encode(snapshot))) {
-        ++counters_.given;
+void HotRestart::transfer(const Snapshot& snapshot) {
+    role_ = Role::Transferred;
+    if (writeFileAtomically(path(kSnapshotFile), encode(snapshot))) {
+        ++counters_.transferred;
     } else {
-        ++counters_.unwritten;
-        logger_.error("handover: the snapshot cannot be written; the successor starts as after a crash");
+        ++counters_.writeFailures;
+        logger_.error("hot restart: cannot write the snapshot; the successor starts as after a crash");
     }
-    leaving_.wait(true);
+    leaving_.acquire(FileLock::Mode::Shared);
     serving_.release();
 }
 
-void HotRestart::stop() {
-    again_.cancel();
-    takeOver_ = nullptr;
+core::AdminOverrides HotRestart::mergeStored(const core::AdminOverrides& own, const std::string& stored) {
+    const auto decoded = decodeOverrides(stored);
+    if (const auto* error = std::get_if<SnapshotError>(&decoded)) {
+        ++counters_.rejected;
+        logger_.warn("hot restart: overrides file rejected, {}", describe(*error));
+        return own;
+    }
+    ++counters_.overridesRead;
+    return mergeOverrides(own, std::get<core::AdminOverrides>(decoded));
 }
 
-core::AdminOverrides HotRestart::exchange(const core::AdminOverrides& own) {
-    overridesLock_.wait();
-    const auto bytes = readFile(path("words"), kMostOverrides);
-    core::AdminOverrides all = own;
-    if (bytes && *bytes != lastOverrides_) {
-        auto read = decodeOverrides(*bytes);
-        if (const auto* refused = std::get_if<Refused>(&read)) {
-            ++counters_.refused;
-            logger_.warn("handover: operators' overrides refused, {}", refused->why);
-        } else {
-            all = merge(std::move(all), std::get<core::AdminOverrides>(read));
-            ++counters_.overrides;
-        }
-    }
-    auto now = encodeOverrides(all);
-    if (!all.empty() && (!bytes || now != *bytes) && !writeFile(path("words"), now)) {
-        ++counters_.unwritten;
-        logger_.error(
-            "handover: operators' overrides cannot be written; another process would not know them");
+core::AdminOverrides HotRestart::exchangeOverrides(const core::AdminOverrides& own) {
+    overridesLock_.acquire();
+    const auto stored = readWholeFile(path(kOverridesFile), kMaxOverridesBytes);
+    const bool isNew = stored && *stored != lastOverrides_;
+    core::AdminOverrides merged = isNew ? mergeStored(own, *stored) : own;
+    auto bytes = encodeOverrides(merged);
+    const bool differs = !stored || bytes != *stored;
+    if (!merged.empty() && differs && !writeFileAtomically(path(kOverridesFile), bytes)) {
+        ++counters_.writeFailures;
+        logger_.error("hot restart: cannot write the overrides file; another process does not learn of them");
     }
-    lastOverrides_ = std::move(now);
+    lastOverrides_ = std::move(bytes);
     overridesLock_.release();
-    return all;
+    return merged;
 }
 
 }  // namespace wingproxy::hot_restart
--- a/src/hot_restart/snapshot.cpp
+++ b/src/hot_restart/snapshot.cpp
@@ -1,117 +1,105 @@
 #include "hot_restart/snapshot.h"
 
-#include <fmt/format.h>
-
-#include <boost/crc.hpp>
-#include <boost/endian/conversion.hpp>
 #include <cereal/archives/portable_binary.hpp>
 #include <cereal/types/map.hpp>
 #include <cereal/types/string.hpp>
 #include <cereal/types/vector.hpp>
-#include <cstring>
 #include <sstream>
+#include <tuple>
 
+#include "hot_restart/checked_file.h"
 #include "policy/node_info_archive.h"
 
 namespace wingproxy {
 
+// The order of the fields below is the stored format.
 namespace config {
-template <typename A>
-void serialize(A& a, Endpoint& e) {
-    a(e.host, e.port);
+template <typename Archive>
+void serialize(Archive& archive, Endpoint& endpoint) {
+    archive(endpoint.host, endpoint.port);
 }
 }  // namespace config
 
 namespace core {
-template <typename A>
-void serialize(A& a, AdminOverride& w) {
-    a(w.drained, w.at);
+template <typename Archive>
+void serialize(Archive& archive, AdminOverride& entry) {
+    archive(entry.drained, entry.at);
 }
-template <typename A>
-void serialize(A& a, StateSnapshot& h) {
-    a(h.listed, h.drains, h.seen, h.module);
+template <typename Archive>
+void serialize(Archive& archive, StateSnapshot& state) {
+    archive(state.listed, state.drains, state.seen, state.module);
 }
 }  // namespace core
 
 namespace hot_restart {
 
-template <typename A>
-void serialize(A& a, Snapshot& s) {
-    a(s.front, s.takenAt, s.engine.core, s.engine.addresses, s.engine.listVersion, s.openRequestIds);
+template <typename Archive>
+void serialize(Archive& archive, Snapshot& snapshot) {
+    archive(snapshot.front, snapshot.takenAt, snapshot.engine.core, snapshot.engine.addresses,
+            snapshot.engine.listVersion, snapshot.openRequestIds);
 }
 
 namespace {
 
-// The head of a file: four letters for its kind and the version of what follows, its length, its CRC-32.
-constexpr char kSnapshot[] = "WPS1", kOverrides[] = "WPW1";
-constexpr std::size_t kMagic = 4, kHead = kMagic + 8 + 4;
-
-std::uint32_t crc(std::string_view bytes) {
-    boost::crc_32_type sum;
-    sum.process_bytes(bytes.data(), bytes.size());
-    return sum.checksum();
-}
+// Stored data: another payload needs another number.
+constexpr std::string_view kSnapshotMagic = "WPS1";
+constexpr std::string_view kOverridesMagic = "WPW1";
 
-template <typename T>
-std::string wrap(const char* magic, const T& value) {
+template <typename Value>
+std::string encodeValue(std::string_view magic, const Value& value) {
     std::ostringstream out;
     cereal::PortableBinaryOutputArchive archive(out);
     archive(value);
-    const std::string body = out.str();
-    std::string head(kHead, '\0');
-    std::memcpy(head.data(), magic, kMagic);
-    boost::endian::store_little_u64(reinterpret_cast<unsigned char*>(head.data()) + kMagic, body.size());
-    boost::endian::store_little_u32(reinterpret_cast<unsigned char*>(head.data()) + kMagic + 8, crc(body));
-    return head + body;
+    return encodeCheckedFile(magic, out.str());
 }
 
-template <typename T>
-std::variant<T, Refused> unwrap(const char* magic, std::string_view bytes) {
-    if (bytes.size() < kHead) return Refused{"cut short"};
-    if (bytes.substr(0, kMagic) != std::string_view(magic, kMagic))
-        return Refused{"of another kind or version"};
-    const auto* at = reinterpret_cast<const unsigned char*>(bytes.data()) + kMagic;
-    const auto body = bytes.substr(kHead);
-    if (boost::endian::load_little_u64(at) != body.size()) return Refused{"cut short"};
-    if (boost::endian::load_little_u32(at + 8) != crc(body)) return Refused{"damaged"};
+template <typename Value>
+std::variant<Value, SnapshotError> decodeValue(std::string_view magic, std::string_view bytes) {
+    const auto payload = decodeCheckedFile(magic, bytes);
+    if (const auto* error = std::get_if<SnapshotError>(&payload)) return *error;
     try {
-        T value;
-        std::istringstream in{std::string(body)};
+        Value value;
+        std::istringstream in{std::string(std::get<std::string_view>(payload))};
         cereal::PortableBinaryInputArchive archive(in);
         archive(value);
         return value;
-    } catch (const std::exception& error) {
-        return Refused{fmt::format("not readable, {}", error.what())};
+    } catch (const std::exception&) {
+        return SnapshotError::Unreadable;
     }
 }
 
 }  // namespace
 
-std::string encode(const Snapshot& snapshot) { return wrap(kSnapshot, snapshot); }
+std::string encode(const Snapshot& snapshot) { return encodeValue(kSnapshotMagic, snapshot); }
 
-std::variant<Snapshot, Refused> decode(std::string_view bytes, std::string_view front, Micros now) {
-    auto read = unwrap<Snapshot>(kSnapshot, bytes);
-    const auto* snapshot = std::get_if<Snapshot>(&read);
-    if (!snapshot) return read;
-    if (snapshot->front != front) return Refused{fmt::format("of another front, {}", snapshot->front)};
-    if (now - snapshot->takenAt > kFresh) return Refused{"too old"};
+std::variant<Snapshot, SnapshotError> decode(std::string_view bytes, std::string_view front, Micros now) {
+    auto decoded = decodeValue<Snapshot>(kSnapshotMagic, bytes);
+    const auto* snapshot = std::get_if<Snapshot>(&decoded);
+    if (!snapshot) return decoded;
+    if (snapshot->front != front) return SnapshotError::OtherInstance;
+    if (now - snapshot->takenAt > kMaxSnapshotAge) return SnapshotError::Expired;
     if (snapshot->engine.addresses.size() != snapshot->engine.core.listed.size())
-        return Refused{"with addresses that fit no list"};
-    return read;
+        return SnapshotError::InconsistentAddresses;
+    return decoded;
+}
+
+std::string encodeOverrides(const core::AdminOverrides& overrides) {
+    return encodeValue(kOverridesMagic, overrides);
 }
 
-std::string encodeOverrides(const core::AdminOverrides& overrides) { return wrap(kOverrides, overrides); }
-std::variant<core::AdminOverrides, Refused> decodeOverrides(std::string_view bytes) {
-    return unwrap<core::AdminOverrides>(kOverrides, bytes);
+std::variant<core::AdminOverrides, SnapshotError> decodeOverrides(std::string_view bytes) {
+    return decodeValue<core::AdminOverrides>(kOverridesMagic, bytes);
 }
 
-core::AdminOverrides merge(core::AdminOverrides a, const core::AdminOverrides& b) {
-    for (const auto& [node, entry] : b) {
-        const auto [it, fresh] = a.try_emplace(node, entry);
-        if (!fresh && std::pair(entry.at, entry.drained) > std::pair(it->second.at, it->second.drained))
-            it->second = entry;
+core::AdminOverrides mergeOverrides(core::AdminOverrides merged, const core::AdminOverrides& other) {
+    const auto isNewer = [](const core::AdminOverride& a, const core::AdminOverride& b) {
+        return std::tie(a.at, a.drained) > std::tie(b.at, b.drained);
+    };
+    for (const auto& [node, entry] : other) {
+        const auto [position, inserted] = merged.try_emplace(node, entry);
+        if (!inserted && isNewer(entry, position->second)) position->second = entry;
     }
-    return a;
+    return merged;
 }
 
 }  // namespace hot_restart
--- a/src/hot_restart/snapshot.h
+++ b/src/hot_restart/snapshot.h
@@ -1,37 +1,48 @@
-// What one process of a front tells the next, as bytes. No I/O and no clock.
+/// \file
+/// What one process of a gateway leaves to the next, as bytes: the snapshot, and the administrative overrides
+/// of both. Owns nothing; no I/O and no clock.
 #pragma once
 
+#include <cstddef>
 #include <string>
 #include <string_view>
 #include <variant>
 #include <vector>
 
+#include "hot_restart/snapshot_error.h"
 #include "net/engine.h"
 
 namespace wingproxy::hot_restart {
 
+/// The state that passes to the successor when the service is transferred to it.
 struct Snapshot {
-    std::string front;   // its name
-    Micros takenAt = 0;  // Unix microseconds
-    net::EngineSnapshot engine;
-    std::vector<std::string> openRequestIds;  // Req-Ids that the old process has not answered yet
+    std::string front;                        ///< the gateway's configured name
+    Micros takenAt = 0;                       ///< Unix microseconds
+    net::EngineSnapshot engine;               ///< endpoint list, drains, and the policy's state
+    std::vector<std::string> openRequestIds;  ///< Req-Ids that the old process has not answered yet
 };
-// A snapshot is read within milliseconds; one that is older was left behind by another pair of processes.
-constexpr Micros kFresh = 10'000'000;
-// Far above what a process within any memory limit of the pages keeps; more is no snapshot.
-constexpr std::size_t kMostBytes = 32 * 1024 * 1024;
-
-std::string encode(const Snapshot& snapshot);
-struct Refused {
-    std::string why;
-};
-// Magic, version, length and CRC are checked before anything is read: the whole or nothing.
-std::variant<Snapshot, Refused> decode(std::string_view bytes, std::string_view front, Micros now);
-
-std::string encodeOverrides(const core::AdminOverrides& overrides);
-std::variant<core::AdminOverrides, Refused> decodeOverrides(std::string_view bytes);
-core::AdminOverrides merge(
-    core::AdminOverrides a,
-    const core::AdminOverrides& b);  // of each node the newer one; the same in any order
+
+/// A successor reads a snapshot within milliseconds; one that is older than 10 s was left behind by another
+/// pair of processes.
+constexpr Micros kMaxSnapshotAge = 10'000'000;
+/// Bytes. Far above the state of a process within any memory limit of the protocol; a longer file is no
+/// snapshot.
+constexpr std::size_t kMaxSnapshotBytes = std::size_t{32} * 1024 * 1024;
+
+[[nodiscard]] std::string encode(const Snapshot& snapshot);
+
+/// \param bytes the whole file
+/// \param front the name of this gateway; a snapshot of another one is rejected
+/// \param now Unix microseconds
+[[nodiscard]] std::variant<Snapshot, SnapshotError> decode(std::string_view bytes, std::string_view front,
+                                                           Micros now);
+
+[[nodiscard]] std::string encodeOverrides(const core::AdminOverrides& overrides);
+[[nodiscard]] std::variant<core::AdminOverrides, SnapshotError> decodeOverrides(std::string_view bytes);
+
+/// Of each node the newer override, and of two at the same time the one that drains: the result does not
+/// depend on the order of the arguments.
+[[nodiscard]] core::AdminOverrides mergeOverrides(core::AdminOverrides merged,
+                                                  const core::AdminOverrides& other);
 
 }  // namespace wingproxy::hot_restart
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -108,7 +108,7 @@
         if (shared_) {
             hotRestart_ =
                 std::make_unique<hot_restart::HotRestart>(io_, std::getenv("TMPDIR"), config.name, logger);
-            hotRestart_->begin(
+            hotRestart_->start(
                 [this](std::optional<hot_restart::Snapshot> snapshot) { serve(std::move(snapshot)); });
             look();
         }
@@ -149,15 +149,17 @@
             front_.setRequestsOpenElsewhere(snapshot->openRequestIds, until);
             if (!engine_.restore(std::move(snapshot->engine)))
                 logger_.warn(
-                    "handover: the module's memory is of other settings; it starts as after a crash");
+                    "hot restart: the snapshot's policy state is of other settings; the policy starts as "
+                    "after a "
+                    "crash");
         }
-        if (hotRestart_) engine_.applyOverrides(hotRestart_->exchange(engine_.overrides()));
+        if (hotRestart_) engine_.applyOverrides(hotRestart_->exchangeOverrides(engine_.overrides()));
         peers_.open();
         engine_.start();
         if (snapshot)
-            logger_.info("handover: taken over after {} us, {} nodes, {} requests open there",
-                         engine_.now() - snapshot->takenAt, engine_.nodeCount(),
-                         snapshot->openRequestIds.size());
+            logger_.info(
+                "hot restart: taken over after {} us, {} nodes, {} requests in flight in the old process",
+                engine_.now() - snapshot->takenAt, engine_.nodeCount(), snapshot->openRequestIds.size());
         if (config_.inheritedListenerFd >= 0) front_.sessionManager().open();
         said(config_.name, front_.sessionManager().address());
     }
@@ -166,19 +168,20 @@
         front_.startDraining();  // clients go to the successor with their next request
         peers_.stop();
         auto ids = front_.openRequestIds();
-        hotRestart_->give({config_.name, engine_.now(), engine_.takeSnapshot(), std::move(ids)});
-        logger_.info("handover: given to the other process");
+        hotRestart_->transfer({config_.name, engine_.now(), engine_.takeSnapshot(), std::move(ids)});
+        logger_.info("hot restart: service transferred to the successor");
     }
     // Whether another process shares the limits; while one does, operators' overrides pass both ways.
     void look() {
-        const bool two = hotRestart_->another();
+        const bool two = hotRestart_->anotherProcessRuns();
         if (two != two_) {
             two_ = two;
             budget_ = budget(sockets_, two, rsync_ != nullptr);
             allow();
-            logger_.info("handover: {}", two ? "two processes share the limits" : "alone");
+            logger_.info("hot restart: {}",
+                         two ? "two processes share the limits" : "this process has all of the limits");
         }
-        if (two) engine_.applyOverrides(hotRestart_->exchange(engine_.overrides()));
+        if (two) engine_.applyOverrides(hotRestart_->exchangeOverrides(engine_.overrides()));
         looking_.expires_after(kLookForOther);
         looking_.async_wait([this](const boost::system::error_code& stopped) {
             if (!stopped) look();
@@ -203,9 +206,10 @@
                     return metrics;
                 },
                 [this](const std::string& node, bool out) {
-                    if (hotRestart_) engine_.applyOverrides(hotRestart_->exchange(engine_.overrides()));
+                    if (hotRestart_)
+                        engine_.applyOverrides(hotRestart_->exchangeOverrides(engine_.overrides()));
                     const bool known = engine_.setAdminDrain(node, out);
-                    if (hotRestart_) hotRestart_->exchange(engine_.overrides());
+                    if (hotRestart_) hotRestart_->exchangeOverrides(engine_.overrides());
                     logger_.info("by hand: {} {}{}", out ? "detach" : "attach", node,
                                  known ? "" : ", which was never listed");
                     return known;
@@ -263,8 +267,7 @@
     }
     void serveOn() {
         const auto since = std::chrono::steady_clock::now() - leavingSince_;
-        const bool given =
-            hotRestart_ && hotRestart_->role() == hot_restart::HotRestart::Role::ShutdownStarted;
+        const bool given = hotRestart_ && hotRestart_->role() == hot_restart::HotRestart::Role::Transferred;
         if (since >= kNewClients && !given) front_.expectNoNewConnections();
         const bool alone = front_.sessionManager().connections() == 0;
         if ((since < kKeepAccepting && !given) || (!alone && since < kill_ - kStopServing)) {
@@ -352,8 +355,10 @@
         }
         if (hotRestart_) {
             const auto& h = hotRestart_->counters();
-            logger_.info("counters handover: taken={} given={} refused={} overrides={} unwritten={}", h.taken,
-                         h.given, h.refused, h.overrides, h.unwritten);
+            logger_.info(
+                "counters hot_restart: restored={} transferred={} rejected={} overrides_read={} "
+                "write_failures={}",
+                h.restored, h.transferred, h.rejected, h.overridesRead, h.writeFailures);
         }
         const auto& a = engine_.recovery();
         constexpr const char* kBy[] = {"nothing", "shutdown_notice", "everyone", "lease"};
--- /dev/null
+++ b/tests/hot_restart/atomic_file_test.cpp
@@ -0,0 +1,46 @@
+// Files that are replaced as a whole.
+#include "hot_restart/atomic_file.h"
+
+#include <doctest/doctest.h>
+
+#include <filesystem>
+
+#include "hot_restart/temporary_folder.h"
+
+using namespace wingproxy::hot_restart;
+using wingproxy::test::TemporaryFolder;
+
+TEST_CASE("atomic file: what was written is read, any bytes") {
+    TemporaryFolder folder;
+    const std::string bytes("a\0\xff\n", 4);
+    CHECK(writeFileAtomically(folder.file("x"), bytes));
+    CHECK(readWholeFile(folder.file("x"), 100) == bytes);
+}
+
+TEST_CASE("atomic file: a second write replaces the first, and no temporary file stays") {
+    TemporaryFolder folder;
+    CHECK(writeFileAtomically(folder.file("x"), "a longer text"));
+    CHECK(writeFileAtomically(folder.file("x"), "short"));
+    CHECK(readWholeFile(folder.file("x"), 100) == "short");
+    CHECK(!std::filesystem::exists(folder.file("x.new")));
+}
+
+TEST_CASE("atomic file: a write that fails leaves what was there") {
+    TemporaryFolder folder;
+    CHECK(writeFileAtomically(folder.file("x"), "first"));
+    std::filesystem::create_directory(folder.file("x.new"));
+    CHECK(!writeFileAtomically(folder.file("x"), "second"));
+    CHECK(readWholeFile(folder.file("x"), 100) == "first");
+}
+
+TEST_CASE("atomic file: one that does not exist is not read") {
+    TemporaryFolder folder;
+    CHECK(!readWholeFile(folder.file("x"), 100));
+}
+
+TEST_CASE("atomic file: one that is longer than allowed is not read") {
+    TemporaryFolder folder;
+    CHECK(writeFileAtomically(folder.file("x"), "12345"));
+    CHECK(readWholeFile(folder.file("x"), 5) == "12345");
+    CHECK(!readWholeFile(folder.file("x"), 4));
+}
--- /dev/null
+++ b/tests/hot_restart/checked_file_test.cpp
@@ -0,0 +1,66 @@
+// The header that every stored file has.
+#include "hot_restart/checked_file.h"
+
+#include <doctest/doctest.h>
+
+using namespace wingproxy::hot_restart;
+
+namespace {
+
+constexpr std::string_view kMagic = "TST1";
+
+SnapshotError errorOf(std::string_view bytes) {
+    const auto decoded = decodeCheckedFile(kMagic, bytes);
+    REQUIRE(std::holds_alternative<SnapshotError>(decoded));
+    return std::get<SnapshotError>(decoded);
+}
+
+}  // namespace
+
+TEST_CASE("checked file: magic, length, CRC-32 and payload stand in this order, little-endian") {
+    // CRC-32 of "123456789" is 0xCBF43926, the check value of that checksum.
+    const std::string expected = std::string("TST1") + std::string("\x09\0\0\0\0\0\0\0", 8) +
+                                 std::string("\x26\x39\xf4\xcb", 4) + "123456789";
+    CHECK(encodeCheckedFile(kMagic, "123456789") == expected);
+}
+
+TEST_CASE("checked file: the payload comes back, also an empty one") {
+    for (const std::string payload : {"", "x", "payload"}) {
+        const std::string bytes = encodeCheckedFile(kMagic, payload);
+        const auto decoded = decodeCheckedFile(kMagic, bytes);
+        REQUIRE(std::holds_alternative<std::string_view>(decoded));
+        CHECK(std::get<std::string_view>(decoded) == payload);
+    }
+}
+
+TEST_CASE("checked file: one that is shorter or longer than its header says is truncated") {
+    const std::string bytes = encodeCheckedFile(kMagic, "payload");
+    for (std::size_t length = 0; length < bytes.size(); ++length)
+        CHECK(errorOf(std::string_view(bytes).substr(0, length)) == SnapshotError::Truncated);
+    CHECK(errorOf(bytes + "x") == SnapshotError::Truncated);
+}
+
+TEST_CASE("checked file: one of another kind or version is of an unsupported format") {
+    CHECK(errorOf(encodeCheckedFile("TST2", "payload")) == SnapshotError::UnsupportedFormat);
+}
+
+TEST_CASE("checked file: a changed payload does not match its checksum") {
+    std::string bytes = encodeCheckedFile(kMagic, "payload");
+    bytes.back() = 'D';
+    CHECK(errorOf(bytes) == SnapshotError::ChecksumMismatch);
+}
+
+TEST_CASE("checked file: each error has a description of its own") {
+    const SnapshotError all[] = {SnapshotError::Truncated,
+                                 SnapshotError::UnsupportedFormat,
+                                 SnapshotError::ChecksumMismatch,
+                                 SnapshotError::Unreadable,
+                                 SnapshotError::OtherInstance,
+                                 SnapshotError::Expired,
+                                 SnapshotError::InconsistentAddresses};
+    for (const auto a : all) {
+        CHECK(!describe(a).empty());
+        for (const auto b : all)
+            CHECK((describe(a) == describe(b)) == (a == b));
+    }
+}
--- /dev/null
+++ b/tests/hot_restart/snapshot_test.cpp
@@ -0,0 +1,164 @@
+// The snapshot and the overrides file as bytes. What is not complete must never be used in part.
+#include "hot_restart/snapshot.h"
+
+#include <cstring>
+
+#include "hot_restart/checked_file.h"
+#include "support/net_support.h"
+#include "support/policy_support.h"
+
+using namespace wingproxy;
+using namespace wingproxy::test;
+using namespace wingproxy::hot_restart;
+
+namespace {
+
+/// A snapshot of an engine with three nodes, one of them drained by an operator.
+struct SnapshotOfThreeNodes {
+    Rig rig{baseConfig(), 3};
+    Snapshot snapshot{"n0", rig.engine.now(), takeEngineSnapshot(), {"0000000000000001"}};
+    std::string bytes = encode(snapshot);
+
+    [[nodiscard]] std::variant<Snapshot, SnapshotError> decodeOwn(std::string_view b) const {
+        return decode(b, "n0", snapshot.takenAt);
+    }
+
+private:
+    net::EngineSnapshot takeEngineSnapshot() {
+        rig.engine.setAdminDrain("s-0", true);
+        return rig.engine.takeSnapshot();
+    }
+};
+
+bool isRejected(const std::variant<Snapshot, SnapshotError>& decoded) {
+    return std::holds_alternative<SnapshotError>(decoded);
+}
+
+const core::AdminOverrides kOverridesA{{"x", {true, 1}}, {"y", {false, 5}}};
+const core::AdminOverrides kOverridesB{{"x", {false, 2}}, {"z", {true, 3}}};
+const core::AdminOverrides kOverridesC{{"y", {true, 4}}, {"z", {false, 3}}};
+const core::AdminOverrides kAllOverrides{{"x", {false, 2}}, {"y", {false, 5}}, {"z", {true, 3}}};
+
+}  // namespace
+
+TEST_CASE("snapshot: endpoint list and open requests come back") {
+    SnapshotOfThreeNodes taken;
+    const auto decoded = taken.decodeOwn(taken.bytes);
+    REQUIRE(!isRejected(decoded));
+    const auto& snapshot = std::get<Snapshot>(decoded);
+    CHECK(snapshot.takenAt == taken.snapshot.takenAt);
+    CHECK(snapshot.engine.core.listed.size() == 3);
+    CHECK(snapshot.engine.addresses[2] == taken.rig.node(2).address());
+    CHECK(snapshot.openRequestIds == taken.snapshot.openRequestIds);
+    CHECK(encode(snapshot) == taken.bytes);
+}
+
+TEST_CASE("snapshot: one that is cut at any byte is rejected") {
+    SnapshotOfThreeNodes taken;
+    for (std::size_t length = 0; length < taken.bytes.size(); ++length)
+        REQUIRE(isRejected(taken.decodeOwn(std::string_view(taken.bytes).substr(0, length))));
+}
+
+TEST_CASE("snapshot: one that is changed in any byte is rejected") {
+    SnapshotOfThreeNodes taken;
+    for (std::size_t at = 0; at < taken.bytes.size(); ++at) {
+        auto changed = taken.bytes;
+        changed[at] = char(changed[at] ^ 0x20);
+        REQUIRE(isRejected(taken.decodeOwn(changed)));
+    }
+}
+
+TEST_CASE("snapshot: one with bytes behind its end is rejected") {
+    SnapshotOfThreeNodes taken;
+    CHECK(std::get<SnapshotError>(taken.decodeOwn(taken.bytes + "x")) == SnapshotError::Truncated);
+}
+
+TEST_CASE("snapshot: one of another gateway is rejected") {
+    SnapshotOfThreeNodes taken;
+    const auto decoded = decode(taken.bytes, "n1", taken.snapshot.takenAt);
+    CHECK(std::get<SnapshotError>(decoded) == SnapshotError::OtherInstance);
+}
+
+TEST_CASE("snapshot: one that is older than 10 s is rejected") {
+    SnapshotOfThreeNodes taken;
+    const Micros oldest = taken.snapshot.takenAt + kMaxSnapshotAge;
+    CHECK(kMaxSnapshotAge == 10 * kSecond);
+    CHECK(!isRejected(decode(taken.bytes, "n0", oldest)));
+    CHECK(std::get<SnapshotError>(decode(taken.bytes, "n0", oldest + 1)) == SnapshotError::Expired);
+}
+
+TEST_CASE("snapshot: one that has not an address for each node is rejected") {
+    SnapshotOfThreeNodes taken;
+    taken.snapshot.engine.addresses.pop_back();
+    const auto decoded = taken.decodeOwn(encode(taken.snapshot));
+    CHECK(std::get<SnapshotError>(decoded) == SnapshotError::InconsistentAddresses);
+}
+
+TEST_CASE("snapshot: a payload that does not decode is rejected though its checksum is right") {
+    SnapshotOfThreeNodes taken;
+    const auto decoded = taken.decodeOwn(encodeCheckedFile("WPS1", "short"));
+    CHECK(std::get<SnapshotError>(decoded) == SnapshotError::Unreadable);
+}
+
+TEST_CASE("snapshot: the policy's state is restored by a host of the same settings only") {
+    SnapshotOfThreeNodes taken;
+    const std::string& policyState = taken.snapshot.engine.core.module;
+    Policy same(taken.rig.config.settings, taken.snapshot.takenAt);
+    Policy other(test::settings(0, 2), taken.snapshot.takenAt);
+    CHECK(same.restore(policyState));
+    CHECK(!other.restore(policyState));
+}
+
+TEST_CASE("snapshot: a policy's state that is cut is not restored") {
+    SnapshotOfThreeNodes taken;
+    const std::string& policyState = taken.snapshot.engine.core.module;
+    Policy other(test::settings(0, 2), taken.snapshot.takenAt);
+    for (std::size_t length = 0; length < policyState.size(); length += 7)
+        CHECK(!other.restore(policyState.substr(0, length)));
+}
+
+TEST_CASE("snapshot: a policy's state of an earlier version is not restored") {
+    // The version is a number behind the archive's own byte and a length. Host 1, so that the version is
+    // looked at and not the host's number.
+    constexpr std::size_t kVersionOffset = 1 + 8;
+    const double earlierVersion = 1;
+    auto policyState = Policy(test::settings(1, 3), kStart).takeSnapshot(kStart);
+    CHECK(Policy(test::settings(1, 3), kStart).restore(policyState));
+    std::memcpy(policyState.data() + kVersionOffset, &earlierVersion, sizeof earlierVersion);
+    CHECK(!Policy(test::settings(1, 3), kStart).restore(policyState));
+}
+
+TEST_CASE("overrides: of each node the newest stays, in whatever order they are merged") {
+    const auto merged = mergeOverrides(mergeOverrides(kOverridesA, kOverridesB), kOverridesC);
+    CHECK(merged == kAllOverrides);
+    CHECK(merged == mergeOverrides(mergeOverrides(kOverridesC, kOverridesB), kOverridesA));
+    CHECK(merged == mergeOverrides(kOverridesA, mergeOverrides(kOverridesB, kOverridesC)));
+}
+
+TEST_CASE("overrides: merging them again changes nothing") {
+    CHECK(mergeOverrides(kAllOverrides, kAllOverrides) == kAllOverrides);
+    CHECK(mergeOverrides(kAllOverrides, kOverridesA) == kAllOverrides);
+}
+
+TEST_CASE("overrides: of two at the same time the one that drains stays") {
+    const core::AdminOverrides drained{{"x", {true, 1}}};
+    const core::AdminOverrides attached{{"x", {false, 1}}};
+    CHECK(mergeOverrides(drained, attached) == drained);
+    CHECK(mergeOverrides(attached, drained) == drained);
+}
+
+TEST_CASE("overrides: they come back from their bytes") {
+    CHECK(std::get<core::AdminOverrides>(decodeOverrides(encodeOverrides(kAllOverrides))) == kAllOverrides);
+}
+
+TEST_CASE("overrides: a file that is cut at any byte is rejected") {
+    const auto bytes = encodeOverrides(kAllOverrides);
+    for (std::size_t length = 0; length < bytes.size(); ++length)
+        CHECK(std::holds_alternative<SnapshotError>(
+            decodeOverrides(std::string_view(bytes).substr(0, length))));
+}
+
+TEST_CASE("overrides: a snapshot is no overrides file") {
+    SnapshotOfThreeNodes taken;
+    CHECK(std::get<SnapshotError>(decodeOverrides(taken.bytes)) == SnapshotError::UnsupportedFormat);
+}
