--- /dev/null
+++ b/src/app/commands.cpp
@@ -0,0 +1,98 @@
+#include "app/commands.h"
+
+#include <fmt/format.h>
+
+#include <cstdio>
+#include <string>
+
+#include "admin/admin_client.h"
+#include "app/proxy.h"
+#include "config/config.h"
+#include "config/operator.h"
+
+namespace wingproxy::app {
+namespace {
+
+constexpr int kSuccessStatusClass = 2;  // HTTP 2xx
+
+/// Both files, checked.
+struct Configuration {
+    config::Config proxy;
+    config::OperatorConfig operatorConfig;
+};
+
+/// As `config::applyEnvironment` takes what is not set.
+const char* nullIfEmpty(const std::string& text) { return text.empty() ? nullptr : text.c_str(); }
+
+config::Config readProxyConfig(const cli::Files& files) {
+    if (files.config.empty()) throw config::ConfigError("PROXY_CONFIG: not set, and no --config");
+    auto config = config::parseConfig(config::readFile(files.config));
+    config::applyEnvironment(config, nullIfEmpty(files.adminListen), nullIfEmpty(files.descriptor));
+    return config;
+}
+
+Configuration readConfiguration(const cli::Files& files) {
+    Configuration configuration{readProxyConfig(files), {}};
+    if (!files.operators.empty()) {
+        configuration.operatorConfig =
+            config::parseOperatorConfig(config::readFile(files.operators), configuration.proxy.settings);
+    }
+    return configuration;
+}
+
+/// Where the running gateway takes admin requests. What --mgmt or the environment says needs no configuration
+/// file.
+config::Endpoint adminEndpoint(const cli::Files& files) {
+    if (!files.adminListen.empty()) return config::parseEndpoint(files.adminListen, "mgmt");
+    config::Endpoint endpoint = readProxyConfig(files).adminListen;
+    if (endpoint.port == 0)
+        throw config::ConfigError("mgmt: neither in the configuration nor told by --mgmt");
+    return endpoint;
+}
+
+int executeCommand(const cli::RunCommand& command, log::Logger& logger) {
+    const auto configuration = readConfiguration(command.files);
+    Proxy(command.files.config, configuration.proxy, configuration.operatorConfig, logger).run();
+    return cli::kExitOk;
+}
+
+int executeCommand(const cli::CheckCommand& command, log::Logger&) {
+    const config::Config config = readConfiguration(command.files).proxy;
+    fmt::print("good: {} at {}:{}, {} peers, {} known nodes{}\n", config.name, config.listen.host,
+               config.listen.port, config.peers.size(), config.cachedEndpoints.list.nodes.size(),
+               command.files.operators.empty() ? ", no operator's file" : "");
+    return cli::kExitOk;
+}
+
+int executeCommand(const cli::AdminCommand& command, log::Logger& logger) {
+    const config::Endpoint endpoint = adminEndpoint(command.files);
+    const admin::AdminResult result = admin::sendAdminRequest(endpoint, command.call);
+    if (!result.reply) {
+        logger.error("no front answers at {}:{}: {}", endpoint.host, endpoint.port, result.why);
+        return cli::kExitUnreachable;
+    }
+    const bool succeeded = result.reply->status / 100 == kSuccessStatusClass;
+    fmt::print(succeeded ? stdout : stderr, "{}", result.reply->body);
+    return succeeded ? cli::kExitOk : cli::kExitDenied;
+}
+
+int executeCommand(const cli::ExitCommand& command, log::Logger&) { return command.code; }
+
+template <typename Command>
+std::string logLevelName(const Command& command) {
+    return command.files.logLevel;
+}
+std::string logLevelName(const cli::ExitCommand&) { return {}; }
+
+}  // namespace
+
+int execute(const cli::Command& command, log::Logger& logger) {
+    return std::visit([&](const auto& c) { return executeCommand(c, logger); }, command);
+}
+
+log::Level logLevelOf(const cli::Command& command) {
+    const std::string name = std::visit([](const auto& c) { return logLevelName(c); }, command);
+    return log::levelFrom(name.empty() ? "info" : name);
+}
+
+}  // namespace wingproxy::app
--- /dev/null
+++ b/src/app/metrics_report.cpp
@@ -0,0 +1,177 @@
+#include "app/metrics_report.h"
+
+#include <fmt/format.h>
+
+#include <iterator>
+
+namespace wingproxy::app {
+namespace {
+
+std::uint64_t countOf(const core::Counters& counters, Outcome outcome) {
+    return counters.outcomes[static_cast<std::size_t>(outcome)];
+}
+
+std::string_view nameOf(fleet::RestartRecovery::RecoveryCause cause) {
+    using Cause = fleet::RestartRecovery::RecoveryCause;
+    switch (cause) {
+        case Cause::NotRecovered:
+            return "nothing";
+        case Cause::ShutdownNotice:
+            return "shutdown_notice";
+        case Cause::AllPeersReplied:
+            return "everyone";
+        case Cause::LeaseExpired:
+            return "lease";
+    }
+    return "nothing";
+}
+
+}  // namespace
+
+ConnectionMetrics connectionMetrics(const net::SessionManager& sessions) {
+    return {sessions.accepted(), sessions.connections(), sessions.closedIdle(), sessions.detectHangUp()};
+}
+
+MetricGroup describeRequests(const core::Counters& counters, std::uint64_t openRequests) {
+    const core::Answers answers = counters.all();
+    return {"requests",
+            {{"taken", counters.taken},
+             {"delivered", answers.delivered},
+             {"rejected", answers.refused},
+             {"failed", answers.failed},
+             {"disconnected", counters.disconnected},
+             {"overdue", counters.overdue},
+             {"open", openRequests},
+             {"withdrawn", counters.withdrawn},
+             {"too_late", counters.tooLate}}};
+}
+
+MetricGroup describeAttempts(const core::Counters& counters) {
+    return {"attempts",
+            {{"sent", counters.attempts},
+             {"written", counters.written},
+             {"ok", countOf(counters, Outcome::Ok)},
+             {"error", countOf(counters, Outcome::Error)},
+             {"full", countOf(counters, Outcome::Rejected)},
+             {"timeout", countOf(counters, Outcome::Timeout)},
+             {"connect_failed", countOf(counters, Outcome::ConnectFailed)},
+             {"reset", countOf(counters, Outcome::Reset)},
+             {"cancelled", countOf(counters, Outcome::Cancelled)},
+             {"not_started", countOf(counters, Outcome::NotStarted)},
+             {"late", counters.late},
+             {"batches", counters.batches}}};
+}
+
+MetricGroup describeHttp(const http::Front::Counters& counters, const ConnectionMetrics& connections) {
+    return {"http",
+            {{"connections", connections.accepted},
+             {"open", connections.open},
+             {"requests", counters.requests},
+             {"ok", counters.ok},
+             {"rejected", counters.refused},
+             {"failed", counters.failed},
+             {"malformed", counters.malformed},
+             {"too_large", counters.tooLarge},
+             {"unsupported", counters.unsupported},
+             {"closed_idle", connections.closedIdle},
+             {"silent", counters.silent},
+             {"slow", counters.slow},
+             {"unread", counters.unread},
+             {"repeated", counters.repeated},
+             {"no_memory", counters.noMemory},
+             {"crowded", counters.crowded},
+             {"pipelined", counters.pipelined},
+             {"hung_up", connections.hungUp}}};
+}
+
+MetricGroup describeRsync(const rsync::Front::Counters& counters, const ConnectionMetrics& connections) {
+    return {"rsync",
+            {{"connections", connections.accepted},
+             {"open", connections.open},
+             {"transfers", counters.transfers},
+             {"completed", counters.completed},
+             {"rejected", counters.refused},
+             {"failed", counters.failed},
+             {"disconnected", counters.disconnected},
+             {"malformed", counters.malformed},
+             {"listings", counters.listings}}};
+}
+
+MetricGroup describeNodePool(const NodePoolMetrics& pool) {
+    return {"nodes", {{"connections", pool.open}, {"opened", pool.opened}, {"reused", pool.reused}}};
+}
+
+MetricGroup describeDiscovery(const net::Discovery::Counters& counters) {
+    return {"discovery",
+            {{"calls", counters.calls},
+             {"answers", counters.answers},
+             {"failed", counters.failed},
+             {"malformed", counters.malformed}}};
+}
+
+MetricGroup describeTables(const TableMetrics& tables) {
+    return {"tables",
+            {{"entries", tables.entries},
+             {"nodes", tables.nodes},
+             {"avoided", tables.avoided},
+             {"admin_drained", tables.adminDrained}}};
+}
+
+MetricGroup describeAdmin(const admin::AdminServer::Counters& counters,
+                          const ConnectionMetrics& connections) {
+    return {"admin",
+            {{"connections", connections.accepted},
+             {"open", connections.open},
+             {"yes", counters.yes},
+             {"no", counters.no},
+             {"malformed", counters.malformed},
+             {"hung", counters.hung}}};
+}
+
+MetricGroup describeHotRestart(const hot_restart::HotRestart::Counters& counters) {
+    return {"hot_restart",
+            {{"restored", counters.restored},
+             {"transferred", counters.transferred},
+             {"rejected", counters.rejected},
+             {"overrides_read", counters.overridesRead},
+             {"write_failures", counters.writeFailures}}};
+}
+
+MetricGroup describeFleet(const fleet::RestartRecovery& recovery, Micros now) {
+    const auto& counters = recovery.counters();
+    const auto cause = recovery.isRecovered(now) ? recovery.recoveryCause()
+                                                 : fleet::RestartRecovery::RecoveryCause::NotRecovered;
+    return {"fleet",
+            {{"clear_by", nameOf(cause)},
+             {"lends", recovery.mayLend(now)},
+             {"lives", counters.newIncarnations},
+             {"shutdown_notices", counters.storedNotices},
+             {"stale", counters.stale},
+             {"malformed", counters.malformed}}};
+}
+
+MetricGroup describeReloads(const ConfigReload::Counters& counters) {
+    return {"reloads", {{"done", counters.applied}, {"bad", counters.rejected}}};
+}
+
+MetricGroup describePeers(const net::Peers::Counters& counters) {
+    return {"peers",
+            {{"sent", counters.sent},
+             {"received", counters.received},
+             {"unsent", counters.unsent},
+             {"unknown", counters.unknown},
+             {"oversize", counters.oversize}}};
+}
+
+std::string formatLine(const MetricGroup& group) {
+    std::string line = fmt::format("counters {}:", group.name);
+    for (const Metric& metric : group.metrics) {
+        const auto append = [&](const auto& value) {
+            fmt::format_to(std::back_inserter(line), " {}={}", metric.name, value);
+        };
+        std::visit(append, metric.value);
+    }
+    return line;
+}
+
+}  // namespace wingproxy::app
--- /dev/null
+++ b/src/app/shutdown_sequence.cpp
@@ -0,0 +1,94 @@
+#include "app/shutdown_sequence.h"
+
+#include <algorithm>
+
+namespace wingproxy::app {
+namespace {
+
+using std::chrono::microseconds;
+using std::chrono::milliseconds;
+
+// The protocol page's, for every customer. After SIGTERM the platform sends new clients for 0.4 s; those that
+// are connected go on using their connections. SIGKILL follows SIGTERM after the longest deadline of the
+// classes, 3 s at the most, and 0.7 s.
+constexpr milliseconds kMaxDeadline{3'000};
+constexpr milliseconds kKillMargin{700};
+/// Shortly before the platform's 0.4 s are over.
+constexpr milliseconds kExpectNoNewConnectionsAfter{300};
+/// Later than the platform's 0.4 s, by what a connection may take on its way.
+constexpr milliseconds kKeepAcceptingFor{600};
+
+// Before the kill: served as usual until the first, every response sent by the second, all connections closed
+// by the third.
+constexpr milliseconds kServeUntilBeforeKill{450};
+constexpr milliseconds kRespondBeforeKill{200};
+constexpr milliseconds kCloseBeforeKill{120};
+
+/// Responses close their connections for this long before idle connections are closed.
+constexpr milliseconds kLastRequestsFor{100};
+/// Far below the times above.
+constexpr milliseconds kPollInterval{20};
+
+}  // namespace
+
+void ShutdownSequence::schedule(microseconds longestDeadline, TimePoint now) {
+    scheduled_ = true;
+    scheduledAt_ = now;
+    killAfter_ = std::min<microseconds>(longestDeadline, kMaxDeadline) + kKillMargin;
+}
+
+microseconds ShutdownSequence::serveFor() const { return killAfter_ - kServeUntilBeforeKill; }
+
+microseconds ShutdownSequence::respondWithin() const { return killAfter_ - kRespondBeforeKill; }
+
+ShutdownSequence::NextCall ShutdownSequence::start(ShutdownMode mode, TimePoint now) {
+    mode_ = mode;
+    if (mode == ShutdownMode::NeverServed) return stop();
+    phase_ = ShutdownPhase::Draining;
+    return advance(now);
+}
+
+ShutdownSequence::NextCall ShutdownSequence::advance(TimePoint now) {
+    switch (phase_) {
+        case ShutdownPhase::Draining:
+            return drain(now);
+        case ShutdownPhase::ClosingListener:
+            phase_ = ShutdownPhase::ClosingIdle;
+            return closeIdle(now);
+        case ShutdownPhase::ClosingIdle:
+            return closeIdle(now);
+        case ShutdownPhase::Serving:
+        case ShutdownPhase::Stopped:
+            break;
+    }
+    return std::nullopt;
+}
+
+ShutdownSequence::NextCall ShutdownSequence::drain(TimePoint now) {
+    const auto elapsed = now - scheduledAt_;
+    const bool accepts = mode_ == ShutdownMode::WithoutSuccessor;
+    if (accepts && elapsed >= kExpectNoNewConnectionsAfter) target_.expectNoNewConnections();
+    const bool newClientsMayCome = accepts && elapsed < kKeepAcceptingFor;
+    const bool clientsAreServed = target_.activeClients() > 0 && elapsed < serveFor();
+    if (newClientsMayCome || clientsAreServed) return kPollInterval;
+    phase_ = ShutdownPhase::ClosingListener;
+    target_.closeListeners();
+    return kLastRequestsFor;
+}
+
+ShutdownSequence::NextCall ShutdownSequence::closeIdle(TimePoint now) {
+    target_.closeIdleConnections();
+    // A connection on which a request has only begun does not delay the end beyond this.
+    const bool connectionsMayEnd =
+        target_.allConnections() > 0 && now - scheduledAt_ < killAfter_ - kCloseBeforeKill;
+    if (target_.openRequests() > 0 || connectionsMayEnd) return kPollInterval;
+    return stop();
+}
+
+ShutdownSequence::NextCall ShutdownSequence::stop() {
+    phase_ = ShutdownPhase::Stopped;
+    target_.stop();
+    return std::nullopt;
+}
+
+}  // namespace wingproxy::app
--- /dev/null
+++ b/tests/app/resource_budget_test.cpp
@@ -0,0 +1,73 @@
+// How descriptors and memory are divided between clients and nodes.
+#include "app/resource_budget.h"
+
+#include <doctest/doctest.h>
+#include <sys/resource.h>
+
+#include "net/ring_buffer.h"
+
+using namespace wingproxy;
+using app::divideResources;
+
+namespace {
+
+constexpr int kReserved = 48;  // 24 of the process itself, and as many admin clients
+
+app::ResourceBudget divide(int connections, int memoryMb = 192, bool rsync = false) {
+    return divideResources({connections + kReserved, memoryMb, rsync});
+}
+
+}  // namespace
+
+TEST_CASE("resource budget: three fifths of the connections are clients', two fifths are nodes'") {
+    const auto budget = divide(1000);
+    CHECK(budget.httpClients == 600);
+    CHECK(budget.httpNodes == 400);
+    CHECK(budget.rsyncClients == 0);
+    CHECK(budget.rsyncNodes == 0);
+}
+
+TEST_CASE("resource budget: the rsync front takes a quarter of the clients and of the nodes") {
+    const auto budget = divide(1000, 192, true);
+    CHECK(budget.httpClients == 450);
+    CHECK(budget.rsyncClients == 150);
+    CHECK(budget.httpNodes == 300);
+    CHECK(budget.rsyncNodes == 100);
+}
+
+TEST_CASE("resource budget: all connections together never pass the descriptors") {
+    for (int connections = 10; connections < 300; ++connections) {
+        for (const bool rsync : {false, true}) {
+            const auto budget = divide(connections, 192, rsync);
+            CHECK(budget.httpClients + budget.httpNodes + budget.rsyncClients + budget.rsyncNodes <=
+                  static_cast<std::size_t>(connections));
+        }
+    }
+}
+
+TEST_CASE("resource budget: with hardly any descriptors ten connections remain") {
+    for (const int descriptors : {0, kReserved, kReserved + 9}) {
+        const auto budget = divideResources({descriptors, 192, false});
+        CHECK(budget.httpClients == 6);
+        CHECK(budget.httpNodes == 4);
+    }
+}
+
+TEST_CASE("resource budget: a quarter of the memory is for two rings of each connection") {
+    const std::size_t quarter = std::size_t(64) * 1024 * 1024 / 4;
+    CHECK(divide(1000, 64).ringBytes == quarter / 2000);
+}
+
+TEST_CASE("resource budget: ring buffers stay within their bounds") {
+    CHECK(divide(1000, 1).ringBytes == net::kLeastRing);
+    CHECK(divide(10, 4096).ringBytes == net::kMostRing);
+}
+
+TEST_CASE("resource budget: the system's descriptor limit bounds the configured number") {
+    rlimit limit{};
+    REQUIRE(getrlimit(RLIMIT_NOFILE, &limit) == 0);
+    REQUIRE(limit.rlim_cur != RLIM_INFINITY);
+    const int systemLimit = static_cast<int>(limit.rlim_cur);
+    CHECK(app::availableDescriptors(systemLimit - 1) == systemLimit - 1);
+    CHECK(app::availableDescriptors(systemLimit + 1) == systemLimit);
+}
