--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -19,7 +19,7 @@
 /// is answered.
 constexpr std::chrono::milliseconds kOtherProcessInterval{100};
 
-/// The folder that the platform gives to the processes of a gateway; null where there is none.
+/// The folder that the processes of a gateway share; null where the platform names none.
 const char* sharedFolder() { return std::getenv("TMPDIR"); }
 
 bool canHotRestart(const config::Config& config) {
@@ -264,7 +264,7 @@
 }
 
 bool Proxy::setAdminDrain(const std::string& node, bool drained) {
-    // First what another process was told, so that this order is the newest; then the other one learns of it.
+    // Orders that another process received come first, so that this one is the newest; then it is passed on.
     if (hotRestart_) exchangeOverrides();
     const bool known = engine_.setAdminDrain(node, drained);
     if (hotRestart_) hotRestart_->exchangeOverrides(engine_.overrides());
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -184,7 +184,7 @@
     CHECK(!both.second.received);
 }
 
-TEST_CASE("overrides exchange: what one process was told the other one learns") {
+TEST_CASE("overrides exchange: an order that one process received reaches the other") {
     TwoInstances both;
     CHECK(both.first.hotRestart->exchangeOverrides(kDrained) == kDrained);
     CHECK(both.second.hotRestart->exchangeOverrides({}) == kDrained);
--- a/tests/hot_restart/shared_limits_test.cpp
+++ b/tests/hot_restart/shared_limits_test.cpp
@@ -45,8 +45,8 @@
         REQUIRE(successor->policy.restore(bytes));
         successor->batch({nodes({node("a", 0), node("b", 1)}, EndpointListKind::Cached)});
     }
-    void sendAt(Host& host, Micros now, bool asked) {
-        if (!asked) return;
+    void sendAt(Host& host, Micros now, bool getsRequest) {
+        if (!getsRequest) return;
         auto actions = host.runTo(now);
         for (auto& action : host.batch({request(++lastId, 0, 0, now, kRequestUnits, int(random.below(2)))}))
             actions.push_back(action);
@@ -89,7 +89,8 @@
 }  // namespace
 
 TEST_CASE(
-    "transfer: no unit of a limit is spent by both processes, whenever it comes and whoever is asked more") {
+    "transfer: no unit of a limit is spent by both processes, whenever it comes and whoever gets more "
+    "requests") {
     Random random(7);
     for (int round = 0; round < 40; ++round) {
         TransferUnderLoad load(random, kStart + Micros(random.below(3'000)) * kMs);
