--- a/src/admin/admin_client.h
+++ b/src/admin/admin_client.h
@@ -15,8 +15,8 @@
 inline constexpr std::chrono::milliseconds kResponseTimeout{1'500};
 
 struct AdminResult {
-    std::optional<AdminResponse> reply;  ///< empty: no connection, no HTTP, or no response in time
-    std::string why;                     ///< the error in that case
+    std::optional<AdminResponse> response;  ///< empty: no connection, no HTTP, or no response in time
+    std::string error;                      ///< the error in that case
 };
 
 /// Sends a request and waits for the response. It blocks, so it is not for a thread with an event loop.
--- a/src/admin/admin_request.cpp
+++ b/src/admin/admin_request.cpp
@@ -85,8 +85,8 @@
     const auto& counters = metrics.counters;
     for (const auto& [key, counter] : kClassCounterKeys) {
         auto& byClass = vars[key] = nlohmann::json::object();
-        for (std::size_t i = 0; i < metrics.classes.size() && i < counters.byClass.size(); ++i)
-            byClass[metrics.classes[i]] = counters.byClass[i].*counter;
+        for (std::size_t i = 0; i < metrics.classNames.size() && i < counters.byClass.size(); ++i)
+            byClass[metrics.classNames[i]] = counters.byClass[i].*counter;
     }
     vars["relayed"] = counters.written;
     vars["open_requests"] = metrics.openRequests;
--- a/src/admin/admin_request.h
+++ b/src/admin/admin_request.h
@@ -57,7 +57,7 @@
 
 /// What `/_vars` shows, as it is at one moment.
 struct AdminMetrics {
-    std::vector<std::string> classes;  ///< names, by class index
+    std::vector<std::string> classNames;  ///< names, by class index
     core::Counters counters;
     std::size_t openRequests = 0;
     std::size_t listedNodes = 0;
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -52,7 +52,7 @@
     void sweep() override {
         const auto age = Clock::now() - phaseStart_;
         if (!open() || age < (responded_ ? kCloseTimeout : kRequestTimeout)) return;
-        if (!responded_) ++server_.counters_.hung;
+        if (!responded_) ++server_.counters_.timedOut;
         close();
     }
 
@@ -73,7 +73,7 @@
             parseAdminRequest(toView(message.method_string()), toView(message.target()), message.body());
         if (const auto* rejection = std::get_if<AdminResponse>(&parsed)) return reject(*rejection);
         const auto response = handleAdminRequest(std::get<AdminRequest>(parsed), server_.handler_);
-        ++(response.status == 200 ? server_.counters_.yes : server_.counters_.no);
+        ++(response.status == 200 ? server_.counters_.executed : server_.counters_.rejected);
         respond(response);
     }
     void reject(const AdminResponse& response) {
@@ -95,7 +95,7 @@
 AdminServer::AdminServer(boost::asio::io_context& io, const config::Endpoint& address, AdminHandler handler)
     : handler_(std::move(handler)),
       sessionManager_(
-          io, address, kMostCallers,
+          io, address, kMaxConnections,
           [this](net::SessionManager& sessionManager, boost::asio::ip::tcp::socket socket) {
               return std::make_shared<Connection>(*this, sessionManager, std::move(socket));
           },
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -14,16 +14,16 @@
 
 /// Connections at once. Their descriptors are reserved, so clients cannot use them up. Beyond this number the
 /// oldest connection without a complete request is closed, so that stuck operators do not lock out others.
-inline constexpr std::size_t kMostCallers = 24;
+inline constexpr std::size_t kMaxConnections = 24;
 
 class AdminServer {
 public:
     /// How requests ended.
     struct Counters {
-        std::uint64_t yes = 0;        ///< executed
-        std::uint64_t no = 0;         ///< understood, but the response is an error
+        std::uint64_t executed = 0;   ///< executed
+        std::uint64_t rejected = 0;   ///< understood, but the response is an error
         std::uint64_t malformed = 0;  ///< not HTTP, or not a request of the interface
-        std::uint64_t hung = 0;       ///< no complete request in time
+        std::uint64_t timedOut = 0;   ///< no complete request in time
     };
 
     /// Listens from the session manager's `open()` on.
--- a/src/cli/command.cpp
+++ b/src/cli/command.cpp
@@ -20,12 +20,12 @@
      {Kind::DrainNode, "detach", "drain a chunk server until it is attached again"},
      {Kind::UndrainNode, "attach", "end the drain of a chunk server"}}};
 
-void addOptions(CLI::App& app, Files& files) {
+void addOptions(CLI::App& app, CommandFiles& files) {
     app.set_version_flag("--version", "wingproxy " WINGPROXY_VERSION);
-    app.add_option("--config", files.config, "configuration file, JSON")->envname("PROXY_CONFIG");
-    app.add_option("--operator", files.operators, "operator's configuration file, JSON")
+    app.add_option("--config", files.configPath, "configuration file, JSON")->envname("PROXY_CONFIG");
+    app.add_option("--operator", files.operatorConfigPath, "operator's configuration file, JSON")
         ->envname("WINGPROXY_OPERATOR");
-    app.add_option("--mgmt", files.adminListen,
+    app.add_option("--mgmt", files.adminAddress,
                    "ADDRESS:PORT of the operators' interface, if the configuration has none")
         ->envname("PROXY_MGMT");
     app.add_option("--log", files.logLevel, "lowest level that is logged: debug, info, warn or error")
@@ -51,7 +51,7 @@
         "wingproxy"};
     app.require_subcommand(0, 1);
     app.fallthrough();  // options may stand before or after the command
-    Files files;
+    CommandFiles files;
     std::string nodeId;
     addOptions(app, files);
     const auto* const check = app.add_subcommand("check", "read both files without starting anything");
@@ -61,7 +61,7 @@
     } catch (const CLI::ParseError& error) {
         return ExitCommand{app.exit(error) == 0 ? kExitOk : kExitUsage};
     }
-    if (const char* const inherited = std::getenv("PROXY_FD")) files.descriptor = inherited;
+    if (const char* const inherited = std::getenv("PROXY_FD")) files.listenerDescriptor = inherited;
     if (check->parsed()) return CheckCommand{files};
     for (const auto& spec : kAdminCommands)
         if (app.get_subcommand(spec.name)->parsed()) return AdminCommand{files, {spec.kind, nodeId}};
--- a/src/cli/command.h
+++ b/src/cli/command.h
@@ -17,22 +17,26 @@
 inline constexpr int kExitUnreachable = 3;  ///< no front responded
 
 /// What the options say, with the environment's values where an option is missing. Empty: neither has it.
-struct Files {
-    std::string config, operators, adminListen, descriptor, logLevel;
+struct CommandFiles {
+    std::string configPath;
+    std::string operatorConfigPath;
+    std::string adminAddress;        ///< ADDRESS:PORT
+    std::string listenerDescriptor;  ///< number of a descriptor that already listens for clients
+    std::string logLevel;
 };
 
 /// No command: serve, as the platform starts the program.
 struct RunCommand {
-    Files files;
+    CommandFiles files;
 };
 /// Read both files and start nothing.
 struct CheckCommand {
-    Files files;
+    CommandFiles files;
 };
 /// A request to a running front.
 struct AdminCommand {
-    Files files;
-    admin::AdminRequest call;
+    CommandFiles files;
+    admin::AdminRequest request;
 };
 /// Nothing more to do: --help or --version, or a usage error that is printed already.
 struct ExitCommand {
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -11,7 +11,6 @@
 #include "config/config_error.h"
 #include "config/endpoint.h"
 #include "config/endpoint_listing.h"
-#include "config/reload_differences.h"
 #include "wingproxy/policy.h"
 
 namespace wingproxy::config {
--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -15,8 +15,6 @@
     ///                  name of the whole document or file where no field of it is at fault
     /// \param reason what is wrong with it
     ConfigError(std::string fieldPath, std::string reason);
-    /// \param message "FIELD: reason"
-    explicit ConfigError(const std::string& message);
 
     const std::string fieldPath;
     const std::string reason;
--- a/tests/admin/admin_client_test.cpp
+++ b/tests/admin/admin_client_test.cpp
@@ -25,8 +25,8 @@
     const Listener silent;
     const auto result = admin::sendAdminRequest(
         silent.address(), {admin::AdminRequest::Kind::CheckReadiness, ""}, std::chrono::milliseconds(50));
-    CHECK(!result.reply);
-    CHECK(result.why == "no answer in 50 ms");
+    CHECK(!result.response);
+    CHECK(result.error == "no answer in 50 ms");
 }
 
 TEST_CASE("admin client: a response that is not HTTP is an error of reading") {
@@ -38,6 +38,6 @@
     const auto result =
         admin::sendAdminRequest(listener.address(), {admin::AdminRequest::Kind::ReadMetrics, ""});
     server.join();
-    CHECK(!result.reply);
-    CHECK(result.why.starts_with("read: "));
+    CHECK(!result.response);
+    CHECK(result.error.starts_with("read: "));
 }
--- a/tests/admin/admin_request_test.cpp
+++ b/tests/admin/admin_request_test.cpp
@@ -82,7 +82,7 @@
 
 TEST_CASE("admin metrics: the counters have the keys that the platform defines") {
     admin::AdminMetrics metrics;
-    metrics.classes = {"read", "write"};
+    metrics.classNames = {"read", "write"};
     metrics.counters.byClass.resize(3);  // the last one is for requests of no class
     metrics.counters.byClass[0].delivered = 1;
     metrics.counters.byClass[0].refused = 2;
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -33,7 +33,7 @@
                                     rig.engine.nodeCount(),
                                     rig.engine.avoidedNodes()};
         for (const auto& info : rig.engine.settings().classes)
-            metrics.classes.push_back(info.name);
+            metrics.classNames.push_back(info.name);
         return metrics;
     }
     /// The complete response to one HTTP request.
@@ -107,8 +107,8 @@
     admin.send("GET /_ready HTTP/1.1\r\n\r\n");
     admin.post("/_chunk-servers/detach", "s-9");
     admin.send("GET / HTTP/1.1\r\n\r\n");
-    CHECK(admin.server.counters().yes == 1);
-    CHECK(admin.server.counters().no == 1);
+    CHECK(admin.server.counters().executed == 1);
+    CHECK(admin.server.counters().rejected == 1);
     CHECK(admin.server.counters().malformed == 1);
 }
 
@@ -116,11 +116,11 @@
     Rig rig;
     AdminFixture admin(rig);
     std::vector<WirePtr> stuck;
-    for (std::size_t i = 0; i < admin::kMostCallers; ++i) {
+    for (std::size_t i = 0; i < admin::kMaxConnections; ++i) {
         stuck.push_back(rig.connect(admin.server.sessionManager().address()));
         if (i % 2) stuck.back()->say("POST /_chunk-servers/det");
     }
-    rig.until([&] { return admin.server.sessionManager().connections() == admin::kMostCallers; });
+    rig.until([&] { return admin.server.sessionManager().connections() == admin::kMaxConnections; });
     const auto start = std::chrono::steady_clock::now();
     CHECK(hasStatus(admin.send("GET /_ready HTTP/1.1\r\n\r\n"), 200));
     CHECK(std::chrono::steady_clock::now() - start < std::chrono::seconds(1));
--- a/tests/cli/command_test.cpp
+++ b/tests/cli/command_test.cpp
@@ -49,15 +49,15 @@
 TEST_CASE("command: without a command the program serves") {
     const CleanEnvironment environment;
     const auto command = std::get<cli::RunCommand>(parse({"--config", "a.json", "--log", "warn"}));
-    CHECK(command.files.config == "a.json");
+    CHECK(command.files.configPath == "a.json");
     CHECK(command.files.logLevel == "warn");
-    CHECK(command.files.operators.empty());
+    CHECK(command.files.operatorConfigPath.empty());
 }
 
 TEST_CASE("command: options may stand before or after the command") {
     const CleanEnvironment environment;
-    CHECK(std::get<cli::CheckCommand>(parse({"--config", "a.json", "check"})).files.config == "a.json");
-    CHECK(std::get<cli::CheckCommand>(parse({"check", "--config", "a.json"})).files.config == "a.json");
+    CHECK(std::get<cli::CheckCommand>(parse({"--config", "a.json", "check"})).files.configPath == "a.json");
+    CHECK(std::get<cli::CheckCommand>(parse({"check", "--config", "a.json"})).files.configPath == "a.json");
 }
 
 TEST_CASE("command: the environment has the values of missing options") {
@@ -68,17 +68,17 @@
     setenv("WINGPROXY_LOG", "debug", 1);
     setenv("PROXY_FD", "7", 1);
     const auto command = std::get<cli::RunCommand>(parse({"--config", "option.json"}));
-    CHECK(command.files.config == "option.json");
-    CHECK(command.files.operators == "operator.json");
-    CHECK(command.files.adminListen == "127.0.0.1:9");
+    CHECK(command.files.configPath == "option.json");
+    CHECK(command.files.operatorConfigPath == "operator.json");
+    CHECK(command.files.adminAddress == "127.0.0.1:9");
     CHECK(command.files.logLevel == "debug");
-    CHECK(command.files.descriptor == "7");
+    CHECK(command.files.listenerDescriptor == "7");
 }
 
 TEST_CASE("command: each admin command is its request") {
     const CleanEnvironment environment;
     const auto requestOf = [](std::vector<const char*> arguments) {
-        return std::get<cli::AdminCommand>(parse(std::move(arguments))).call;
+        return std::get<cli::AdminCommand>(parse(std::move(arguments))).request;
     };
     CHECK(requestOf({"ready"}).kind == AdminRequest::Kind::CheckReadiness);
     CHECK(requestOf({"vars"}).kind == AdminRequest::Kind::ReadMetrics);
