--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -6,8 +6,8 @@
 namespace wingproxy::test {
 namespace {
 
-// While a release leaves a cell without a node, nothing is overloaded there: its level fell to nothing all
-// the same, and the new node stood idle for seconds while its cell's work was rejected as spare.
+// While a release leaves a cell without a node, nothing is overloaded there: its water level fell to nothing
+// all the same, and the new node stood idle for seconds while its cell's work was rejected as spare.
 TEST(Admission, ACellThatWasWithoutANodeServesAllItsWorkOnceItHasOne) {
     Host h = ready();
     RequestId id = 0;
--- a/tests/policy/attempt_tracker_test.cpp
+++ b/tests/policy/attempt_tracker_test.cpp
@@ -11,7 +11,7 @@
 TEST(AttemptTracker, AnOvertakenAttemptIsCancelledAndRetriedAndOthersAreNot) {
     auto s = settings();
     s.mayCancel = true;
-    for (const int cls : {0, 2}) {  // safe; never to be repeated
+    for (const int cls : {0, 2}) {  // idempotent; not idempotent
         Host host(s, kStart);
         host.batch({nodes({node("a", 0)})});
         ASSERT_EQ(only<ForwardRequest>(host.batch({request(1, cls, 1, host.now)})).size(), 1u);
--- a/tests/policy/cluster_view_test.cpp
+++ b/tests/policy/cluster_view_test.cpp
@@ -52,7 +52,7 @@
 // Discovery answers all hosts in turn: when many start at once, or their calls failed at once, they must not
 // come back at once. What it can't answer in time has failed, and is asked again on top of the others.
 // Checked: in no tenth of a second do more than a twelfth of 300 hosts call, and each one calls within the
-// rule's term.
+// poll interval.
 TEST(ClusterView, ManyHostsSpreadTheirCallsToDiscovery) {
     constexpr int kHosts = 300;
     std::map<Micros, int> first, again;  // calls by tenth of a second
--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -9,8 +9,8 @@
 namespace wingproxy::test {
 namespace {
 
-// One of a hundred hosts with a hundredth of what a cell is asked; its answers took so long. How many it has
-// out.
+// One of a hundred hosts with a hundredth of what a cell is asked; its answers took so long. how many
+// attempts it has outstanding.
 std::size_t attemptsAfterAnswer(Micros took) {
     Host h(settings(0, 100), kStart);
     h.batch({nodes({node("a", 0), node("b", 1)})});
--- a/tests/policy/lease_allocator_test.cpp
+++ b/tests/policy/lease_allocator_test.cpp
@@ -1,4 +1,4 @@
-// Module tests: the chunk leases. Several hosts, hand-made messages between them, and the rule that what
+// Module tests: leases of chunks. Several hosts, hand-made messages between them, and the rule that what
 // all of them send for a limited volume never passes its store.
 #include <gtest/gtest.h>
 
@@ -151,7 +151,7 @@
     EXPECT_GT(sum, 5 * 3 * 20 * 0.95);  // of the limit
 }
 
-// A volume that is asked for at one host alone is not forgotten at the others: they lend their part of it.
+// A volume that is asked for at one host alone is not forgotten at the others: they grant their part of it.
 TEST(LeaseAllocator, AHostThatIsNotAskedForAVolumeGoesOnGranting) {
     Fleet f(3);
     f.run(2 * kSecond, {{0, 2}, {1, 2}, {2, 2}});
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -11,7 +11,7 @@
     h.batch({request(1, 2, 1, h.now)});
     h.now += 2 * kSecond;
     const auto actions = h.batch({ended(1, 0, "a", Outcome::Timeout, 2 * kSecond)});
-    EXPECT_EQ(only<FailRequest>(actions).size(), 1u);  // unsafe and may have run: never a rejection
+    EXPECT_EQ(only<FailRequest>(actions).size(), 1u);  // not idempotent and may have run: never a rejection
     EXPECT_EQ(only<RejectRequest>(actions).size(), 0u);
     EXPECT_EQ(finals(h.runTo(h.now + kSecond)), 0u);
 }
@@ -59,7 +59,7 @@
     EXPECT_EQ(sends[0].id, 2u);
     auto three = request(3, 3, 1, h.now);
     three.key = "same";
-    h.batch({three, RequestCancelled{2}});  // 2 ended, its attempt still out
+    h.batch({three, RequestCancelled{2}});  // 2 ended, its attempt is outstanding
     EXPECT_EQ(only<ForwardRequest>(h.runTo(h.now + 50 * kMs)).size(), 0u);
     h.batch({ended(2, 0, "a", Outcome::Timeout)});
     EXPECT_EQ(only<ForwardRequest>(h.runTo(h.now + 200 * kMs)).size(), 0u);  // the key is paused for 300 ms
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -35,12 +35,12 @@
     EXPECT_LE(unitsToStartingNode(s, Outcome::Ok, false), free);  // silent: the hosts' part, then nothing
     EXPECT_GE(unitsToStartingNode(s, Outcome::Ok, false), 2);
     EXPECT_LE(unitsToStartingNode(s, Outcome::Rejected, true),
-              free);  // rejects add to the push: never given back
+              free);                                                 // rejected units are never given back
     EXPECT_GT(unitsToStartingNode(s, Outcome::Ok, true), 3 * free);  // it answers: as much again
 }
 
-// Requests sent to a starting node that answers none, 40 s after it was sent all that it may be; slow start
-// is counted over a longer window here. Meanwhile it is off the list, or stays on it.
+// Requests sent to a starting node that answers none, 40 s after it was sent all that slow start allows,
+// which counts over a longer window here. Meanwhile it is off the list, or stays on it.
 std::size_t sentAgainToStartingNode(bool offTheList) {
     auto s = settings(0, 1);
     s.slowStartWindowUs = 90 * kSecond;
