--- a/src/policy/dispatcher.cpp
+++ b/src/policy/dispatcher.cpp
@@ -74,8 +74,9 @@
     for (const auto& [key, request] : queues_.of(number).entries()) {
         const int node = chooseNode(*request, cell);
         if (node < 0) continue;
-        dequeue(*request);
-        attempts_.send(*request, node);
+        PendingRequest& chosen = *request;  // `request` lies in the queue's entry, which goes now
+        dequeue(chosen);
+        attempts_.send(chosen, node);
         return true;
     }
     return false;
