--- a/src/config/endpoint.h
+++ b/src/config/endpoint.h
@@ -13,7 +13,8 @@
 struct Endpoint {
     std::string host;
     std::uint16_t port = 0;
-    auto operator<=>(const Endpoint&) const = default;
+    // clang-tidy 14 takes the 0 of the defaulted comparison for a null pointer.
+    auto operator<=>(const Endpoint&) const = default;  // NOLINT(modernize-use-nullptr)
 };
 
 /// Reads "ADDRESS:PORT".
