--- a/src/net/http_step.h
+++ b/src/net/http_step.h
@@ -94,7 +94,7 @@
     void append(RingBuffer& in, std::string& to, std::size_t maxBytes, boost::system::error_code& error) {
         // Zeroing 16 KiB on each call would cost more than reading a short body.
         // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init): only bytes that body() wrote are read
-        std::array<char, 16 * 1024> piece;
+        std::array<char, std::size_t{16} * 1024> piece;
         auto count = piece.size();
         while (count == piece.size() && to.size() <= maxBytes && !error) {
             count = body(in, piece.data(), piece.size(), error);
