--- a/src/app/metrics_report.cpp
+++ b/src/app/metrics_report.cpp
@@ -19,9 +19,9 @@
         case Cause::ShutdownNotice:
             return "shutdown_notice";
         case Cause::AllPeersReplied:
-            return "everyone";
+            return "all_peers";
         case Cause::LeaseExpired:
-            return "lease";
+            return "lease_expired";
     }
     return "nothing";
 }
@@ -40,10 +40,10 @@
              {"rejected", answers.rejected},
              {"failed", answers.failed},
              {"disconnected", counters.disconnected},
-             {"overdue", counters.deadlineExceeded},
+             {"deadline_exceeded", counters.deadlineExceeded},
              {"open", openRequests},
-             {"withdrawn", counters.cancelledBeforeSent},
-             {"too_late", counters.lastByteTimeouts}}};
+             {"cancelled_before_sent", counters.cancelledBeforeSent},
+             {"last_byte_timeouts", counters.lastByteTimeouts}}};
 }
 
 MetricGroup describeAttempts(const core::Counters& counters) {
@@ -52,7 +52,7 @@
              {"written", counters.requestsSent},
              {"ok", countOf(counters, Outcome::Ok)},
              {"error", countOf(counters, Outcome::Error)},
-             {"full", countOf(counters, Outcome::Rejected)},
+             {"rejected", countOf(counters, Outcome::Rejected)},
              {"timeout", countOf(counters, Outcome::Timeout)},
              {"connect_failed", countOf(counters, Outcome::ConnectFailed)},
              {"reset", countOf(counters, Outcome::Reset)},
@@ -79,9 +79,9 @@
              {"unread", counters.unread},
              {"repeated", counters.repeated},
              {"no_memory", counters.noMemory},
-             {"crowded", counters.crowded},
+             {"capacity_rejections", counters.crowded},
              {"pipelined", counters.pipelined},
-             {"hung_up", connections.hungUp}}};
+             {"hang_ups", connections.hungUp}}};
 }
 
 MetricGroup describeRsync(const rsync::Front::Counters& counters, const ConnectionMetrics& connections) {
@@ -142,9 +142,9 @@
     const auto cause = recovery.isRecovered(now) ? recovery.recoveryCause()
                                                  : fleet::RestartRecovery::RecoveryCause::NotRecovered;
     return {"fleet",
-            {{"clear_by", nameOf(cause)},
-             {"lends", recovery.mayLend(now)},
-             {"lives", counters.newIncarnations},
+            {{"recovered_by", nameOf(cause)},
+             {"may_lend", recovery.mayLend(now)},
+             {"new_incarnations", counters.newIncarnations},
              {"shutdown_notices", counters.storedNotices},
              {"stale", counters.stale},
              {"malformed", counters.malformed}}};
--- a/tests/app/metrics_report_test.cpp
+++ b/tests/app/metrics_report_test.cpp
@@ -21,8 +21,9 @@
     counters.cancelledBeforeSent = 8;
     counters.lastByteTimeouts = 9;
     CHECK(formatLine(describeRequests(counters, 7)) ==
-          "counters requests: taken=1 delivered=11 rejected=22 failed=33 disconnected=5 overdue=6 open=7 "
-          "withdrawn=8 too_late=9");
+          "counters requests: taken=1 delivered=11 rejected=22 failed=33 disconnected=5 deadline_exceeded=6 "
+          "open=7 "
+          "cancelled_before_sent=8 last_byte_timeouts=9");
 }
 
 TEST_CASE("metrics: attempts are counted by outcome") {
@@ -33,7 +34,7 @@
     counters.lateResults = 11;
     counters.batches = 12;
     CHECK(formatLine(describeAttempts(counters)) ==
-          "counters attempts: sent=1 written=2 ok=3 error=4 full=5 timeout=6 connect_failed=7 reset=8 "
+          "counters attempts: sent=1 written=2 ok=3 error=4 rejected=5 timeout=6 connect_failed=7 reset=8 "
           "cancelled=9 not_started=10 late=11 batches=12");
 }
 
@@ -55,8 +56,9 @@
     counters.pipelined = 17;
     CHECK(formatLine(describeHttp(counters, {1, 2, 10, 18})) ==
           "counters http: connections=1 open=2 requests=3 ok=4 rejected=5 failed=6 malformed=7 too_large=8 "
-          "unsupported=9 closed_idle=10 silent=11 slow=12 unread=13 repeated=14 no_memory=15 crowded=16 "
-          "pipelined=17 hung_up=18");
+          "unsupported=9 closed_idle=10 silent=11 slow=12 unread=13 repeated=14 no_memory=15 "
+          "capacity_rejections=16 "
+          "pipelined=17 hang_ups=18");
 }
 
 TEST_CASE("metrics: the rsync front's line has its connections and its transfers") {
@@ -118,9 +120,10 @@
     constexpr Micros kLease = 2'000'000;
     const fleet::RestartRecovery recovery({0, 3, kLease, true}, kStart);
     CHECK(formatLine(describeFleet(recovery, kStart)) ==
-          "counters fleet: clear_by=nothing lends=false lives=0 shutdown_notices=0 stale=0 malformed=0");
+          "counters fleet: recovered_by=nothing may_lend=false new_incarnations=0 shutdown_notices=0 stale=0 "
+          "malformed=0");
     CHECK(formatLine(describeFleet(recovery, kStart + 2 * kLease))
-              .starts_with("counters fleet: clear_by=lease "));
+              .starts_with("counters fleet: recovered_by=lease_expired "));
 }
 
 TEST_CASE("metrics: reloads of the configuration") {
--- a/tests/fleet/fleet_process_test.cpp
+++ b/tests/fleet/fleet_process_test.cpp
@@ -28,7 +28,7 @@
     for (std::size_t i = 0; i < fleet.fronts.size(); ++i)
         fleet.start(i);
     for (std::size_t i = 0; i < fleet.fronts.size(); ++i)
-        fleet.untilFleetSays(i, "lends=true");
+        fleet.untilFleetSays(i, "may_lend=true");
 }
 
 void loadUntilServed(Fleet& fleet, int requests) {
@@ -62,13 +62,13 @@
     CHECK(fleet.fronts[0]->status == 0);
     const auto restartedAt = std::chrono::steady_clock::now();
     fleet.start(0);
-    fleet.untilFleetSays(0, "clear_by=shutdown_notice");
+    fleet.untilFleetSays(0, "recovered_by=shutdown_notice");
     CHECK(std::chrono::steady_clock::now() - restartedAt < std::chrono::seconds(10));
     // Not before front 3, which is a notice holder too, knows of this incarnation.
-    CHECK(!fleet.fronts[0]->said("lends=true"));
+    CHECK(!fleet.fronts[0]->said("may_lend=true"));
     fleet.start(3);
     loadUntil(
-        fleet, [&] { return fleet.says(0, "lends=true"); }, "it lends again");
+        fleet, [&] { return fleet.says(0, "may_lend=true"); }, "it lends again");
     CHECK(fleet.relay->counters().lost > 0);
     CHECK(fleet.relay->counters().doubled > 0);
     CHECK(fleet.relay->counters().largest <= 256);
@@ -89,9 +89,9 @@
             fleet, [&] { return !fleet.fronts[0]->running(); }, "it is dead");
         fleet.start(0);
         loadUntil(
-            fleet, [&] { return fleet.says(0, "clear_by=lease"); }, "its leases have expired");
-        CHECK(!fleet.fronts[0]->said("clear_by=shutdown_notice"));
-        CHECK(!fleet.fronts[0]->said("lends=true"));
+            fleet, [&] { return fleet.says(0, "recovered_by=lease_expired"); }, "its leases have expired");
+        CHECK(!fleet.fronts[0]->said("recovered_by=shutdown_notice"));
+        CHECK(!fleet.fronts[0]->said("may_lend=true"));
     }
     loadUntilServed(fleet, 20);
     CHECK(fleet.refused > 0);  // the limit was reached
