--- a/src/policy/policy_events.cpp
+++ b/src/policy/policy_events.cpp
@@ -1,6 +1,5 @@
-// The public interface of the policy, the events of which it only keeps account, and the snapshot. What is
-// decided on other events stands in policy.cpp. The public interface of the policy, and its snapshot: the
-// state of all parts is collected, and given back to them.
+// The public interface of the policy, the events of which it only keeps account, and its snapshot: the state
+// of all parts is collected, and given back to them. What is decided on other events stands in policy.cpp.
 #include "policy/policy_impl.h"
 
 namespace wingproxy {
