--- a/tests/app/metrics_report_test.cpp
+++ b/tests/app/metrics_report_test.cpp
@@ -96,10 +96,10 @@
 
 TEST_CASE("metrics: admin requests") {
     admin::AdminServer::Counters counters;
-    counters.yes = 3;
-    counters.no = 4;
+    counters.executed = 3;
+    counters.rejected = 4;
     counters.malformed = 5;
-    counters.hung = 6;
+    counters.timedOut = 6;
     CHECK(formatLine(describeAdmin(counters, {1, 2, 0, 0})) ==
           "counters admin: connections=1 open=2 executed=3 rejected=4 malformed=5 timed_out=6");
 }
