--- a/adapter/wire_actions.cpp
+++ b/adapter/wire_actions.cpp
@@ -31,7 +31,7 @@
     void operator()(const CancelAttempt& action) {
         begin("ABORT_ATTEMPT");
         add("corr", action.id);
-        add("shot", action.attempt);
+        add("shot", action.attempt.value());
     }
     void operator()(const StartHealthCheck& action) {
         begin("PROBE");
@@ -39,10 +39,10 @@
     }
     void operator()(const SendPeerMessage& action) {
         begin("NOTIFY");
-        if (action.to < 0)
+        if (action.to.isEveryPeer())
             add("to", "*");
         else
-            add("to", action.to);
+            add("to", action.to.host().value());
         add("raw", encodeBase64(action.bytes));
     }
     void operator()(const SetTimer& action) {
--- a/adapter/wire_events.cpp
+++ b/adapter/wire_events.cpp
@@ -43,12 +43,12 @@
                                                             {"warm_copy", EndpointListKind::Cached},
                                                             {"lost", EndpointListKind::Unavailable}}}};
 
-/// The index of the last class or plan of this name, as an "UP" line may repeat one; -1: none.
-template <typename List>
-int lastIndexOf(const List& list, std::string_view name) {
+/// The index of the last class or plan of this name, as an "UP" line may repeat one; none if there is none.
+template <typename IndexType, typename List>
+IndexType lastIndexOf(const List& list, std::string_view name) {
     for (std::size_t i = list.size(); i > 0; --i)
-        if (list[i - 1].name == name) return static_cast<int>(i - 1);
-    return -1;
+        if (list[i - 1].name == name) return IndexType::ofPosition(i - 1);
+    return {};
 }
 
 /// Numbers separated by commas, one for each of Settings::reportColumns.
@@ -81,18 +81,18 @@
     request.volume = line.text("disk", "");
     request.deadlineUs = line.integer("validUntilUs");
     request.units = line.number("sizeUnits", 1);
-    request.cell = static_cast<int>(line.integer("liesIn", -1));
+    request.cell = CellIndex(static_cast<int>(line.integer("liesIn", CellIndex::kNoneValue)));
     request.volumeHosts = static_cast<int>(line.integer("setSize", 1));
     request.retry = line.flag("retry");
-    request.classIndex = lastIndexOf(settings.classes, line.text("qos", ""));
-    request.planIndex = lastIndexOf(settings.plans, line.text("grade", ""));
+    request.classIndex = lastIndexOf<ClassIndex>(settings.classes, line.text("qos", ""));
+    request.planIndex = lastIndexOf<PlanIndex>(settings.plans, line.text("grade", ""));
     return {std::move(request)};
 }
 
 AttemptOutcome parseAttemptOutcome(const WireLine& line) {
     AttemptOutcome attempt;
     attempt.id = line.natural("corr");
-    attempt.attempt = static_cast<int>(line.integer("shot", 0));
+    attempt.attempt = AttemptIndex(static_cast<int>(line.integer("shot", 0)));
     attempt.node = line.text("shelf", "");
     attempt.outcome = line.choice("code", kOutcomeNames);
     attempt.elapsedUs = line.integer("waitTimeUs", 0);
@@ -106,7 +106,7 @@
 ResponseStarted parseResponseStarted(const WireLine& line) {
     ResponseStarted response;
     response.id = line.natural("corr");
-    response.attempt = static_cast<int>(line.integer("shot", 0));
+    response.attempt = AttemptIndex(static_cast<int>(line.integer("shot", 0)));
     response.node = line.text("shelf", "");
     response.elapsedUs = line.integer("waitTimeUs", 0);
     return response;
@@ -114,7 +114,7 @@
 
 PeerMessageReceived parsePeerMessage(const WireLine& line) {
     PeerMessageReceived message;
-    message.from = static_cast<int>(line.integer("from"));
+    message.from = HostIndex(static_cast<int>(line.integer("from")));
     if (!decodeBase64(line.text("raw"), message.bytes)) line.fail("raw", "not base64");
     return message;
 }
@@ -151,7 +151,7 @@
     NodeInfo node;
     node.id = line.text("shelf");
     node.zone = line.text("area", "");
-    node.cell = static_cast<int>(line.integer("cohort", 0));
+    node.cell = CellIndex(static_cast<int>(line.integer("cohort", 0)));
     node.rating = line.number("rating", 1);
     node.startedUs = line.integer("launchedUs", 0);
     node.state = line.choice("readiness", kNodeStateNames);
--- a/include/wingproxy/policy.h
+++ b/include/wingproxy/policy.h
@@ -15,6 +15,8 @@
 #include <variant>
 #include <vector>
 
+#include "wingproxy/index.h"
+
 namespace wingproxy::fleet {
 class RestartRecovery;
 }
@@ -70,7 +72,7 @@
 /// Everything that differs from one deployment to another.
 struct Settings {
     std::uint64_t seed = 0;
-    int hostIndex = 0;  ///< this host's number, from 0 to hostCount - 1
+    HostIndex hostIndex{0};  ///< this host, below hostCount
     int hostCount = 1;
     std::string zone;
     std::vector<ClassInfo> classes;
@@ -133,7 +135,7 @@
 struct NodeInfo {
     std::string id;
     std::string zone;
-    int cell = 0;
+    CellIndex cell{0};
     double rating = 1;
     NodeState state = NodeState::Ready;
     Micros startedUs = 0;  ///< 0: long ago
@@ -155,13 +157,13 @@
 /// A client's request, in terms that no protocol has a part in.
 struct Request {
     RequestId id = 0;
-    int classIndex = -1;  ///< into Settings::classes; -1: unknown name
-    int planIndex = -1;   ///< into Settings::plans; -1: unknown name
-    std::string key;      ///< idempotency key, and the key of ordered classes
+    ClassIndex classIndex;  ///< none: unknown name
+    PlanIndex planIndex;    ///< none: unknown name
+    std::string key;        ///< idempotency key, and the key of ordered classes
     std::string volume;
     Micros deadlineUs = 0;  ///< the client must have its final answer by then
     double units = 1;
-    int cell = -1;  ///< the cell that holds the object; -1: a new object, any cell
+    CellIndex cell;  ///< the cell that holds the object; none: a new object, any cell
     int volumeHosts = 1;
     bool retry = false;           ///< the client tries again
     bool bodyIncomplete = false;  ///< its body is still coming
@@ -193,7 +195,7 @@
 };
 struct AttemptOutcome {
     RequestId id = 0;
-    int attempt = 0;  ///< counts the attempts of its request, from 0
+    AttemptIndex attempt{0};
     std::string node;
     Outcome outcome = Outcome::Ok;
     Micros elapsedUs = 0;        ///< since the attempt started
@@ -206,7 +208,7 @@
 /// The node's response began.
 struct ResponseStarted {
     RequestId id = 0;
-    int attempt = 0;
+    AttemptIndex attempt{0};
     std::string node;
     Micros elapsedUs = 0;
     bool nodeDone = false;   ///< the node has done its work, only bytes follow
@@ -228,7 +230,7 @@
     std::uint64_t token = 0;
 };
 struct PeerMessageReceived {
-    int from = 0;  ///< a host index
+    HostIndex from{0};
     std::string bytes;
 };
 struct HealthCheckCompleted {
@@ -261,13 +263,28 @@
 };
 struct CancelAttempt {
     RequestId id = 0;
-    int attempt = 0;
+    AttemptIndex attempt{0};
 };
 struct StartHealthCheck {
     std::string node;
 };
+/// Who gets a peer message: one host, or every other host of the tier.
+class PeerRecipient {
+public:
+    /// One host. Implicit, as a host is the usual recipient.
+    constexpr PeerRecipient(HostIndex host) : host_(host) {}
+    [[nodiscard]] static constexpr PeerRecipient everyPeer() { return PeerRecipient(HostIndex()); }
+    [[nodiscard]] constexpr bool isEveryPeer() const { return host_.isNone(); }
+    /// The one host; none if the message goes to every peer.
+    [[nodiscard]] constexpr HostIndex host() const { return host_; }
+    constexpr bool operator==(const PeerRecipient&) const = default;
+
+private:
+    HostIndex host_;
+};
+/// Sends a datagram, which may be lost.
 struct SendPeerMessage {
-    int to = 0;  ///< a host index; -1: every peer
+    PeerRecipient to = PeerRecipient::everyPeer();
     std::string bytes;
 };
 struct SetTimer {
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -93,7 +93,7 @@
 
 void Proxy::installEffectHandlers() {
     engine_.setEffectHandlers({
-        [this](int to, const std::string& bytes) { peers_.send(to, bytes); },
+        [this](PeerRecipient to, const std::string& bytes) { peers_.send(to, bytes); },
         [this](bool watching) { discovery_.setWatching(watching); },
         [this](const std::string& id, const config::Endpoint& address) {
             http::probe(engine_, httpPool_, id, address);
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -43,12 +43,13 @@
 /// \throws ConfigError if one of them is malformed
 void applyEnvironment(Config& config, const char* adminListen, const char* listenerFd);
 
-/// The index of the class or plan with this name; -1: none.
-template <typename List>
-int indexOf(const List& list, std::string_view name) {
+/// The index of the class or plan with this name, if there is one.
+/// \tparam IndexType `ClassIndex` or `PlanIndex`
+template <typename IndexType, typename List>
+IndexType indexOf(const List& list, std::string_view name) {
     const auto found =
         std::find_if(list.begin(), list.end(), [&](const auto& item) { return item.name == name; });
-    return found == list.end() ? -1 : static_cast<int>(found - list.begin());
+    return found == list.end() ? IndexType() : IndexType(static_cast<int>(found - list.begin()));
 }
 
 /// The whole content of a file.
--- a/src/config/endpoint_listing.cpp
+++ b/src/config/endpoint_listing.cpp
@@ -21,8 +21,10 @@
     node.id = object.text("instanceId");
     if (node.id.empty()) object.fail("instanceId", "empty");
     object.text("zone", node.zone);
-    object.number("cell", node.cell);
-    if (node.cell < 0 || node.cell > kMaxCell) object.fail("cell", "out of range");
+    int cell = 0;
+    object.number("cell", cell);
+    if (cell < 0 || cell > kMaxCell) object.fail("cell", "out of range");
+    node.cell = CellIndex(cell);
     object.number("weight", node.rating);
     object.choice("lifecycle", node.state, kNodeStateNames);
     Micros startedMs = 0;
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -19,29 +19,29 @@
 /// A push is retried with its idempotency key.
 constexpr TransferRequirement kPush{RetrySafety::IdempotentWithKey, "a class with idempotency keys"};
 
-int readClass(const JsonObject& object, std::string_view key, const Settings& settings,
-              const TransferRequirement& required) {
-    if (!object.has(key)) return -1;
+ClassIndex readClass(const JsonObject& object, std::string_view key, const Settings& settings,
+                     const TransferRequirement& required) {
+    if (!object.has(key)) return {};
     const auto name = object.text(key);
-    const int index = indexOf(settings.classes, name);
-    if (index < 0) object.fail(key, fmt::format("unknown class '{}'", name));
-    if (settings.classes[static_cast<std::size_t>(index)].retrySafety != required.retrySafety)
+    const auto index = indexOf<ClassIndex>(settings.classes, name);
+    if (index.isNone()) object.fail(key, fmt::format("unknown class '{}'", name));
+    if (settings.classes[index.position()].retrySafety != required.retrySafety)
         object.fail(key, fmt::format("'{}' is not {}", name, required.description));
     return index;
 }
 
-int readPlan(const JsonObject& object, const Settings& settings) {
+PlanIndex readPlan(const JsonObject& object, const Settings& settings) {
     const auto name = object.text("plan");
-    const int index = indexOf(settings.plans, name);
-    if (index < 0) object.fail("plan", fmt::format("unknown plan '{}'", name));
+    const auto index = indexOf<PlanIndex>(settings.plans, name);
+    if (index.isNone()) object.fail("plan", fmt::format("unknown plan '{}'", name));
     return index;
 }
 
-int readCell(const JsonObject& object, const Settings& settings) {
+CellIndex readCell(const JsonObject& object, const Settings& settings) {
     const int cell = static_cast<int>(object.real("cell"));
     if (cell < 0 || (settings.cellCount > 0 && cell >= settings.cellCount))
         object.fail("cell", "no such cell");
-    return cell;
+    return CellIndex(cell);
 }
 
 Micros readDeadline(const JsonObject& object) {
@@ -77,7 +77,7 @@
     module.deadlineUs = readDeadline(object);
     module.pullClass = readClass(object, "pull_class", settings, kPull);
     module.pushClass = readClass(object, "push_class", settings, kPush);
-    if (module.pullClass < 0 && module.pushClass < 0)
+    if (module.pullClass.isNone() && module.pushClass.isNone())
         object.fail("pull_class", "missing, and so is push_class");
     return module;
 }
--- a/src/config/operator_config.h
+++ b/src/config/operator_config.h
@@ -20,11 +20,11 @@
     std::string comment;     ///< in the list of modules
     std::string nodeModule;  ///< the module's name at the nodes
     std::string volume;
-    int plan = -1;          ///< index into Settings::plans
-    int cell = 0;           ///< the cell that holds the module's files
+    PlanIndex plan;
+    CellIndex cell{0};      ///< the cell that holds the module's files
     int hosts = 1;          ///< hosts over which the volume's requests are spread
-    int pullClass = -1;     ///< index into Settings::classes; -1: clients may not pull
-    int pushClass = -1;     ///< index into Settings::classes; -1: clients may not push
+    ClassIndex pullClass;   ///< none: clients may not pull
+    ClassIndex pushClass;   ///< none: clients may not push
     double units = 1;       ///< units of work of a transfer
     Micros deadlineUs = 0;  ///< duration of a transfer at the most
 };
--- a/src/config/settings_fields.h
+++ b/src/config/settings_fields.h
@@ -65,7 +65,9 @@
 /// Fields of the settings themselves that say which host this is.
 template <typename Reader>
 void readHostFields(const Reader& reader, Settings& settings) {
-    reader.number("me", settings.hostIndex);
+    int hostIndex = settings.hostIndex.value();
+    reader.number("me", hostIndex);
+    settings.hostIndex = HostIndex(hostIndex);
     reader.number("replicasOfMe", settings.hostCount);
     reader.text("zone", settings.zone);
 }
--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -59,8 +59,7 @@
     const auto extra = object.child("extra");
     readExtraFields(extra, settings);
     readWritingClasses(extra, settings.classes);
-    if (settings.hostIndex < 0 || settings.hostIndex >= settings.hostCount)
-        object.fail("me", "not below replicasOfMe");
+    if (!settings.hostIndex.isBelow(settings.hostCount)) object.fail("me", "not below replicasOfMe");
     if (settings.cellCount < 0 || settings.cellCount > kMaxCells) extra.fail("shards", "out of range");
     return settings;
 }
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -18,7 +18,7 @@
     static constexpr Micros kNever = INT64_MAX;  ///< a point in time that does not come
 
     RequestId id = 0;
-    int attempt = 0;  ///< counts the attempts of the request, from 0
+    AttemptIndex attempt{0};
     std::string node;
     Micros firstByteBy = 0;      ///< after this time the first byte must not be written
     Micros timeoutAt = 0;        ///< the attempt is stopped if it has not ended by then
@@ -28,13 +28,13 @@
 /// Closes the attempt's connection; the attempt reports nothing more.
 struct StopAttempt {
     RequestId id = 0;
-    int attempt = 0;
+    AttemptIndex attempt{0};
 };
 
 /// The final answer is this attempt's response.
 struct DeliverResponse {
     RequestId id = 0;
-    int attempt = 0;
+    AttemptIndex attempt{0};
 };
 
 /// The final answer is that nothing ran and the client may try again.
--- a/src/core/events.h
+++ b/src/core/events.h
@@ -17,7 +17,7 @@
 /// An attempt ended at its node, or on the way there.
 struct AttemptFinished {
     RequestId id = 0;
-    int attempt = 0;
+    AttemptIndex attempt{0};
     Outcome outcome = Outcome::Ok;
     double loadPercent = 0;          ///< how busy the node reports to be
     double loadElsewhere = 0;        ///< units a second that other hosts send to the node, as it reports
@@ -28,19 +28,19 @@
 /// The last byte of the request was sent to the attempt's node.
 struct AttemptRequestSent {
     RequestId id = 0;
-    int attempt = 0;
+    AttemptIndex attempt{0};
 };
 
 /// The head of the node's response arrived while its body is still coming: the node has done its work.
 struct ResponseHeadReceived {
     RequestId id = 0;
-    int attempt = 0;
+    AttemptIndex attempt{0};
 };
 
 /// The first bytes of the node's response went to the client.
 struct ResponseForwardingStarted {
     RequestId id = 0;
-    int attempt = 0;
+    AttemptIndex attempt{0};
     bool unbounded = false;  ///< no deadline applies any more: the node has done its work, only bytes follow
 };
 
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -6,11 +6,13 @@
 namespace wingproxy::core {
 namespace {
 
-Timer requestDeadlineTimer(RequestId id, Micros at) { return {at, TimerKind::RequestDeadline, id, 0}; }
-Timer attemptTimer(RequestId id, int attempt, Micros at) {
+Timer requestDeadlineTimer(RequestId id, Micros at) { return {at, TimerKind::RequestDeadline, id, {}}; }
+Timer attemptTimer(RequestId id, AttemptIndex attempt, Micros at) {
     return {at, TimerKind::AttemptTimeout, id, attempt};
 }
-Timer lastByteTimer(RequestId id, int attempt, Micros at) { return {at, TimerKind::LastByte, id, attempt}; }
+Timer lastByteTimer(RequestId id, AttemptIndex attempt, Micros at) {
+    return {at, TimerKind::LastByte, id, attempt};
+}
 
 /// The attempt never ran at its node, so that the request's bytes do not matter.
 bool neverRan(Outcome outcome) { return outcome == Outcome::ConnectFailed || outcome == Outcome::Rejected; }
@@ -131,12 +133,12 @@
     // does one whose request is not complete at its node: nobody waits for that work. The outcome of any
     // other attempt still says something about its node.
     const bool endsWithClient = request->unbounded || request->bodyIncomplete;
-    std::vector<int> cancelled;
+    std::vector<AttemptIndex> cancelled;
     for (const auto& [number, attempt] : request->attempts) {
         if (endsWithClient || !attempt.requestSent) cancelled.push_back(number);
         if (!attempt.requestSent) ++counters_.cancelledBeforeSent;
     }
-    for (const int attempt : cancelled)
+    for (const AttemptIndex attempt : cancelled)
         stopAttempt(input.id, attempt, Outcome::Cancelled);
     eraseIfFinished(input.id);
 }
@@ -228,7 +230,8 @@
     }
 }
 
-ResponseStarted State::responseStarted(RequestId id, int attempt, const InFlightAttempt& inFlight) const {
+ResponseStarted State::responseStarted(RequestId id, AttemptIndex attempt,
+                                       const InFlightAttempt& inFlight) const {
     ResponseStarted started;
     started.id = id;
     started.attempt = attempt;
@@ -241,10 +244,10 @@
     const NodeInfo* listed = endpoints_.find(node);
     if (request.answered || listed == nullptr || now_ >= request.deadlineUs) return false;
     if (request.attemptsOrdered > settings_.maxAttempts) return false;
-    return request.cell < 0 || request.cell == listed->cell;
+    return request.cell.isNone() || request.cell == listed->cell;
 }
 
-void State::startAttempt(const ForwardRequest& action, int attempt, InFlightRequest& request) {
+void State::startAttempt(const ForwardRequest& action, AttemptIndex attempt, InFlightRequest& request) {
     ++counters_.attempts;
     const AttemptConditions conditions{request.deadlineUs, request.bodyIncomplete,
                                        endpoints_.drainingSince(action.node)};
@@ -270,7 +273,7 @@
 }
 
 /// Ends an attempt in flight from this side.
-void State::stopAttempt(RequestId id, int attempt, Outcome outcome) {
+void State::stopAttempt(RequestId id, AttemptIndex attempt, Outcome outcome) {
     effects_.push_back(StopAttempt{id, attempt});
     endAttempt(*requests_.find(id), {id, attempt, outcome, 0, 0, {}});
 }
@@ -330,15 +333,15 @@
 
 ResponseCounts& State::answersOf(const InFlightRequest& request) {
     const std::size_t unknownClass = settings_.classes.size();
-    const bool isKnown = request.classIndex >= 0 && std::size_t(request.classIndex) < unknownClass;
-    return counters_.byClass[isKnown ? std::size_t(request.classIndex) : unknownClass];
+    const bool isKnown = request.classIndex.isBelow(int(unknownClass));
+    return counters_.byClass[isKnown ? request.classIndex.position() : unknownClass];
 }
 
 // ------------------------------------------------------------------------------------ actions of the policy
 
 void State::apply(const ForwardRequest& action) {
     InFlightRequest* request = requests_.find(action.id);
-    const int attempt = request == nullptr ? 0 : request->attemptsOrdered++;
+    const AttemptIndex attempt(request == nullptr ? 0 : request->attemptsOrdered++);
     if (request != nullptr && mayStart(*request, action.node))
         startAttempt(action, attempt, *request);
     else
@@ -365,7 +368,7 @@
 
 void State::apply(const SetTimer& action) {
     const Micros delay = std::max<Micros>(1, action.delayUs);
-    timers_.schedule({now_ + delay, TimerKind::Policy, action.token, 0});
+    timers_.schedule({now_ + delay, TimerKind::Policy, action.token, {}});
 }
 
 void State::apply(const WatchEndpointList& action) { effects_.push_back(action); }
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -96,12 +96,12 @@
     void notifyNotStarted();
 
     // Attempts.
-    [[nodiscard]] ResponseStarted responseStarted(RequestId id, int attempt,
+    [[nodiscard]] ResponseStarted responseStarted(RequestId id, AttemptIndex attempt,
                                                   const InFlightAttempt& inFlight) const;
     [[nodiscard]] bool mayStart(const InFlightRequest& request, const std::string& node) const;
-    void startAttempt(const ForwardRequest& action, int attempt, InFlightRequest& request);
+    void startAttempt(const ForwardRequest& action, AttemptIndex attempt, InFlightRequest& request);
     void extendAttempts(RequestId id, InFlightRequest& request);
-    void stopAttempt(RequestId id, int attempt, Outcome outcome);
+    void stopAttempt(RequestId id, AttemptIndex attempt, Outcome outcome);
     void endAttempt(InFlightRequest& request, AttemptFinished result);
     void answerFromAttempt(InFlightRequest& request, const AttemptFinished& result);
 
--- a/src/core/request_table.cpp
+++ b/src/core/request_table.cpp
@@ -20,7 +20,7 @@
     return it == requests_.end() ? nullptr : &it->second;
 }
 
-AttemptLookup RequestTable::findAttempt(RequestId id, int attempt) {
+AttemptLookup RequestTable::findAttempt(RequestId id, AttemptIndex attempt) {
     InFlightRequest* request = find(id);
     if (request == nullptr) return {};
     const auto it = request->attempts.find(attempt);
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -25,15 +25,15 @@
 /// A request without a final answer, or with attempts that have not ended.
 struct InFlightRequest {
     Micros deadlineUs = 0;
-    int cell = -1;                ///< the cell that holds the object; -1: any
-    int classIndex = -1;          ///< into Settings::classes; -1: unknown
+    CellIndex cell;               ///< the cell that holds the object; none: any
+    ClassIndex classIndex;        ///< none: unknown
     int attemptsOrdered = 0;      ///< by the policy, those that were not started too; the next one's number
     bool answered = false;        ///< has its final answer, or its client disconnected
     bool forwarding = false;      ///< a response is on its way to the client: no other answer is possible
     bool unbounded = false;       ///< a response without a deadline is being forwarded
     bool bodyIncomplete = false;  ///< its body is still coming
     bool bodyStreamed = false;    ///< its body came after its head, so that it cannot be sent a second time
-    std::map<int, InFlightAttempt> attempts;  ///< by number
+    std::map<AttemptIndex, InFlightAttempt> attempts;
 
     /// Nothing is left to be done for it.
     [[nodiscard]] bool isFinished() const { return answered && attempts.empty(); }
@@ -54,7 +54,7 @@
     InFlightRequest* add(const Request& request);
     /// The request of this id; null where it is not in flight. Valid until the request is erased.
     [[nodiscard]] InFlightRequest* find(RequestId id);
-    [[nodiscard]] AttemptLookup findAttempt(RequestId id, int attempt);
+    [[nodiscard]] AttemptLookup findAttempt(RequestId id, AttemptIndex attempt);
     /// Notes that the request, which had none, has its final answer or needs none any more.
     void markAnswered(InFlightRequest& request);
     void erase(RequestId id) { requests_.erase(id); }
--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -24,7 +24,7 @@
     Micros at = 0;
     TimerKind kind = TimerKind::Policy;
     std::uint64_t id = 0;  ///< a RequestId, or the policy's token
-    int attempt = 0;       ///< 0 where the timer concerns no attempt
+    AttemptIndex attempt;  ///< none where the timer concerns no attempt
     // NOLINTNEXTLINE(modernize-use-nullptr): false positive on the comparison with 0 that C++20 generates
     auto operator<=>(const Timer&) const = default;
 };
--- a/src/fleet/restart_recovery.cpp
+++ b/src/fleet/restart_recovery.cpp
@@ -25,18 +25,18 @@
       queriesAll_(options.hostCount <= kSmallFleet),
       cause_(options.hostCount > 1 ? RecoveryCause::LeaseExpired : RecoveryCause::AllPeersReplied) {}
 
-std::vector<int> RestartRecovery::holders() const {
-    std::vector<int> found;
+std::vector<HostIndex> RestartRecovery::holders() const {
+    std::vector<HostIndex> found;
     for (int k = 0; k < kMaxHolders; ++k) {
         const int offset = 1 + options_.hostCount * k / (kMaxHolders + 1);
-        const int host = (options_.hostIndex + offset) % options_.hostCount;
+        const HostIndex host((options_.hostIndex.value() + offset) % options_.hostCount);
         const bool isNew = std::find(found.begin(), found.end(), host) == found.end();
         if (host != options_.hostIndex && isNew) found.push_back(host);
     }
     return found;
 }
 
-bool RestartRecovery::isHolder(int host) const {
+bool RestartRecovery::isHolder(HostIndex host) const {
     const auto all = holders();
     return std::find(all.begin(), all.end(), host) != all.end();
 }
@@ -44,7 +44,7 @@
 bool RestartRecovery::holdersKnowIncarnation(Micros now) const {
     if (now - startedAt_ >= kNoticeRetention) return true;
     const auto all = holders();
-    return std::all_of(all.begin(), all.end(), [&](int host) { return repliedPeers_.contains(host); });
+    return std::all_of(all.begin(), all.end(), [&](HostIndex host) { return repliedPeers_.contains(host); });
 }
 
 bool RestartRecovery::mayLend(Micros now) const {
@@ -65,8 +65,8 @@
 
 // -------------------------------------------------------------------------------------------- incarnations
 
-RestartRecovery::IncarnationStatus RestartRecovery::observeIncarnation(int from, Incarnation incarnation,
-                                                                       Micros now) {
+RestartRecovery::IncarnationStatus RestartRecovery::observeIncarnation(HostIndex from,
+                                                                       Incarnation incarnation, Micros now) {
     Peer& peer = peers_.try_emplace(from, Peer{incarnation, now}).first->second;
     const bool isEarlier = isBefore(incarnation, peer.incarnation);
     if (isEarlier && now - peer.heardAt < kStaleIncarnationPeriod) {
@@ -83,7 +83,7 @@
 
 /// A notice is for the incarnation after the one that wrote it. A later one might go by a time that does not
 /// cover the leases of the incarnation in between.
-void RestartRecovery::discardOutdatedNotice(int from, Incarnation current) {
+void RestartRecovery::discardOutdatedNotice(HostIndex from, Incarnation current) {
     const auto it = notices_.find(from);
     if (it == notices_.end() || it->second.incarnation == current) return;
     StoredNotice& stored = it->second;
@@ -93,21 +93,21 @@
         notices_.erase(it);
 }
 
-bool RestartRecovery::isKnown(int from, Incarnation incarnation) const {
+bool RestartRecovery::isKnown(HostIndex from, Incarnation incarnation) const {
     const auto it = peers_.find(from);
     return it != peers_.end() && it->second.incarnation == incarnation;
 }
 
 // ------------------------------------------------------------------------------------------------ messages
 
-OutgoingDatagram RestartRecovery::message(int to, const RecoveryMessage& message) const {
+OutgoingDatagram RestartRecovery::message(HostIndex to, const RecoveryMessage& message) const {
     return {to, encode({incarnation_, message})};
 }
 
-RestartRecovery::DatagramResult RestartRecovery::handleDatagram(int from, const std::string& bytes,
+RestartRecovery::DatagramResult RestartRecovery::handleDatagram(HostIndex from, const std::string& bytes,
                                                                 Micros now) {
     const auto datagram = decode(bytes);
-    const bool isPeer = from != options_.hostIndex && from >= 0 && from < options_.hostCount;
+    const bool isPeer = from != options_.hostIndex && from.isBelow(options_.hostCount);
     if (!datagram || !isPeer) {
         ++counters_.malformed;
         return {IncarnationStatus::Stale, {}};
@@ -130,7 +130,8 @@
     return result;
 }
 
-std::vector<OutgoingDatagram> RestartRecovery::handle(int from, Incarnation sender, const RecoveryQuery&) {
+std::vector<OutgoingDatagram> RestartRecovery::handle(HostIndex from, Incarnation sender,
+                                                      const RecoveryQuery&) {
     RecoveryReply reply{sender, {}};
     const auto it = notices_.find(from);
     if (it != notices_.end() && it->second.incarnation != sender) {
@@ -140,7 +141,7 @@
     return {message(from, reply)};
 }
 
-void RestartRecovery::handle(int from, Incarnation sender, const ShutdownNotice& notice) {
+void RestartRecovery::handle(HostIndex from, Incarnation sender, const ShutdownNotice& notice) {
     StoredNotice& stored = notices_[from];
     const bool isFirst = stored.incarnation != sender;
     if (!isFirst && !isBefore(stored.sentMs, notice.sentMs)) return;  // out of order or a duplicate
@@ -148,7 +149,7 @@
     stored = {sender, notice.sentMs, notice.leasesExpiredMs, 0};
 }
 
-void RestartRecovery::handle(int from, const RecoveryReply& reply, Micros now) {
+void RestartRecovery::handle(HostIndex from, const RecoveryReply& reply, Micros now) {
     if (reply.recipient != incarnation_) return;
     repliedPeers_.insert(from);
     const auto peerCount = static_cast<std::size_t>(options_.hostCount - 1);
@@ -179,7 +180,7 @@
     const Micros leasesExpired = std::max(servesUntil_, recoveredAt_);
     const ShutdownNotice notice{toWireMillis(now), toWireMillis(leasesExpired) + 1};
     std::vector<OutgoingDatagram> due;
-    for (const int host : holders())
+    for (const HostIndex host : holders())
         due.push_back(message(host, notice));
     return due;
 }
@@ -194,7 +195,7 @@
     lastQueryAt_ = now;
     const auto noticeHolders = holders();
     std::vector<OutgoingDatagram> due;
-    for (int host = 0; host < options_.hostCount; ++host) {
+    for (HostIndex host(0); host.isBelow(options_.hostCount); host = host.next()) {
         const bool isNoticeHolder =
             std::find(noticeHolders.begin(), noticeHolders.end(), host) != noticeHolders.end();
         const bool isAsked = (toAll || isNoticeHolder) && host != options_.hostIndex;
--- a/src/fleet/restart_recovery.h
+++ b/src/fleet/restart_recovery.h
@@ -19,12 +19,13 @@
 #include <vector>
 
 #include "fleet/recovery_datagram.h"
+#include "wingproxy/index.h"
 
 namespace wingproxy::fleet {
 
 /// A datagram that the caller must send.
 struct OutgoingDatagram {
-    int to = 0;  ///< a host index
+    HostIndex to;
     std::string bytes;
 };
 
@@ -48,7 +49,7 @@
     static constexpr Micros kStaleIncarnationPeriod = 10'000'000;
 
     struct Options {
-        int hostIndex = 0;
+        HostIndex hostIndex{0};
         int hostCount = 1;
         Micros leaseDuration = 0;  ///< the longest lease on a chunk
         bool mayGossip = true;     ///< hosts may send each other messages
@@ -84,9 +85,9 @@
         std::vector<OutgoingDatagram> replies;
     };
     /// \param from the sender's host index, as the transport reports it
-    DatagramResult handleDatagram(int from, const std::string& bytes, Micros now);
+    DatagramResult handleDatagram(HostIndex from, const std::string& bytes, Micros now);
     /// Notes the incarnation that stands in any message of a peer.
-    IncarnationStatus observeIncarnation(int from, Incarnation incarnation, Micros now);
+    IncarnationStatus observeIncarnation(HostIndex from, Incarnation incarnation, Micros now);
     /// The queries and shutdown notices that are due; to be called a few times a second.
     std::vector<OutgoingDatagram> dueDatagrams(Micros now);
 
@@ -101,7 +102,7 @@
     [[nodiscard]] const Counters& counters() const { return counters_; }
     [[nodiscard]] std::size_t tableEntries() const { return peers_.size() + notices_.size(); }
     /// The peers that store this host's shutdown notice: three at the most, spread over the host indices.
-    [[nodiscard]] std::vector<int> holders() const;
+    [[nodiscard]] std::vector<HostIndex> holders() const;
 
     /// For the snapshot of a hot restart, which fixes the order and the types; counters are not in it.
     template <typename Archive>
@@ -132,21 +133,21 @@
         }
     };
 
-    std::vector<OutgoingDatagram> handle(int from, Incarnation sender, const RecoveryQuery& query);
-    void handle(int from, Incarnation sender, const ShutdownNotice& notice);
-    void handle(int from, const RecoveryReply& reply, Micros now);
-    [[nodiscard]] bool isKnown(int from, Incarnation incarnation) const;
-    void discardOutdatedNotice(int from, Incarnation current);
+    std::vector<OutgoingDatagram> handle(HostIndex from, Incarnation sender, const RecoveryQuery& query);
+    void handle(HostIndex from, Incarnation sender, const ShutdownNotice& notice);
+    void handle(HostIndex from, const RecoveryReply& reply, Micros now);
+    [[nodiscard]] bool isKnown(HostIndex from, Incarnation incarnation) const;
+    void discardOutdatedNotice(HostIndex from, Incarnation current);
 
     std::vector<OutgoingDatagram> dueNotices(Micros now);
     std::vector<OutgoingDatagram> dueQueries(Micros now);
     [[nodiscard]] bool queriesEveryone(Micros now) const;
-    [[nodiscard]] OutgoingDatagram message(int to, const RecoveryMessage& message) const;
+    [[nodiscard]] OutgoingDatagram message(HostIndex to, const RecoveryMessage& message) const;
 
     void recoverAt(Micros at, RecoveryCause cause);
     /// Whether no notice holder can return a notice from before this incarnation to a later one.
     [[nodiscard]] bool holdersKnowIncarnation(Micros now) const;
-    [[nodiscard]] bool isHolder(int host) const;
+    [[nodiscard]] bool isHolder(HostIndex host) const;
 
     Options options_;
     Micros startedAt_ = 0;
@@ -158,9 +159,9 @@
     Incarnation incarnation_ = 0;
     bool queriesAll_ = false;  // the notice holders cannot help: all peers are asked
     RecoveryCause cause_ = RecoveryCause::NotRecovered;
-    std::map<int, Peer> peers_;
-    std::set<int> repliedPeers_;           // they hold no lease of an earlier incarnation
-    std::map<int, StoredNotice> notices_;  // by the host that wrote it
+    std::map<HostIndex, Peer> peers_;
+    std::set<HostIndex> repliedPeers_;           // they hold no lease of an earlier incarnation
+    std::map<HostIndex, StoredNotice> notices_;  // by the host that wrote it
     Counters counters_;
 };
 
--- a/src/http/node_attempt.h
+++ b/src/http/node_attempt.h
@@ -22,8 +22,8 @@
 class NodeAttempt : public net::NodeAttempt {
 public:
     /// Takes a complete buffered response. Called before the engine learns of its outcome Ok.
-    using OnResponse =
-        std::function<void(int attempt, ResponseMessage response, net::ByteBudget::Hold reservation)>;
+    using OnResponse = std::function<void(AttemptIndex attempt, ResponseMessage response,
+                                          net::ByteBudget::Hold reservation)>;
 
     /// \param streamed if set, the message has no body and the client streams it in this framing
     NodeAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptParams& params,
--- a/src/http/pending_request.cpp
+++ b/src/http/pending_request.cpp
@@ -25,7 +25,8 @@
 
 std::shared_ptr<net::Attempt> PendingRequest::start(const net::AttemptParams& params) {
     // The engine drops the attempts of a request before the request itself, so `this` outlives the callback.
-    auto onResponse = [this](int attempt, ResponseMessage response, net::ByteBudget::Hold reservation) {
+    auto onResponse = [this](AttemptIndex attempt, ResponseMessage response,
+                             net::ByteBudget::Hold reservation) {
         keepResponse(attempt, std::move(response), std::move(reservation));
     };
     auto attempt = std::make_shared<NodeAttempt>(context_.engine(), context_.pool(), params, message_,
@@ -34,11 +35,12 @@
     return attempt;
 }
 
-void PendingRequest::keepResponse(int attempt, ResponseMessage response, net::ByteBudget::Hold reservation) {
+void PendingRequest::keepResponse(AttemptIndex attempt, ResponseMessage response,
+                                  net::ByteBudget::Hold reservation) {
     responses_[attempt] = {std::move(response), std::move(reservation)};
 }
 
-void PendingRequest::deliver(int attempt) {
+void PendingRequest::deliver(AttemptIndex attempt) {
     const auto found = responses_.find(attempt);
     if (found == responses_.end()) {  // it was streamed
         if (const auto client = client_.lock()) client->completeStreaming();
--- a/src/http/pending_request.h
+++ b/src/http/pending_request.h
@@ -26,13 +26,13 @@
     ~PendingRequest() override;
 
     std::shared_ptr<net::Attempt> start(const net::AttemptParams& params) override;
-    void deliver(int attempt) override;
+    void deliver(AttemptIndex attempt) override;
     void refuse(Micros retryAfterUs) override;
     void fail() override;
 
     /// Keeps the complete response of an attempt until the engine delivers one. Streamed responses are not
     /// kept.
-    void keepResponse(int attempt, ResponseMessage response, net::ByteBudget::Hold reservation);
+    void keepResponse(AttemptIndex attempt, ResponseMessage response, net::ByteBudget::Hold reservation);
 
 private:
     struct BufferedResponse {
@@ -48,7 +48,7 @@
     std::shared_ptr<const RequestMessage> message_;
     std::optional<BodyFraming> streamed_;
     net::ByteBudget::Hold reservation_;
-    std::map<int, BufferedResponse> responses_;  // by attempt
+    std::map<AttemptIndex, BufferedResponse> responses_;
 };
 
 }  // namespace wingproxy::http
--- a/src/http/request_parser.cpp
+++ b/src/http/request_parser.cpp
@@ -22,10 +22,10 @@
                                         ParsedRequest& parsed) {
     Request& request = parsed.request;
     if (fieldValue(message, "Req-Id").empty()) return RequestError::MissingRequestId;
-    request.classIndex = config::indexOf(settings.classes, fieldValue(message, "Req-Kind"));
-    if (request.classIndex < 0) return RequestError::UnknownClass;
-    request.planIndex = config::indexOf(settings.plans, fieldValue(message, "Tier"));
-    if (request.planIndex < 0) return RequestError::UnknownPlan;
+    request.classIndex = config::indexOf<ClassIndex>(settings.classes, fieldValue(message, "Req-Kind"));
+    if (request.classIndex.isNone()) return RequestError::UnknownClass;
+    request.planIndex = config::indexOf<PlanIndex>(settings.plans, fieldValue(message, "Tier"));
+    if (request.planIndex.isNone()) return RequestError::UnknownPlan;
     const auto deadlineMs = parseNumber<std::int64_t>(fieldValue(message, "Req-Deadline-Ms"));
     if (!deadlineMs || *deadlineMs < 0 || *deadlineMs > kMaxDeadlineMs) return RequestError::InvalidDeadline;
     parsed.timeoutUs = *deadlineMs * 1000;
@@ -49,7 +49,7 @@
     request.units = *units;
     const auto shard = parseNumber<int>(findParameter(info, ',', "shard").value_or(""));
     if (!shard || !isShard(*shard, settings)) return RequestError::InvalidShard;
-    request.cell = *shard;
+    request.cell = CellIndex(*shard);
     const auto hosts = parseNumber<int>(findParameter(info, ',', "hosts").value_or(""));
     if (!hosts || *hosts < 1 || *hosts > kMaxVolumeHosts) return RequestError::InvalidHostCount;
     request.volumeHosts = *hosts;
@@ -58,7 +58,7 @@
 
 std::optional<RequestError> checkMethodRules(const RequestMessage& message, const Settings& settings,
                                              const Request& request) {
-    const auto safety = settings.classes[std::size_t(request.classIndex)].retrySafety;
+    const auto safety = settings.classes[request.classIndex.position()].retrySafety;
     if (safety == RetrySafety::IdempotentWithKey && fieldValue(message, "Idempotency-Key").empty())
         return RequestError::MissingIdempotencyKey;
     if (message.method() == boost::beast::http::verb::get && !message.body().empty())
--- a/src/net/engine.cpp
+++ b/src/net/engine.cpp
@@ -196,7 +196,7 @@
     return transfer;
 }
 
-std::shared_ptr<Attempt> Engine::removeAttempt(RequestId id, int attempt) {
+std::shared_ptr<Attempt> Engine::removeAttempt(RequestId id, AttemptIndex attempt) {
     const auto request = requests_.find(id);
     if (request == requests_.end()) return nullptr;
     auto& attempts = request->second.attempts;
--- a/src/net/engine.h
+++ b/src/net/engine.h
@@ -23,7 +23,7 @@
 /// Where and until when an attempt runs. Times are those of `Engine::now()`.
 struct AttemptParams {
     RequestId id = 0;
-    int attempt = 0;                                 ///< its number within the request
+    AttemptIndex attempt{0};
     config::Endpoint node;                           ///< where to connect
     Micros firstByteBy = 0;                          ///< later no byte may be sent
     Micros timeoutAt = 0;                            ///< the reducer stops the attempt then
@@ -46,7 +46,7 @@
     /// Starts an attempt. It may finish before this returns.
     virtual std::shared_ptr<Attempt> start(const AttemptParams& params) = 0;
     /// Answers with the response of that attempt, which finished as `Outcome::Ok`.
-    virtual void deliver(int attempt) = 0;
+    virtual void deliver(AttemptIndex attempt) = 0;
     /// Rejects the request: nothing ran, and the client may retry after that time.
     virtual void refuse(Micros retryAfterUs) = 0;
     /// Answers that the request failed.
@@ -66,8 +66,7 @@
 public:
     /// Receivers of the effects that belong to no request.
     struct EffectHandlers {
-        /// \param to index of the peer; below 0: all peers
-        std::function<void(int to, const std::string&)> sendPeerMessage;
+        std::function<void(PeerRecipient to, const std::string&)> sendPeerMessage;
         std::function<void(bool enabled)> watchEndpointList;
         std::function<void(const std::string& id, const config::Endpoint&)> startHealthCheck;
     };
@@ -88,10 +87,14 @@
     void clientDisconnected(RequestId id);
     void capacityNeeded(int connections) { process(CapacityNeeded{connections}); }
     void shutdownStarted(Micros servesUntilUs) { process(ShutdownStarted{servesUntilUs}); }
-    void attemptRequestSent(RequestId id, int attempt) { process(core::AttemptRequestSent{id, attempt}); }
-    void responseHeadReceived(RequestId id, int attempt) { process(core::ResponseHeadReceived{id, attempt}); }
+    void attemptRequestSent(RequestId id, AttemptIndex attempt) {
+        process(core::AttemptRequestSent{id, attempt});
+    }
+    void responseHeadReceived(RequestId id, AttemptIndex attempt) {
+        process(core::ResponseHeadReceived{id, attempt});
+    }
     /// \param unbounded the node has done its work, and no deadline runs any more
-    void responseForwardingStarted(RequestId id, int attempt, bool unbounded = false) {
+    void responseForwardingStarted(RequestId id, AttemptIndex attempt, bool unbounded = false) {
         process(core::ResponseForwardingStarted{id, attempt, unbounded});
     }
     void requestBodyCompleted(RequestId id, Micros deadlineUs) {
@@ -102,7 +105,7 @@
     void endpointListReceived(config::EndpointListing listing);
     /// The endpoint list could not be had: the policy is told, and the last one stays.
     void endpointListUnavailable();
-    void peerMessageReceived(int from, std::string bytes) {
+    void peerMessageReceived(HostIndex from, std::string bytes) {
         process(PeerMessageReceived{from, std::move(bytes)});
     }
     void healthCheckCompleted(HealthCheckCompleted check) { process(std::move(check)); }
@@ -142,8 +145,8 @@
 private:
     struct InFlightRequest {
         std::shared_ptr<Transfer> transfer;
-        std::map<int, std::shared_ptr<Attempt>> attempts;  // null while its start() runs
-        bool answered = false;                             // or its client disconnected
+        std::map<AttemptIndex, std::shared_ptr<Attempt>> attempts;  // null while its start() runs
+        bool answered = false;                                      // or its client disconnected
     };
 
     void process(core::Input input);
@@ -162,7 +165,7 @@
     void apply(const LogLine& effect);
     // Returns the transfer if the request had no answer yet, else null.
     std::shared_ptr<Transfer> markAnswered(RequestId id);
-    std::shared_ptr<Attempt> removeAttempt(RequestId id, int attempt);
+    std::shared_ptr<Attempt> removeAttempt(RequestId id, AttemptIndex attempt);
     void eraseIfComplete(RequestId id);
 
     boost::asio::io_context& io_;
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -35,32 +35,32 @@
     peerIndexes_.clear();
     peers_.clear();
     for (const auto& peer : config.peers) {
-        peerIndexes_.emplace(udpEndpoint(peer), int(peers_.size()));
+        peerIndexes_.emplace(udpEndpoint(peer), HostIndex::ofPosition(peers_.size()));
         peers_.push_back(udpEndpoint(peer));
     }
 }
 
-bool Peers::isSendable(int to, const std::string& bytes) const {
-    const bool known = to < 0 || std::size_t(to) < peers_.size();
-    return known && to != selfIndex_ && !bytes.empty() && bytes.size() <= kMaxDatagramBytes;
+bool Peers::isSendable(PeerRecipient to, const std::string& bytes) const {
+    const bool known = to.isEveryPeer() || to.host().position() < peers_.size();
+    return known && to.host() != selfIndex_ && !bytes.empty() && bytes.size() <= kMaxDatagramBytes;
 }
 
-void Peers::send(int to, const std::string& bytes) {
+void Peers::send(PeerRecipient to, const std::string& bytes) {
     if (!socket_.is_open()) return;
     if (!isSendable(to, bytes)) {
         ++counters_.unsent;
         return;
     }
-    if (to >= 0)
-        sendTo(peers_[std::size_t(to)], bytes);
-    else
+    if (to.isEveryPeer())
         sendToAll(bytes);
+    else
+        sendTo(peers_[to.host().position()], bytes);
 }
 
 void Peers::sendToAll(const std::string& bytes) {
     if (broadcast_.port() != 0) return sendTo(broadcast_, bytes);
     for (std::size_t i = 0; i < peers_.size(); ++i)
-        if (int(i) != selfIndex_) sendTo(peers_[i], bytes);
+        if (i != selfIndex_.position()) sendTo(peers_[i], bytes);
 }
 
 void Peers::sendTo(const udp::endpoint& target, const std::string& bytes) {
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -38,8 +38,8 @@
     void open();
     /// Sets the peers' addresses.
     void setPeers(const config::Config& config);
-    /// \param to index of the peer; below 0: all peers, by the configured broadcast address if there is one
-    void send(int to, const std::string& bytes);
+    /// \param to every peer is reached by the configured broadcast address, if there is one
+    void send(PeerRecipient to, const std::string& bytes);
     /// Closes the socket.
     void stop();
     const Counters& counters() const { return counters_; }
@@ -47,16 +47,16 @@
 private:
     void sendToAll(const std::string& bytes);
     void sendTo(const boost::asio::ip::udp::endpoint& target, const std::string& bytes);
-    bool isSendable(int to, const std::string& bytes) const;
+    bool isSendable(PeerRecipient to, const std::string& bytes) const;
     void receive();
     void onReceived(const boost::system::error_code& error, std::size_t count);
 
     Engine& engine_;
     boost::asio::ip::udp::socket socket_;
     config::Endpoint listenAddress_;
-    const int selfIndex_;
+    const HostIndex selfIndex_;
     std::vector<boost::asio::ip::udp::endpoint> peers_;
-    std::map<boost::asio::ip::udp::endpoint, int> peerIndexes_;
+    std::map<boost::asio::ip::udp::endpoint, HostIndex> peerIndexes_;
     boost::asio::ip::udp::endpoint broadcast_;          // port 0: none
     boost::asio::ip::udp::endpoint sender_;             // of the datagram that was received last
     std::array<char, kMaxDatagramBytes + 1> buffer_{};  // one more, to recognise a datagram that is too long
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -21,7 +21,7 @@
 double Admission::classify(PendingRequest& request) {
     Volume& volume = *request.volume;
     const Settings& settings = context_.settings;
-    const PlanInfo& plan = settings.plans.at(std::size_t(volume.plan));
+    const PlanInfo& plan = settings.plans.at(volume.plan.position());
     const double units = request.info.units;
     const double ownShare = usage_.ownShare(*volume.usage);
     const double reserved = reservedForHigherClasses(volume, request);
@@ -57,14 +57,14 @@
     for (std::size_t i = 0; i < classes.size(); ++i)
         if (classes[i].priorityWeight > request.classInfo->priorityWeight)
             reserved += demandByClass[i].rate(context_.now, kRateMemory) * kHigherClassSeconds;
-    demandByClass[std::size_t(request.info.classIndex)].add(context_.now, kRateMemory, request.info.units);
+    demandByClass[request.info.classIndex.position()].add(context_.now, kRateMemory, request.info.units);
     return reserved;
 }
 
 void Admission::updateLevel(const Cell& cell, WaterLevel& level) const {
     double latency = kUnlimited;
     double unqueued = 0;
-    for (const int index : cell.nodes) {
+    for (const NodeIndex index : cell.nodes) {
         const Node& node = cluster_.node(index);
         if (!node.isReady() || cluster_.expectedLatency(node) >= latency) continue;
         latency = cluster_.expectedLatency(node);
@@ -81,8 +81,8 @@
 
 double Admission::value(const PendingRequest& request) const {
     const Settings& settings = context_.settings;
-    const int plan = request.volume->plan;
-    const double factor = plan < 0 ? 1 : settings.plans.at(std::size_t(plan)).priorityFactor;
+    const PlanIndex plan = request.volume->plan;
+    const double factor = plan.isNone() ? 1 : settings.plans.at(plan.position()).priorityFactor;
     const double beyondGuaranteed =
         request.quota == QuotaClass::Share ? settings.shareWeight : settings.spareWeight;
     const double part = request.quota == QuotaClass::Guaranteed ? 1 : beyondGuaranteed;
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -31,8 +31,8 @@
     /// Sets up the quota of a volume that was just opened.
     void open(Volume& volume) const {
         volume.quota.guaranteed.at = context_.now;
-        if (volume.plan < 0) return;
-        const PlanInfo& plan = context_.settings.plans.at(std::size_t(volume.plan));
+        if (volume.plan.isNone()) return;
+        const PlanInfo& plan = context_.settings.plans.at(volume.plan.position());
         volume.quota.guaranteed.tokens = plan.guaranteedRate / volume.hosts + context_.settings.maxUnits;
     }
     /// Counts a request that arrived, and gives it its quota class. It must have a cell. This host keeps its
@@ -47,8 +47,9 @@
     }
     /// Adapts the water levels to the latency of each cell; to be called at an interval.
     void updateLevels() {
-        for (int i = 0; i < cluster_.cellCount(); ++i)
-            updateLevel(cluster_.cells()[std::size_t(i)], levelAt(i));
+        const auto& cells = cluster_.cells();
+        for (std::size_t i = 0; i < cells.size(); ++i)
+            updateLevel(cells[i], levelAt(CellIndex::ofPosition(i)));
     }
 
     /// Value of a unit of work on a request, if it is answered in time.
@@ -58,16 +59,16 @@
     [[nodiscard]] double longestLatency(const PendingRequest& request) const;
 
     /// The level of a cell.
-    [[nodiscard]] WaterLevel levelOf(int cell) const {
-        return std::size_t(cell) < levels_.size() ? levels_[std::size_t(cell)] : WaterLevel();
+    [[nodiscard]] WaterLevel levelOf(CellIndex cell) const {
+        return cell.position() < levels_.size() ? levels_[cell.position()] : WaterLevel();
     }
     void restore(std::vector<WaterLevel> levels) { levels_ = std::move(levels); }
 
 private:
     [[nodiscard]] double reservedForHigherClasses(Volume& volume, const PendingRequest& request) const;
-    WaterLevel& levelAt(int cell) {
-        if (std::size_t(cell) >= levels_.size()) levels_.resize(std::size_t(cell) + 1);
-        return levels_[std::size_t(cell)];
+    WaterLevel& levelAt(CellIndex cell) {
+        if (cell.position() >= levels_.size()) levels_.resize(cell.position() + 1);
+        return levels_[cell.position()];
     }
     void updateLevel(const Cell& cell, WaterLevel& level) const;
 
--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -70,7 +70,7 @@
 
 void AttemptTracker::cancelLost(const RequestTable& requests) {
     std::map<std::uint64_t, CancelAttempt> lost;  // by order of arrival
-    std::set<int> unsure;
+    std::set<NodeIndex> unsure;
     for (const auto& [id, request] : requests.all()) {
         if (request.outstanding != 1 || request.streaming || request.bodyIncomplete || request.nodeDone)
             continue;
@@ -82,7 +82,7 @@
     }
     for (const auto& [sequence, cancel] : lost)
         context_.emit(cancel);
-    for (const int index : unsure)
+    for (const NodeIndex index : unsure)
         checkHealth(index);
 }
 
--- a/src/policy/attempt_tracker.h
+++ b/src/policy/attempt_tracker.h
@@ -16,7 +16,7 @@
         : context_(context), cluster_(cluster), gossip_(gossip), retries_(retries) {}
 
     /// Sends a request to a node; the guards were asked before.
-    void send(PendingRequest& request, int index) {
+    void send(PendingRequest& request, NodeIndex index) {
         Node& node = cluster_.node(index);
         const double units = request.info.units;
         if (!std::exchange(request.hasTokens, true)) LeaseAllocator::spend(*request.volume, units);
@@ -53,7 +53,7 @@
     void onFailure(Node& node, Micros sentAt, Outcome outcome);
     void onAnswer(Node& node, double units, Micros elapsed);
     [[nodiscard]] Verdict judge(const PendingRequest& request, const Node& node) const;
-    void checkHealth(int index) {
+    void checkHealth(NodeIndex index) {
         Node& node = cluster_.node(index);
         if (!context_.settings.mayCheckHealth || !node.isReady()) return;
         node.outliers.onHealthCheckSent(context_.now);
--- a/src/policy/cell_queues.h
+++ b/src/policy/cell_queues.h
@@ -48,9 +48,9 @@
 /// their numbers.
 class CellQueues {
 public:
-    RequestQueue& of(int cell) {
-        if (std::size_t(cell) >= queues_.size()) queues_.resize(std::size_t(cell) + 1);
-        return queues_[std::size_t(cell)];
+    RequestQueue& of(CellIndex cell) {
+        if (cell.position() >= queues_.size()) queues_.resize(cell.position() + 1);
+        return queues_[cell.position()];
     }
     /// Queues a request in its cell.
     void add(PendingRequest& request) {
@@ -72,23 +72,23 @@
         return least;
     }
 
-    void markChanged(int cell) { changed_.insert(cell); }
+    void markChanged(CellIndex cell) { changed_.insert(cell); }
     void markAllChanged(int cells) {
         for (int cell = 0; cell < cells; ++cell)
-            markChanged(cell);
+            markChanged(CellIndex(cell));
     }
     /// Marks the cells in which requests wait.
     void markWaiting() {
         for (std::size_t cell = 0; cell < queues_.size(); ++cell)
-            if (!queues_[cell].empty()) markChanged(int(cell));
+            if (!queues_[cell].empty()) markChanged(CellIndex::ofPosition(cell));
     }
     [[nodiscard]] bool hasChanged() const { return !changed_.empty(); }
     /// Takes the lowest changed cell from the set, which must not be empty.
-    int takeChanged() { return changed_.extract(changed_.begin()).value(); }
+    CellIndex takeChanged() { return changed_.extract(changed_.begin()).value(); }
 
 private:
     std::vector<RequestQueue> queues_;
-    std::set<int> changed_;
+    std::set<CellIndex> changed_;
 };
 
 }  // namespace wingproxy
--- a/src/policy/cluster_view.cpp
+++ b/src/policy/cluster_view.cpp
@@ -73,7 +73,7 @@
 bool ClusterView::acceptsRequests(const Node& node) const {
     if (node.isReady()) return true;
     return node.listed && context_.now < node.servesDrainUntil &&
-           cells()[std::size_t(node.info.cell)].ready == 0;
+           cells()[node.info.cell.position()].ready == 0;
 }
 
 bool ClusterView::slowStartAdmits(Node& node, double units) const {
--- a/src/policy/cluster_view.h
+++ b/src/policy/cluster_view.h
@@ -29,17 +29,17 @@
     void renewWatch();
     /// Forgets nodes that were not listed for `period`, but for those in use.
     /// \param pinned nodes near which an open request may have to be repeated
-    void forgetUnlisted(Micros period, const std::set<int>& pinned) {
+    void forgetUnlisted(Micros period, const std::set<NodeIndex>& pinned) {
         table_.forgetUnlisted(std::max(period, context_.settings.slowStartWindowUs), pinned, context_.now);
     }
 
     // -- tables
-    [[nodiscard]] Node& node(int index) { return table_.node(index); }
-    [[nodiscard]] const Node& node(int index) const { return table_.node(index); }
+    [[nodiscard]] Node& node(NodeIndex index) { return table_.node(index); }
+    [[nodiscard]] const Node& node(NodeIndex index) const { return table_.node(index); }
     [[nodiscard]] Node* findNode(const std::string& id) { return table_.find(id); }
     [[nodiscard]] std::size_t nodeCount() const { return table_.namedNodes(); }
     /// The cell of this number, in use from now on.
-    Cell& cell(int number) { return table_.cell(number); }
+    Cell& cell(CellIndex number) { return table_.cell(number); }
     [[nodiscard]] const std::vector<Cell>& cells() const { return table_.cells(); }
     [[nodiscard]] int cellCount() const { return int(table_.cells().size()); }
     [[nodiscard]] int outstandingIn(const Cell& cell) const { return table_.outstandingIn(cell); }
@@ -77,8 +77,8 @@
         return node.concurrency.unitsPerSecond(conditionsOf(node));
     }
     [[nodiscard]] ConcurrencyLimit::Conditions conditionsOf(const Node& node) const {
-        const bool hasCell = node.info.cell >= 0 && node.info.cell < cellCount();
-        const KeyUsage* usage = hasCell ? cells()[std::size_t(node.info.cell)].usage : nullptr;
+        const bool hasCell = node.info.cell.isBelow(cellCount());
+        const KeyUsage* usage = hasCell ? cells()[node.info.cell.position()].usage : nullptr;
         return {context_.now, context_.latencyObjective, usage ? usage_.ownShare(*usage) : 1};
     }
     /// Listed nodes that get no requests, or only trial ones.
@@ -94,7 +94,7 @@
     /// Units that a cell is asked for: each of its starting nodes earns a turn's part of them.
     void earnSlowStartTurns(const Cell& cell, double units) {
         if (context_.settings.slowStartWindowUs <= 0) return;
-        for (const int index : cell.nodes) {
+        for (const NodeIndex index : cell.nodes) {
             Node& member = node(index);
             if (!isWarmingUp(member)) continue;
             const KeyUsage& usage = *this->cell(member.info.cell).usage;
@@ -103,8 +103,8 @@
         }
     }
     /// A peer says how long requests wait in a cell.
-    void onWaitReported(int cell, double waitUs) {
-        for (const int index : cells().at(std::size_t(cell)).nodes)
+    void onWaitReported(CellIndex cell, double waitUs) {
+        for (const NodeIndex index : cells().at(cell.position()).nodes)
             node(index).concurrency.onWaitReported(waitUs, context_.now);
     }
 
--- a/src/policy/dispatcher.cpp
+++ b/src/policy/dispatcher.cpp
@@ -13,15 +13,15 @@
 
 }  // namespace
 
-int Dispatcher::cellForNewObject(double units) {
+CellIndex Dispatcher::cellForNewObject(double units) {
     const std::size_t cells = std::size_t(cluster_.cellCount());
-    if (cells == 0) return 0;
-    const std::size_t host = std::size_t(context_.settings.hostIndex);
-    LeastWait best{int((nextSequence_ + host) % cells), kNoNodeWait};
+    if (cells == 0) return CellIndex(0);
+    const std::size_t host = context_.settings.hostIndex.position();
+    LeastWait<CellIndex> best{CellIndex::ofPosition((nextSequence_ + host) % cells), kNoNodeWait};
     for (std::size_t k = 0; k < cells; ++k) {  // from another one each time, so that equals share
-        const int number = int((k + nextSequence_ * kCellStride + host) % cells);
+        const auto number = CellIndex::ofPosition((k + nextSequence_ * kCellStride + host) % cells);
         const double unitsAhead = queues_.of(number).units();
-        for (const int index : cluster_.cells()[std::size_t(number)].nodes) {
+        for (const NodeIndex index : cluster_.cells()[number.position()].nodes) {
             Node& node = cluster_.node(index);
             if (node.isReady()) best.offer(number, waitForNewObject(node, unitsAhead, units));
         }
@@ -45,7 +45,7 @@
     return wait;
 }
 
-bool Dispatcher::maySendNow(const PendingRequest& request, int index) const {
+bool Dispatcher::maySendNow(const PendingRequest& request, NodeIndex index) const {
     const Node& node = cluster_.node(index);
     if (!cluster_.acceptsRequests(node)) return false;
     if (cluster_.isSuspect(node)) {
@@ -57,9 +57,9 @@
            retries_.maySend(request, index);
 }
 
-int Dispatcher::chooseNode(const PendingRequest& request, const Cell& cell) const {
-    LeastWait best;
-    for (const int index : cell.nodes) {
+NodeIndex Dispatcher::chooseNode(const PendingRequest& request, const Cell& cell) const {
+    LeastWait<NodeIndex> best;
+    for (const NodeIndex index : cell.nodes) {
         if (!maySendNow(request, index)) continue;
         const Node& node = cluster_.node(index);
         const double factor = cluster_.isSuspect(node) ? kSuspectWaitFactor : 1;
@@ -69,11 +69,11 @@
     return best.choice;
 }
 
-bool Dispatcher::sendNext(int number) {
+bool Dispatcher::sendNext(CellIndex number) {
     const Cell& cell = cluster_.cell(number);
     for (const auto& [key, request] : queues_.of(number).entries()) {
-        const int node = chooseNode(*request, cell);
-        if (node < 0) continue;
+        const NodeIndex node = chooseNode(*request, cell);
+        if (node.isNone()) continue;
         PendingRequest& chosen = *request;  // `request` lies in the queue's entry, which goes now
         dequeue(chosen);
         attempts_.send(chosen, node);
--- a/src/policy/dispatcher.h
+++ b/src/policy/dispatcher.h
@@ -21,10 +21,10 @@
           attempts_(attempts) {}
 
     /// The cell with the shortest wait for a new object of this size.
-    [[nodiscard]] int cellForNewObject(double units);
+    [[nodiscard]] CellIndex cellForNewObject(double units);
     /// Queues a request, in a cell of its choice where none is set.
     void enqueue(PendingRequest& request) {
-        if (request.cell < 0) request.cell = cellForNewObject(request.info.units);
+        if (request.cell.isNone()) request.cell = cellForNewObject(request.info.units);
         if (!request.hasTokens) LeaseAllocator::addQueuedUnits(*request.volume, request.info.units);
         queues_.add(request);
     }
@@ -35,7 +35,7 @@
         queues_.remove(request);
     }
     /// Sends what may leave a cell's queue, earliest due first.
-    void dispatch(int cell) {
+    void dispatch(CellIndex cell) {
         while (sendNext(cell)) {}
     }
 
@@ -52,9 +52,9 @@
 
 private:
     [[nodiscard]] double waitForNewObject(Node& node, double unitsAhead, double units) const;
-    [[nodiscard]] bool maySendNow(const PendingRequest& request, int node) const;
-    [[nodiscard]] int chooseNode(const PendingRequest& request, const Cell& cell) const;
-    bool sendNext(int cell);
+    [[nodiscard]] bool maySendNow(const PendingRequest& request, NodeIndex node) const;
+    [[nodiscard]] NodeIndex chooseNode(const PendingRequest& request, const Cell& cell) const;
+    bool sendNext(CellIndex cell);
 
     const Context& context_;
     ClusterView& cluster_;
--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -49,11 +49,11 @@
     const auto wait = peer::EncodedWait::of(observation.waitUs);
     const auto slowStartUnits = peer::byteOf(std::exchange(usage.slowStartUnits, 0));
     const auto outstanding = peer::byteOf(observation.outstanding);
-    const int rendezvous = int(key % std::uint32_t(context_.settings.hostCount));
+    const auto rendezvous = HostIndex::ofPosition(key % std::uint32_t(context_.settings.hostCount));
     send(rendezvous, peer::UsageReport{key, observation.joins, rate, wait, outstanding, slowStartUnits});
 }
 
-void Gossip::handle(int from, const peer::UsageReport& report) {
+void Gossip::handle(HostIndex from, const peer::UsageReport& report) {
     KeyAggregate& aggregate = aggregates_[report.key];
     const bool isNew = aggregate.record(from, report.rate.value(), report.outstanding, context_.now);
     aggregate.slowStart.add(context_.now, kRateMemory, report.slowStartUnits);
@@ -64,7 +64,7 @@
 }
 
 void Gossip::sendAggregate(std::uint32_t key, const KeyAggregate& aggregate, const UsageTotals& totals,
-                           int to) {
+                           HostIndex to) {
     const double others = totals.rate - aggregate.hosts.at(to).rate.rate(context_.now, kUsageMemory);
     send(to, peer::UsageAggregate{key, peer::FixedPoint::of(others), peer::EncodedWait::of(totals.wait),
                                   peer::EncodedRate::of(totals.slowStartRate)});
--- a/src/policy/gossip.h
+++ b/src/policy/gossip.h
@@ -42,19 +42,19 @@
     void sendChangedAggregates();
 
     /// \param from the host that sent it
-    void handle(int from, const peer::UsageReport& report);
-    void handle(int /*from*/, const peer::UsageAggregate& aggregate) {
+    void handle(HostIndex from, const peer::UsageReport& report);
+    void handle(HostIndex /*from*/, const peer::UsageAggregate& aggregate) {
         KeyUsage* const usage = usage_.find(aggregate.key);
         if (!usage) return;
         usage->others = {aggregate.rate.value(), context_.now, aggregate.slowStartRate.rate()};
-        if (usage->cell >= 0 && aggregate.wait.code > 0)
+        if (usage->cell.isSet() && aggregate.wait.code > 0)
             cluster_.onWaitReported(usage->cell, aggregate.wait.us());
     }
-    void handle(int /*from*/, const peer::MembershipNotice& notice) {
+    void handle(HostIndex /*from*/, const peer::MembershipNotice& notice) {
         KeyUsage* const usage = usage_.find(notice.key);
-        const int host = notice.host;
-        const bool isPeer = host < context_.settings.hostCount && host != context_.settings.hostIndex;
-        if (usage && isPeer) usage->peers.insert(host);
+        const Settings& settings = context_.settings;
+        const bool isPeer = notice.host.isBelow(settings.hostCount) && notice.host != settings.hostIndex;
+        if (usage && isPeer) usage->peers.insert(notice.host);
     }
 
     /// A new process of a node in this cell: what its predecessor completed says nothing of it.
@@ -77,19 +77,20 @@
 
 private:
     template <typename Message>
-    void send(int to, const Message& message) {
+    void send(HostIndex to, const Message& message) {
         if (to == context_.settings.hostIndex)
             handle(to, message);
         else
             outbox_.send(to, message);
     }
-    void introduce(std::uint32_t key, const KeyAggregate& aggregate, int newcomer) {
-        for (const int other : aggregate.joined) {
-            send(newcomer, peer::MembershipNotice{key, std::uint16_t(other)});
-            send(other, peer::MembershipNotice{key, std::uint16_t(newcomer)});
+    void introduce(std::uint32_t key, const KeyAggregate& aggregate, HostIndex newcomer) {
+        for (const HostIndex other : aggregate.joined) {
+            send(newcomer, peer::MembershipNotice{key, other});
+            send(other, peer::MembershipNotice{key, newcomer});
         }
     }
-    void sendAggregate(std::uint32_t key, const KeyAggregate& aggregate, const UsageTotals& totals, int to);
+    void sendAggregate(std::uint32_t key, const KeyAggregate& aggregate, const UsageTotals& totals,
+                       HostIndex to);
     [[nodiscard]] UsageTotals totalsOf(const KeyAggregate& aggregate) const {
         return aggregate.totals(context_.now, usageMemory().ownRate, kRateMemory);
     }
--- a/src/policy/key_aggregate.h
+++ b/src/policy/key_aggregate.h
@@ -26,8 +26,8 @@
 
 /// Records of one key, and the sums that were last sent to the hosts.
 struct KeyAggregate {
-    std::map<int, HostUsage> hosts;
-    std::set<int> joined;  ///< hosts that want to know each other
+    std::map<HostIndex, HostUsage> hosts;
+    std::set<HostIndex> joined;  ///< hosts that want to know each other
     double sentRate = 0;
     double sentSlowStartRate = 0;
     double meanWait = 0;         ///< of answers, microseconds, smoothed
@@ -38,7 +38,7 @@
 
     /// Replaces what is known of a host.
     /// \return whether the host is new
-    bool record(int host, double rate, int outstanding, Micros now) {
+    bool record(HostIndex host, double rate, int outstanding, Micros now) {
         const bool isNew = !hosts.contains(host);
         hosts[host] = {{rate, now}, outstanding};
         return isNew;
@@ -54,7 +54,7 @@
     void dropIdle(double minRate, Micros now, Micros memory) {
         std::erase_if(hosts,
                       [&](const auto& entry) { return entry.second.rate.rate(now, memory) < minRate; });
-        std::erase_if(joined, [&](int host) { return !hosts.contains(host); });
+        std::erase_if(joined, [&](HostIndex host) { return !hosts.contains(host); });
     }
     /// \param memory of the rates of hosts, in microseconds
     /// \param slowStartMemory of the completed units, likewise
--- a/src/policy/lease_allocator.cpp
+++ b/src/policy/lease_allocator.cpp
@@ -47,8 +47,8 @@
 void LeaseAllocator::open(Volume& volume) {
     VolumeLimit& limit = volume.limit;
     limit.bucket.at = context_.now;
-    if (volume.plan < 0) return;
-    const PlanInfo& plan = context_.settings.plans.at(std::size_t(volume.plan));
+    if (volume.plan.isNone()) return;
+    const PlanInfo& plan = context_.settings.plans.at(volume.plan.position());
     limit.limited = plan.limit > 0;
     if (!limit.limited) return;
     cut(limit, plan, volume.hosts);
@@ -62,7 +62,7 @@
     const VolumeLimit& limit = volume.limit;
     double fillRate = limit.rateOf(chunksInUse(volume));
     const double othersLeave =
-        context_.settings.plans.at(std::size_t(volume.plan)).limit - usage_.othersRate(*volume.usage);
+        context_.settings.plans.at(volume.plan.position()).limit - usage_.othersRate(*volume.usage);
     for (const auto& [peer, lease] : limit.held)
         if (lease.isAwaited(context_.now, kRequestTimeout)) fillRate = std::max(fillRate, othersLeave);
     return std::max(0.0, units - limit.bucket.tokens) * 1e6 / std::max(fillRate, kMinFillRate);
@@ -99,7 +99,7 @@
 }
 
 void LeaseAllocator::requestChunks(Volume& volume, int missing) {
-    const std::set<int>& peers = volume.usage->peers;
+    const std::set<HostIndex>& peers = volume.usage->peers;
     auto peer = peers.upper_bound(volume.limit.lastPeerAsked);
     for (std::size_t i = 0; i < peers.size() && state_.requestBytes > 0; ++i, ++peer) {
         if (peer == peers.end()) peer = peers.begin();
@@ -107,7 +107,7 @@
     }
 }
 
-int LeaseAllocator::requestFrom(Volume& volume, int peer, int missing) {
+int LeaseAllocator::requestFrom(Volume& volume, HostIndex peer, int missing) {
     VolumeLimit& limit = volume.limit;
     HeldLease& lease = limit.held[peer];
     const Micros now = context_.now;
@@ -129,7 +129,7 @@
     state_.requestBytes = std::min(kMaxRequestBytes, state_.requestBytes + kBytesPerRequest);
 }
 
-bool LeaseAllocator::onGrant(int from, const peer::LeaseGrant& grant) {
+bool LeaseAllocator::onGrant(HostIndex from, const peer::LeaseGrant& grant) {
     Volume* const volume = volumes_.find(grant.volume);
     if (!volume) return false;
     refill(*volume);
@@ -170,7 +170,7 @@
     outbox_.send(peer, peer::LeaseGrant{volume->hash, std::uint8_t(granted), saved, request.stamp});
 }
 
-int LeaseAllocator::grantable(const Volume& volume, int peer, int wanted) const {
+int LeaseAllocator::grantable(const Volume& volume, HostIndex peer, int wanted) const {
     const VolumeLimit& limit = volume.limit;
     const double ownDemand = std::max(0.0, demandOf(volume) - limit.baseRate);
     const int ownChunks = std::min(limit.homeChunks, int(std::ceil(ownDemand / limit.chunkRate)));
--- a/src/policy/lease_allocator.h
+++ b/src/policy/lease_allocator.h
@@ -58,12 +58,14 @@
     /// A request came from a client: it pays for requests of chunks.
     void earnRequestBytes();
     /// Keeps a peer's request until the batch ends.
-    void onRequest(int from, const peer::LeaseRequest& request) { requests_.push_back({from, request}); }
+    void onRequest(HostIndex from, const peer::LeaseRequest& request) {
+        requests_.push_back({from, request});
+    }
     /// Grants what this host does not need itself, to lower host numbers first.
     void serveRequests();
     /// \return whether a request may have become possible
-    bool onGrant(int from, const peer::LeaseGrant& grant);
-    void onReturn(int from, const peer::LeaseReturn& returned) {
+    bool onGrant(HostIndex from, const peer::LeaseGrant& grant);
+    void onReturn(HostIndex from, const peer::LeaseReturn& returned) {
         Volume* const volume = volumes_.find(returned.volume);
         if (!volume) return;
         refill(*volume);
@@ -71,7 +73,7 @@
         refill(*volume);
     }
     /// A peer's new process knows nothing of the chunks that it granted: they go back to it.
-    void onPeerRestarted(int peer) {
+    void onPeerRestarted(HostIndex peer) {
         for (auto& [name, volume] : volumes_.all()) {
             refill(volume);
             volume.limit.held.erase(peer);
@@ -105,7 +107,7 @@
 
 private:
     struct PendingRequest {
-        int from;
+        HostIndex from;
         peer::LeaseRequest request;
     };
     // Base and home together are limit / hosts at every host, in rate and burst: the sum needs no message to
@@ -127,9 +129,9 @@
     bool returnIdleChunks(Volume& volume, double surplus);
     void requestChunks(Volume& volume, int missing);
     // Returns how many chunks may be expected of the peer beyond those that it granted already.
-    int requestFrom(Volume& volume, int peer, int missing);
+    int requestFrom(Volume& volume, HostIndex peer, int missing);
     void serve(const PendingRequest& pending);
-    [[nodiscard]] int grantable(const Volume& volume, int peer, int wanted) const;
+    [[nodiscard]] int grantable(const Volume& volume, HostIndex peer, int wanted) const;
     // What a newly granted chunk has saved up goes with it, so that the busy host can use the burst.
     peer::FixedPoint splitSavedTokens(Volume& volume, int newChunks) const;
     // Milliseconds, and never 0.
--- a/src/policy/least_wait.h
+++ b/src/policy/least_wait.h
@@ -5,12 +5,14 @@
 namespace wingproxy {
 
 /// The first of the candidates with the shortest wait.
+/// \tparam Candidate an index type
+template <typename Candidate>
 struct LeastWait {
-    int choice = -1;  ///< -1: no candidate yet
+    Candidate choice;  ///< none: no candidate yet
     double wait = 0;
 
-    void offer(int candidate, double candidateWait) {
-        if (choice >= 0 && candidateWait >= wait) return;
+    void offer(Candidate candidate, double candidateWait) {
+        if (choice.isSet() && candidateWait >= wait) return;
         choice = candidate;
         wait = candidateWait;
     }
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -11,7 +11,7 @@
 
 LoadShedder::Capacity LoadShedder::capacityOf(const Cell& cell) const {
     Capacity capacity{kMinUnitsPerSecond, 0};
-    for (const int index : cell.nodes) {
+    for (const NodeIndex index : cell.nodes) {
         const Node& node = cluster_.node(index);
         if (!cluster_.acceptsRequests(node)) continue;
         // A suspect answers no sooner than it is tried.
--- a/src/policy/node.h
+++ b/src/policy/node.h
@@ -13,6 +13,9 @@
 
 namespace wingproxy {
 
+/// A node's position in the `NodeTable`; another node may have it once that one was forgotten.
+using NodeIndex = Index<struct NodeKind>;
+
 /// A node, listed or remembered. Its index stays the same until it is forgotten.
 struct Node {
     explicit Node(int attempts = 0) : outstanding(attempts) {}
@@ -52,7 +55,7 @@
 
 /// Nodes that hold the same objects.
 struct Cell {
-    std::vector<int> nodes;    ///< indices of nodes
+    std::vector<NodeIndex> nodes;
     std::ptrdiff_t ready = 0;  ///< how many of them are ready
     std::uint32_t key = 0;     ///< of its use; 0: not in use yet
     KeyUsage* usage =
--- a/src/policy/node_table.cpp
+++ b/src/policy/node_table.cpp
@@ -7,13 +7,13 @@
 
 NodeTable::Added NodeTable::add(const NodeInfo& info) {
     if (unusedNodes_.empty()) {
-        unusedNodes_.push_back(int(nodes_.size()));
+        unusedNodes_.push_back(NodeIndex::ofPosition(nodes_.size()));
         nodes_.emplace_back();
     }
     const auto [entry, isNew] = indexById_.try_emplace(info.id, unusedNodes_.back());
     if (isNew) {
         unusedNodes_.pop_back();
-        if (info.cell >= 0) cell(info.cell).nodes.push_back(entry->second);
+        if (info.cell.isSet()) cell(info.cell).nodes.push_back(entry->second);
     }
     return {node(entry->second), isNew};
 }
@@ -28,9 +28,9 @@
         node.listed = false;
 }
 
-void NodeTable::forgetUnlisted(Micros period, const std::set<int>& pinned, Micros now) {
+void NodeTable::forgetUnlisted(Micros period, const std::set<NodeIndex>& pinned, Micros now) {
     for (auto entry = indexById_.begin(); entry != indexById_.end();) {
-        const int index = entry->second;
+        const NodeIndex index = entry->second;
         Node& known = node(index);
         if (known.listed) known.listedAt = now;
         if (now - known.listedAt < period || known.outstanding > 0 || pinned.contains(index)) {
@@ -45,11 +45,11 @@
     }
 }
 
-Cell& NodeTable::cell(int number) {
-    if (std::size_t(number) >= cells_.size()) cells_.resize(std::size_t(number) + 1);
-    Cell& cell = cells_[std::size_t(number)];
+Cell& NodeTable::cell(CellIndex number) {
+    if (number.position() >= cells_.size()) cells_.resize(number.position() + 1);
+    Cell& cell = cells_[number.position()];
     if (!cell.usage) {
-        cell.key = UsageTable::keyOf(std::to_string(number));
+        cell.key = UsageTable::keyOf(std::to_string(number.value()));
         cell.usage = &usage_.entry(cell.key);
         cell.usage->cell = number;
     }
@@ -59,12 +59,12 @@
 void NodeTable::countReady() {
     for (Cell& cell : cells_)
         cell.ready = std::count_if(cell.nodes.begin(), cell.nodes.end(),
-                                   [&](int index) { return node(index).isReady(); });
+                                   [&](NodeIndex index) { return node(index).isReady(); });
 }
 
 int NodeTable::outstandingIn(const Cell& cell) const {
     int sum = 0;
-    for (const int index : cell.nodes)
+    for (const NodeIndex index : cell.nodes)
         sum += node(index).outstanding;
     return sum;
 }
--- a/src/policy/node_table.h
+++ b/src/policy/node_table.h
@@ -23,8 +23,8 @@
     };
     /// The node with the name and cell of `info`, made if there is none.
     Added add(const NodeInfo& info);
-    [[nodiscard]] Node& node(int index) { return nodes_.at(std::size_t(index)); }
-    [[nodiscard]] const Node& node(int index) const { return nodes_.at(std::size_t(index)); }
+    [[nodiscard]] Node& node(NodeIndex index) { return nodes_.at(index.position()); }
+    [[nodiscard]] const Node& node(NodeIndex index) const { return nodes_.at(index.position()); }
     /// The node of this name, or null.
     [[nodiscard]] Node* find(const std::string& id);
     [[nodiscard]] const std::vector<Node>& nodes() const { return nodes_; }
@@ -33,10 +33,10 @@
     void unlistAll();
     /// Forgets nodes that were not listed for `period`, but for those with attempts outstanding or in
     /// `pinned`.
-    void forgetUnlisted(Micros period, const std::set<int>& pinned, Micros now);
+    void forgetUnlisted(Micros period, const std::set<NodeIndex>& pinned, Micros now);
 
     /// The cell of this number, in use from now on.
-    Cell& cell(int number);
+    Cell& cell(CellIndex number);
     [[nodiscard]] const std::vector<Cell>& cells() const { return cells_; }
     [[nodiscard]] std::vector<Cell>& cells() { return cells_; }
     /// Counts the ready nodes of each cell anew.
@@ -47,8 +47,8 @@
     /// All of it, for the snapshot.
     struct State {
         std::vector<Node> nodes;
-        std::vector<int> unusedNodes;  ///< indices that are free
-        std::map<std::string, int> indexById;
+        std::vector<NodeIndex> unusedNodes;  ///< indices that are free
+        std::map<std::string, NodeIndex> indexById;
         std::vector<Cell> cells;
     };
     [[nodiscard]] State state() const { return {nodes_, unusedNodes_, indexById_, cells_}; }
@@ -58,8 +58,8 @@
 private:
     UsageTable& usage_;
     std::vector<Node> nodes_;
-    std::vector<int> unusedNodes_;
-    std::map<std::string, int> indexById_;
+    std::vector<NodeIndex> unusedNodes_;
+    std::map<std::string, NodeIndex> indexById_;
     std::vector<Cell> cells_;
 };
 
--- a/src/policy/peer_inbox.h
+++ b/src/policy/peer_inbox.h
@@ -27,8 +27,7 @@
         using fleet::RestartRecovery;
         PeerDatagram datagram;
         const Settings& settings = context_.settings;
-        if (event.from == settings.hostIndex || event.from < 0 || event.from >= settings.hostCount)
-            return datagram;
+        if (event.from == settings.hostIndex || !event.from.isBelow(settings.hostCount)) return datagram;
         RestartRecovery::DatagramResult result;
         if (RestartRecovery::isRecoveryDatagram(event.bytes)) {
             result = recovery_.handleDatagram(event.from, event.bytes, context_.now);
--- a/src/policy/peer_message.h
+++ b/src/policy/peer_message.h
@@ -13,6 +13,8 @@
 #include <variant>
 #include <vector>
 
+#include "wingproxy/index.h"
+
 namespace wingproxy::peer {
 
 /// 64-bit FNV-1a: gives a volume or a cell the same key on every host and build.
@@ -80,7 +82,7 @@
 /// From the rendezvous host: another host uses the key too.
 struct MembershipNotice {
     std::uint32_t key = 0;
-    std::uint16_t host = 0;
+    HostIndex host;  ///< in 16 bits
 };
 /// To a peer: the sender wants to hold so many of its chunks, those that it holds already included.
 struct LeaseRequest {
@@ -197,7 +199,7 @@
     Writer writer(message);
     writer.put(Tag::Membership);
     writer.put(notice.key, 4);
-    writer.put(notice.host, 2);
+    writer.put(static_cast<std::uint64_t>(notice.host.value()), 2);
 }
 inline void append(std::string& message, const LeaseRequest& request) {
     Writer writer(message);
@@ -238,7 +240,7 @@
         case Tag::UsageAggregate:
             return UsageAggregate{key(), fixed(), wait(), EncodedRate{wait()}};
         case Tag::Membership:
-            return MembershipNotice{key(), reader.next<std::uint16_t>()};
+            return MembershipNotice{key(), HostIndex(reader.next<std::uint16_t>())};
         case Tag::LeaseRequest:
             return LeaseRequest{hash(), reader.next<Byte>(), key()};
         case Tag::LeaseGrant:
--- a/src/policy/peer_outbox.h
+++ b/src/policy/peer_outbox.h
@@ -19,7 +19,7 @@
         : context_(context), recovery_(recovery), maxBytes_(maxBytes) {}
 
     /// Adds a record to the message for a peer; does nothing where hosts may not talk.
-    void send(int to, const peer::Record& record) {
+    void send(HostIndex to, const peer::Record& record) {
         if (!context_.settings.mayGossip || context_.settings.hostCount <= 1) return;
         std::string encoded;
         peer::append(encoded, record);
@@ -40,7 +40,7 @@
     Context& context_;
     const fleet::RestartRecovery& recovery_;
     std::size_t maxBytes_;
-    std::map<int, std::string> messages_;  // by receiver
+    std::map<HostIndex, std::string> messages_;  // by receiver
 };
 
 }  // namespace wingproxy
--- a/src/policy/pending_request.h
+++ b/src/policy/pending_request.h
@@ -6,6 +6,7 @@
 #include <string>
 #include <utility>
 
+#include "policy/node.h"
 #include "policy/volume.h"
 
 namespace wingproxy {
@@ -25,7 +26,7 @@
     QuotaClass quota = QuotaClass::Share;
     std::uint64_t sequence = 0;   ///< order of arrival
     Micros due = 0;               ///< should be answered by then, at the latest
-    int cell = -1;                ///< where it is to be served
+    CellIndex cell;               ///< where it is to be served
     bool bodyIncomplete = false;  ///< takes no place at a node yet
     bool queued = false;
     bool hasTokens = false;  ///< its units were taken from the volume's limit
@@ -35,11 +36,11 @@
     int outstanding = 0;          ///< attempts without an outcome
     Micros sentAt = 0;            ///< last attempt
     Micros firstSentAt = kNever;  ///< first attempt that may have run
-    int pinnedNode = -1;          ///< the node of that attempt; -1: none
+    NodeIndex pinnedNode;         ///< the node of that attempt
     bool mayHaveRun = false;
-    bool streaming = false;            ///< the response reaches the client already
-    bool nodeDone = false;             ///< the node has done its work, only bytes follow
-    std::map<int, int> nodeByAttempt;  ///< of outstanding attempts
+    bool streaming = false;                           ///< the response reaches the client already
+    bool nodeDone = false;                            ///< the node has done its work, only bytes follow
+    std::map<AttemptIndex, NodeIndex> nodeByAttempt;  ///< of outstanding attempts
 
     [[nodiscard]] RetrySafety retrySafety() const {
         return classInfo ? classInfo->retrySafety : RetrySafety::NotIdempotent;
@@ -64,12 +65,12 @@
     [[nodiscard]] bool needsTokens() const { return volume->limit.limited && !hasTokens; }
 
     /// An attempt was sent to a node.
-    void onSent(int node, Micros now) {
-        if (pinnedNode < 0) {
+    void onSent(NodeIndex node, Micros now) {
+        if (pinnedNode.isNone()) {
             pinnedNode = node;
             firstSentAt = now;
         }
-        nodeByAttempt[attempts++] = node;
+        nodeByAttempt[AttemptIndex(attempts++)] = node;
         sentAt = now;
         ++outstanding;
     }
@@ -80,11 +81,11 @@
         if (!neverRan)
             mayHaveRun = true;
         else if (!mayHaveRun)
-            pinnedNode = -1;
+            pinnedNode = NodeIndex();
     }
     /// An attempt is over.
     /// \return whether it still held a place at its node
-    bool onAttemptEnded(int attempt) {
+    bool onAttemptEnded(AttemptIndex attempt) {
         nodeByAttempt.erase(attempt);
         --outstanding;
         return !bodyIncomplete && !std::exchange(nodeDone, false);
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -40,13 +40,13 @@
     const Request& info = event.request;
     PendingRequest* const request = requests_.open(info);
     if (!request) return;
-    if (info.classIndex >= 0)
-        request->classInfo = &context_.settings.classes.at(std::size_t(info.classIndex));
+    if (info.classIndex.isSet())
+        request->classInfo = &context_.settings.classes.at(info.classIndex.position());
     request->volume = &volumeOf(info);
     const Micros untilDeadline = info.deadlineUs - context_.now;
     request->due = std::min(context_.now + request->latencyObjective(untilDeadline), info.deadlineUs);
     request->sequence = dispatcher_.nextSequence();
-    request->cell = info.cell >= 0 ? info.cell : dispatcher_.cellForNewObject(info.units);
+    request->cell = info.cell.isSet() ? info.cell : dispatcher_.cellForNewObject(info.units);
     const Cell& cell = cluster_.cell(request->cell);
     retries_.onReceived(*request);
     leases_.earnRequestBytes();
@@ -60,7 +60,7 @@
 void Policy::Impl::admit(PendingRequest& request) {
     Volume& volume = *request.volume;
     volume.demand.add(context_.now, kRateMemory, request.info.units);
-    if (volume.plan < 0) return;
+    if (volume.plan.isNone()) return;
     volume.neededAt = context_.now;
     if (volume.hosts > 1) usage_.record(*volume.usage, request.info.units);
     const double dueUnits = admission_.classify(request);
@@ -97,8 +97,8 @@
 // Another attempt where the class, the budget and the time left allow one; else the final answer, now.
 void Policy::Impl::retryOrGiveUp(PendingRequest& request) {
     if (!retries_.mayRetry(request)) return giveUp(request, 0, kMinRetryAfter);
-    const bool mayMove = request.info.cell < 0 && !request.mayHaveRun;  // a new object that never ran
-    if (mayMove) request.cell = -1;
+    const bool mayMove = request.info.cell.isNone() && !request.mayHaveRun;  // a new object that never ran
+    if (mayMove) request.cell = CellIndex();
     dispatcher_.enqueue(request);
 }
 
@@ -117,7 +117,7 @@
         if (PendingRequest* const least = dispatcher_.leastValuable()) giveUp(*least, 0, kMinRetryAfter);
 }
 
-void Policy::Impl::shedLoad(int cell) {
+void Policy::Impl::shedLoad(CellIndex cell) {
     const RequestQueue& queue = dispatcher_.queues().of(cell);
     // In the batch in which they came: a client's last attempt may have only a few milliseconds left.
     for (PendingRequest* const request : queue.withDeadlineBefore(context_.now + 2 * kTickInterval))
@@ -153,7 +153,7 @@
 std::vector<Action> Policy::Impl::finishBatch() {
     leases_.serveRequests();
     while (dispatcher_.queues().hasChanged()) {
-        const int cell = dispatcher_.queues().takeChanged();
+        const CellIndex cell = dispatcher_.queues().takeChanged();
         dispatcher_.dispatch(cell);
         shedLoad(cell);
     }
--- a/src/policy/policy_events.cpp
+++ b/src/policy/policy_events.cpp
@@ -56,7 +56,7 @@
         return;
     }
     for (const NodeInfo& info : cluster_.apply(event.list))
-        if (info.cell >= 0) gossip_.onNodeStarted(cluster_.cell(info.cell), info.startedUs);
+        if (info.cell.isSet()) gossip_.onNodeStarted(cluster_.cell(info.cell), info.startedUs);
     dispatcher_.queues().markAllChanged(cluster_.cellCount());
 }
 
@@ -92,7 +92,7 @@
     state.unusedNodes = std::move(table.unusedNodes);
     state.nodeIndexById = std::move(table.indexById);
     for (Cell& cell : table.cells) {
-        const int number = int(state.cells.size());
+        const auto number = CellIndex::ofPosition(state.cells.size());
         state.cells.push_back({std::move(cell), admission_.levelOf(number)});
     }
     state.volumes = volumes_.all();
--- a/src/policy/policy_impl.h
+++ b/src/policy/policy_impl.h
@@ -57,14 +57,14 @@
     void retryOrGiveUp(PendingRequest& request);
     void giveUp(PendingRequest& request, Micros retryAfter, Micros minRetryAfter);
     void finish(PendingRequest& request);
-    void shedLoad(int cell);
-    void handleRecord(int from, const peer::LeaseRequest& request) { leases_.onRequest(from, request); }
-    void handleRecord(int from, const peer::LeaseReturn& returned) { leases_.onReturn(from, returned); }
-    void handleRecord(int from, const peer::LeaseGrant& grant) {
+    void shedLoad(CellIndex cell);
+    void handleRecord(HostIndex from, const peer::LeaseRequest& request) { leases_.onRequest(from, request); }
+    void handleRecord(HostIndex from, const peer::LeaseReturn& returned) { leases_.onReturn(from, returned); }
+    void handleRecord(HostIndex from, const peer::LeaseGrant& grant) {
         if (leases_.onGrant(from, grant)) dispatcher_.queues().markAllChanged(cluster_.cellCount());
     }
     template <typename GossipRecord>
-    void handleRecord(int from, const GossipRecord& record) {
+    void handleRecord(HostIndex from, const GossipRecord& record) {
         gossip_.handle(from, record);
     }
     void sendRecoveryDatagrams() {
--- a/src/policy/request_table.h
+++ b/src/policy/request_table.h
@@ -26,7 +26,7 @@
         return entry == requests_.end() ? nullptr : &entry->second;
     }
     /// The request of this id, if it has this attempt outstanding, or null.
-    [[nodiscard]] PendingRequest* findAttempt(RequestId id, int attempt) {
+    [[nodiscard]] PendingRequest* findAttempt(RequestId id, AttemptIndex attempt) {
         PendingRequest* const request = find(id);
         return request && request->nodeByAttempt.contains(attempt) ? request : nullptr;
     }
@@ -41,8 +41,8 @@
         return volumes;
     }
     /// Indices of the nodes near which a request may have to be repeated.
-    [[nodiscard]] std::set<int> pinnedNodes() const {
-        std::set<int> nodes;
+    [[nodiscard]] std::set<NodeIndex> pinnedNodes() const {
+        std::set<NodeIndex> nodes;
         for (const auto& [id, request] : requests_)
             nodes.insert(request.pinnedNode);
         return nodes;
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -2,13 +2,13 @@
 
 namespace wingproxy {
 
-bool RetryPolicy::maySend(const PendingRequest& request, int index) {
+bool RetryPolicy::maySend(const PendingRequest& request, NodeIndex index) {
     Node& node = cluster_.node(index);
     if (request.finished || request.outstanding > 0 || context_.now >= request.info.deadlineUs) return false;
     if (request.attempts >= context_.settings.maxAttempts) return false;
     if (!isRepeatable(request) || (request.mayHaveRun && !knowsKey(request, node.info))) return false;
     if (!cluster_.acceptsRequests(node)) return false;
-    if (request.info.cell >= 0 && request.info.cell != node.info.cell) return false;
+    if (request.info.cell.isSet() && request.info.cell != node.info.cell) return false;
     if (!cluster_.slowStartAdmits(node, request.info.units)) return false;
     if (request.needsTokens() && !leases_.hasTokens(*request.volume, request.info.units)) return false;
     if (isOrdered(request) && !keys_.isNext(request.info.key, request.info.id, context_.now)) return false;
@@ -23,7 +23,7 @@
 
 // Whether the node recognises the idempotency key of an attempt that the pinned node got.
 bool RetryPolicy::knowsKey(const PendingRequest& request, const NodeInfo& node) const {
-    if (request.retrySafety() != RetrySafety::IdempotentWithKey || request.pinnedNode < 0) return true;
+    if (request.retrySafety() != RetrySafety::IdempotentWithKey || request.pinnedNode.isNone()) return true;
     return isInScope(request.classInfo->keyScope, cluster_.node(request.pinnedNode).info, node);
 }
 
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -18,7 +18,7 @@
         : context_(context), cluster_(cluster), leases_(leases) {}
 
     /// The one guard before every send.
-    [[nodiscard]] bool maySend(const PendingRequest& request, int node);
+    [[nodiscard]] bool maySend(const PendingRequest& request, NodeIndex node);
     /// Whether another attempt may be made now or later, after one has ended.
     [[nodiscard]] bool mayRetry(const PendingRequest& request) const;
     /// Whether another attempt would be allowed, should the outstanding one be lost.
--- a/src/policy/snapshot_archive.cpp
+++ b/src/policy/snapshot_archive.cpp
@@ -107,7 +107,7 @@
 // Both processes must mean the same by an index of a plan, a class, a cell or a host, and write the same
 // fields.
 std::vector<double> fingerprint(const Settings& settings) {
-    std::vector<double> numbers{kLayout, double(settings.hostIndex), double(settings.hostCount),
+    std::vector<double> numbers{kLayout, double(settings.hostIndex.value()), double(settings.hostCount),
                                 double(settings.cellCount), double(settings.classes.size())};
     for (const PlanInfo& plan : settings.plans)
         numbers.insert(numbers.end(), {plan.baseRate, plan.guaranteedRate, plan.limit, plan.limitBurst});
@@ -116,20 +116,21 @@
 
 // Whether every index lies inside what it points into.
 bool isConsistent(const Settings& settings, const PolicyState& state) {
-    const auto isNode = [&](int index) { return index >= 0 && std::size_t(index) < state.nodes.size(); };
-    const auto areNodes = [&](const std::vector<int>& indices) {
+    const auto isNode = [&](NodeIndex index) { return index.position() < state.nodes.size(); };
+    const auto areNodes = [&](const std::vector<NodeIndex>& indices) {
         return std::all_of(indices.begin(), indices.end(), isNode);
     };
     const auto isSound = [&](const Volume& volume) {
-        return volume.plan < int(settings.plans.size()) && volume.hosts >= 1;
+        return volume.plan.value() < int(settings.plans.size()) && volume.hosts >= 1;
     };
     return areNodes(state.unusedNodes) &&
            std::ranges::all_of(state.nodeIndexById,
                                [&](const auto& entry) { return isNode(entry.second); }) &&
            std::ranges::all_of(state.cells, [&](const auto& entry) { return areNodes(entry.cell.nodes); }) &&
            std::ranges::all_of(state.volumes, [&](const auto& entry) { return isSound(entry.second); }) &&
-           std::ranges::all_of(
-               state.usage, [&](const auto& entry) { return entry.second.cell < int(state.cells.size()); });
+           std::ranges::all_of(state.usage, [&](const auto& entry) {
+               return entry.second.cell.value() < int(state.cells.size());
+           });
 }
 
 }  // namespace
--- a/src/policy/snapshot_archive.h
+++ b/src/policy/snapshot_archive.h
@@ -33,8 +33,8 @@
     fleet::RestartRecovery recovery;
     std::uint64_t nextSequence = 0;
     std::vector<Node> nodes;
-    std::vector<int> unusedNodes;
-    std::map<std::string, int> nodeIndexById;
+    std::vector<NodeIndex> unusedNodes;
+    std::map<std::string, NodeIndex> nodeIndexById;
     std::vector<CellState> cells;
     VolumeByName volumes;
     UsageByKey usage;
--- a/src/policy/usage_table.h
+++ b/src/policy/usage_table.h
@@ -25,8 +25,8 @@
     DecayingRate reported;  ///< of that, what the rendezvous host was last sent
     PeerUsage others;
     double slowStartUnits = 0;  ///< completed by starting nodes since the last report
-    std::set<int> peers;        ///< other hosts with this key
-    int cell = -1;              ///< -1: a volume's key
+    std::set<HostIndex> peers;  ///< other hosts with this key
+    CellIndex cell;             ///< none: a volume's key
     int reportedOutstanding = 0;
     int volumes = 0;  ///< known here with this key
 };
@@ -55,7 +55,7 @@
     /// Takes one volume from the key and forgets the key with the last one.
     void releaseVolume(std::uint32_t key) {
         KeyUsage& usage = entries_.at(key);
-        if (--usage.volumes == 0 && usage.cell < 0) entries_.erase(key);
+        if (--usage.volumes == 0 && usage.cell.isNone()) entries_.erase(key);
     }
 
     /// Counts units that this host is asked for.
--- a/src/policy/volume.h
+++ b/src/policy/volume.h
@@ -15,7 +15,7 @@
 
 /// Chunks of this host that a peer holds.
 struct GrantedLease {
-    int peer = 0;
+    HostIndex peer;
     int chunks = 0;
     Micros until = 0;
     std::uint32_t stamp = 0;  ///< of the peer's request
@@ -66,14 +66,14 @@
     TokenBucket bucket;
     double queuedUnits = 0;  ///< of requests that wait here without tokens
     std::vector<GrantedLease> granted;
-    std::map<int, HeldLease> held;  ///< by the peer whose chunks they are
-    int lastPeerAsked = -1;         ///< requests go round
+    std::map<HostIndex, HeldLease> held;  ///< by the peer whose chunks they are
+    HostIndex lastPeerAsked;              ///< requests go round
     Micros lastRequestAt = kNever;
 
     /// Chunks granted to peers, but for one peer's: of each the largest grant still running at the last
     /// refill, so that a chunk never fills two buckets for the same time.
-    [[nodiscard]] int chunksGranted(int exceptPeer = -1) const {
-        std::map<int, int> largest;
+    [[nodiscard]] int chunksGranted(HostIndex exceptPeer = HostIndex()) const {
+        std::map<HostIndex, int> largest;
         for (const GrantedLease& lease : granted)
             if (lease.until > bucket.at && lease.peer != exceptPeer)
                 largest[lease.peer] = std::max(largest[lease.peer], lease.chunks);
@@ -95,13 +95,13 @@
     /// Capacity of the bucket that goes with it.
     [[nodiscard]] double burstOf(int chunks) const { return baseBurst + chunks * chunkBurst; }
     /// The lease that a peer's answer to the request `stamp` belongs to, or null.
-    [[nodiscard]] HeldLease* findRequested(int peer, std::uint32_t stamp) {
+    [[nodiscard]] HeldLease* findRequested(HostIndex peer, std::uint32_t stamp) {
         const auto entry = held.find(peer);
         if (entry == held.end() || !entry->second.requested || entry->second.stamp != stamp) return nullptr;
         return &entry->second;
     }
     /// A peer keeps only so many of the chunks granted up to its request `stamp`.
-    void onReturned(int peer, int chunks, std::uint32_t stamp) {
+    void onReturned(HostIndex peer, int chunks, std::uint32_t stamp) {
         for (GrantedLease& lease : granted)
             if (lease.peer == peer && std::int32_t(stamp - lease.stamp) >= 0)
                 lease.chunks = std::min(lease.chunks, chunks);
@@ -142,7 +142,7 @@
 
 /// What is left of a volume's guaranteed rate and shares; `Admission` fills and spends it.
 struct VolumeQuota {
-    std::map<int, CellQuota> byCell;
+    std::map<CellIndex, CellQuota> byCell;
     std::vector<DecayingRate> demandByClass;
     TokenBucket guaranteed;
 };
@@ -150,7 +150,7 @@
 /// A volume that was asked for here, or by a peer, not long ago.
 struct Volume {
     std::uint64_t hash = 0;
-    int plan = -1;              ///< into `Settings::plans`; -1: unknown
+    PlanIndex plan;             ///< none: unknown
     int hosts = 1;              ///< that serve it
     Micros neededAt = 0;        ///< asked for last, here or by a peer
     DecayingRate demand;        ///< through this host
--- a/src/policy/volume_table.cpp
+++ b/src/policy/volume_table.cpp
@@ -30,7 +30,7 @@
         const Volume& volume = entry->second;
         double secondsToFill = 0;
         if (volume.limit.limited) {
-            const PlanInfo& plan = context_.settings.plans.at(std::size_t(volume.plan));
+            const PlanInfo& plan = context_.settings.plans.at(volume.plan.position());
             secondsToFill = plan.limitBurst / plan.limit;
         }
         const Micros keptFor = period + Micros(secondsToFill * 1e6);
--- a/src/rsync/client_handshake.cpp
+++ b/src/rsync/client_handshake.cpp
@@ -42,14 +42,14 @@
     return "";
 }
 
-int classIndex(const config::RsyncModule& module, Direction direction) {
+ClassIndex classIndex(const config::RsyncModule& module, Direction direction) {
     switch (direction) {
         case Direction::Pull:
             return module.pullClass;
         case Direction::Push:
             return module.pushClass;
     }
-    return -1;
+    return {};
 }
 
 ClientHandshake::Reply ClientHandshake::onLine(const std::string& line) {
@@ -100,7 +100,7 @@
         return reject({HandshakeErrorCode::UnsupportedArguments, describe(*error)});
     request_.options = std::get<TransferOptions>(parsed);
     const auto direction = request_.options.direction;
-    if (classIndex(*module_, direction) < 0) {
+    if (classIndex(*module_, direction).isNone()) {
         const bool isPull = direction == Direction::Pull;
         return reject({isPull ? HandshakeErrorCode::WriteOnly : HandshakeErrorCode::ReadOnly, {}});
     }
--- a/src/rsync/client_handshake.h
+++ b/src/rsync/client_handshake.h
@@ -35,7 +35,7 @@
 std::string describe(const HandshakeError& error);
 
 /// \return the class index of transfers in this direction, below 0 if the module does not offer them
-int classIndex(const config::RsyncModule& module, Direction direction);
+ClassIndex classIndex(const config::RsyncModule& module, Direction direction);
 
 /// The daemon's side of the handshake with one client.
 class ClientHandshake {
--- a/src/rsync/pending_transfer.cpp
+++ b/src/rsync/pending_transfer.cpp
@@ -23,7 +23,7 @@
     return attempt;
 }
 
-void PendingTransfer::deliver(int) {
+void PendingTransfer::deliver(AttemptIndex) {
     if (const auto session = session_.lock()) session->onCompleted();
 }
 
--- a/src/rsync/pending_transfer.h
+++ b/src/rsync/pending_transfer.h
@@ -20,7 +20,7 @@
     PendingTransfer(FrontContext& context, std::weak_ptr<ClientSession> session, TransferRequest request);
 
     std::shared_ptr<net::Attempt> start(const net::AttemptParams& params) override;
-    void deliver(int attempt) override;
+    void deliver(AttemptIndex attempt) override;
     void refuse(Micros retryAfterUs) override;
     void fail() override;
 
--- a/tests/adapter/wire_events_test.cpp
+++ b/tests/adapter/wire_events_test.cpp
@@ -44,26 +44,26 @@
             "INCOMING corr=42 qos=read grade=basic item=k validUntilUs=9 disk=v sizeUnits=2 liesIn=3 retry=1")
             .request;
     EXPECT_EQ(request.id, 42U);
-    EXPECT_EQ(request.classIndex, 0);
-    EXPECT_EQ(request.planIndex, 0);
+    EXPECT_EQ(request.classIndex, ClassIndex(0));
+    EXPECT_EQ(request.planIndex, PlanIndex(0));
     EXPECT_EQ(request.key, "k");
     EXPECT_EQ(request.volume, "v");
     EXPECT_EQ(request.deadlineUs, 9);
     EXPECT_EQ(request.units, 2);
-    EXPECT_EQ(request.cell, 3);
+    EXPECT_EQ(request.cell, CellIndex(3));
     EXPECT_TRUE(request.retry);
 }
 
 TEST(WireEvents, ARequestOfUnknownClassAndPlanHasNoIndices) {
     const auto request = eventOf<RequestReceived>("INCOMING corr=1 qos=x grade=y validUntilUs=9").request;
-    EXPECT_EQ(request.classIndex, -1);
-    EXPECT_EQ(request.planIndex, -1);
+    EXPECT_TRUE(request.classIndex.isNone());
+    EXPECT_TRUE(request.planIndex.isNone());
 }
 
 TEST(WireEvents, AnAttemptHasItsOutcomeAndLoadReport) {
     const auto attempt =
         eventOf<AttemptOutcome>("ENDED corr=1 shot=2 shelf=n code=no_room metrics=1.5,2 usePct=50");
-    EXPECT_EQ(attempt.attempt, 2);
+    EXPECT_EQ(attempt.attempt, AttemptIndex(2));
     EXPECT_EQ(attempt.node, "n");
     EXPECT_EQ(attempt.outcome, Outcome::Rejected);
     EXPECT_EQ(attempt.loadPercent, 50);
@@ -81,7 +81,7 @@
     EXPECT_EQ(list.version, 8);
     ASSERT_EQ(list.nodes.size(), 1U);
     EXPECT_EQ(list.nodes[0].state, NodeState::Draining);
-    EXPECT_EQ(list.nodes[0].cell, 2);
+    EXPECT_EQ(list.nodes[0].cell, CellIndex(2));
 }
 
 TEST(WireEvents, AnUnavailableEndpointListNeedsNoNumber) {
@@ -91,7 +91,7 @@
 
 TEST(WireEvents, TheOtherEventsHaveTheirFields) {
     const auto response = eventOf<ResponseStarted>("HEADERS corr=1 shot=2 shelf=n waitTimeUs=3");
-    EXPECT_EQ(response.attempt, 2);
+    EXPECT_EQ(response.attempt, AttemptIndex(2));
     EXPECT_EQ(response.node, "n");
     EXPECT_EQ(response.elapsedUs, 3);
     EXPECT_EQ(eventOf<RequestCancelled>("ABORTED corr=4").id, 4U);
--- a/tests/adapter/wire_settings_test.cpp
+++ b/tests/adapter/wire_settings_test.cpp
@@ -30,7 +30,7 @@
         "obligations.askEveryUs=10 extra.shards=4 report.columns=depth,busy report.how=probe "
         "registryMode=on_request");
     EXPECT_EQ(settings.seed, 5U);
-    EXPECT_EQ(settings.hostIndex, 1);
+    EXPECT_EQ(settings.hostIndex, HostIndex(1));
     EXPECT_EQ(settings.hostCount, 2);
     EXPECT_EQ(settings.zone, "z");
     EXPECT_EQ(settings.roundUs, 9);
--- a/tests/app/metrics_report_test.cpp
+++ b/tests/app/metrics_report_test.cpp
@@ -118,7 +118,7 @@
 TEST_CASE("metrics: the cause of the recovery is named once the host has recovered") {
     constexpr Micros kStart = 100'000'000;
     constexpr Micros kLease = 2'000'000;
-    const fleet::RestartRecovery recovery({0, 3, kLease, true}, kStart);
+    const fleet::RestartRecovery recovery({HostIndex(0), 3, kLease, true}, kStart);
     CHECK(formatLine(describeFleet(recovery, kStart)) ==
           "counters fleet: recovered_by=nothing may_lend=false new_incarnations=0 shutdown_notices=0 stale=0 "
           "malformed=0");
--- a/tests/config/operator_config_test.cpp
+++ b/tests/config/operator_config_test.cpp
@@ -18,7 +18,7 @@
 
 TEST_CASE("operator config: the fronts that it names are read") {
     const auto operatorConfig = config::parseOperatorConfig(kValid, validSettings());
-    CHECK(operatorConfig.rsync->modules[0].pushClass == 1);
+    CHECK(operatorConfig.rsync->modules[0].pushClass == ClassIndex(1));
     CHECK(operatorConfig.rsync->modules[0].nodeModule == "m");
     CHECK(operatorConfig.agent.has_value());
     CHECK(!operatorConfig.health.has_value());
--- a/tests/core/reducer_fixture.h
+++ b/tests/core/reducer_fixture.h
@@ -28,9 +28,12 @@
 }
 
 /// An attempt's result without a load report.
-inline core::AttemptFinished finished(RequestId id, int attempt, Outcome outcome) {
+inline core::AttemptFinished finished(RequestId id, AttemptIndex attempt, Outcome outcome) {
     return {id, attempt, outcome, 0, 0, {}};
 }
+inline core::AttemptFinished finished(RequestId id, int attempt, Outcome outcome) {
+    return finished(id, AttemptIndex(attempt), outcome);
+}
 
 /// A front with the nodes n0 in cell 0 and n1 in cell 1.
 struct ReducerFixture {
--- a/tests/core/reducer_scale_test.cpp
+++ b/tests/core/reducer_scale_test.cpp
@@ -57,7 +57,7 @@
     Effects put(Input input) {
         auto effects = reduceBatch(state, now, std::move(input));
         for (const auto& message : effectsOf<SendPeerMessage>(effects)) {
-            REQUIRE(message.to >= 0);  // no broadcast
+            REQUIRE(!message.to.isEveryPeer());
             CHECK(message.bytes.size() <= 256);
             ++messagesSent;
             bytesSent += message.bytes.size();
--- a/tests/core/reducer_test.cpp
+++ b/tests/core/reducer_test.cpp
@@ -13,7 +13,7 @@
     ReducerFixture front;
     const auto starts = effectsOf<StartAttempt>(front.receive(1));
     REQUIRE(starts.size() == 1);
-    CHECK(starts[0].attempt == 0);
+    CHECK(starts[0].attempt == AttemptIndex(0));
     CHECK(starts[0].node == "n0");
     front.now += 20 * kMs;
     const auto effects = front.put(finished(1, 0, Outcome::Ok));
@@ -28,7 +28,7 @@
     auto starts = effectsOf<StartAttempt>(front.receive(1));
     std::vector<int> numbers;
     for (int i = 0; i < 5 && !starts.empty(); ++i) {
-        numbers.push_back(starts.back().attempt);
+        numbers.push_back(starts.back().attempt.value());
         front.now += 5 * kMs;
         const auto effects = front.put(finished(1, starts.back().attempt, Outcome::ConnectFailed));
         starts = effectsOf<StartAttempt>(effects);
@@ -68,7 +68,7 @@
 TEST_CASE("reducer: an attempt that is complete at its node runs on after its client disconnected") {
     ReducerFixture front;
     front.receive(1);
-    front.put(AttemptRequestSent{1, 0});
+    front.put(AttemptRequestSent{1, AttemptIndex(0)});
     CHECK(effectsOf<StopAttempt>(front.put(ClientDisconnected{1})).empty());
     CHECK(front.state.openRequests() == 0);
     CHECK(front.state.counters().disconnected == 1);
@@ -90,7 +90,7 @@
 TEST_CASE("reducer: a response that breaks while it is forwarded is a final failure") {
     ReducerFixture front;
     front.receive(1);
-    front.put(ResponseForwardingStarted{1, 0});
+    front.put(ResponseForwardingStarted{1, AttemptIndex(0)});
     const auto effects = front.put(finished(1, 0, Outcome::Reset));
     CHECK(effectsOf<SendFailure>(effects).size() == 1);
     CHECK(effectsOf<StartAttempt>(effects).empty());
@@ -101,7 +101,7 @@
 TEST_CASE("reducer: an unbounded response that is forwarded has no deadline") {
     ReducerFixture front;
     front.receive(1, 0, 300 * kMs);
-    front.put(ResponseForwardingStarted{1, 0, true});
+    front.put(ResponseForwardingStarted{1, AttemptIndex(0), true});
     CHECK(effectsOf<StopAttempt>(front.expireTimersAt(front.now + 1'000 * kMs)).empty());
     CHECK(front.state.openRequests() == 1);
     CHECK(effectsOf<DeliverResponse>(front.put(finished(1, 0, Outcome::Ok))).size() == 1);
--- a/tests/core/request_table_test.cpp
+++ b/tests/core/request_table_test.cpp
@@ -15,8 +15,8 @@
     const InFlightRequest* added = table.add(received);
     REQUIRE(added != nullptr);
     CHECK(added->deadlineUs == received.deadlineUs);
-    CHECK(added->cell == 5);
-    CHECK(added->classIndex == 2);
+    CHECK(added->cell == CellIndex(5));
+    CHECK(added->classIndex == ClassIndex(2));
     CHECK(added->bodyIncomplete);
     CHECK(added->bodyStreamed);
     CHECK(table.find(1) == added);
@@ -33,19 +33,19 @@
 TEST_CASE("request table: an attempt is found by its request and number only") {
     RequestTable table;
     InFlightRequest* request = table.add(test::request(1, 0, 0, kStart));
-    request->attempts.emplace(0, InFlightAttempt{"n0", kStart, kStart + 1});
-    const AttemptLookup found = table.findAttempt(1, 0);
+    request->attempts.emplace(AttemptIndex(0), InFlightAttempt{"n0", kStart, kStart + 1});
+    const AttemptLookup found = table.findAttempt(1, AttemptIndex(0));
     REQUIRE(found);
     CHECK(found.request == request);
     CHECK(found.attempt->node == "n0");
-    CHECK(!table.findAttempt(1, 1));
-    CHECK(!table.findAttempt(2, 0));
+    CHECK(!table.findAttempt(1, AttemptIndex(1)));
+    CHECK(!table.findAttempt(2, AttemptIndex(0)));
 }
 
 TEST_CASE("request table: a request is finished once it is answered and its last attempt has ended") {
     RequestTable table;
     InFlightRequest* request = table.add(test::request(1, 0, 0, kStart));
-    request->attempts.emplace(0, InFlightAttempt{});
+    request->attempts.emplace(AttemptIndex(0), InFlightAttempt{});
     CHECK(!request->isFinished());
     table.markAnswered(*request);
     CHECK(table.unanswered() == 0);
--- a/tests/core/timer_queue_test.cpp
+++ b/tests/core/timer_queue_test.cpp
@@ -2,12 +2,13 @@
 
 #include <doctest/doctest.h>
 
+using namespace wingproxy;
 using namespace wingproxy::core;
 
 TEST_CASE("timer queue: timers expire in the order of their times") {
     TimerQueue queue;
-    queue.schedule({20, TimerKind::Policy, 2, 0});
-    queue.schedule({10, TimerKind::Policy, 1, 0});
+    queue.schedule({20, TimerKind::Policy, 2, {}});
+    queue.schedule({10, TimerKind::Policy, 1, {}});
     CHECK(queue.popExpired(30)->id == 1);
     CHECK(queue.popExpired(30)->id == 2);
     CHECK(!queue.popExpired(30));
@@ -15,11 +16,11 @@
 
 TEST_CASE("timer queue: timers of the same time expire by kind, then by id") {
     TimerQueue queue;
-    queue.schedule({10, TimerKind::LastByte, 1, 0});
-    queue.schedule({10, TimerKind::RequestDeadline, 1, 0});
-    queue.schedule({10, TimerKind::AttemptTimeout, 2, 0});
-    queue.schedule({10, TimerKind::AttemptTimeout, 1, 0});
-    queue.schedule({10, TimerKind::Policy, 9, 0});
+    queue.schedule({10, TimerKind::LastByte, 1, AttemptIndex(0)});
+    queue.schedule({10, TimerKind::RequestDeadline, 1, {}});
+    queue.schedule({10, TimerKind::AttemptTimeout, 2, AttemptIndex(0)});
+    queue.schedule({10, TimerKind::AttemptTimeout, 1, AttemptIndex(0)});
+    queue.schedule({10, TimerKind::Policy, 9, {}});
     CHECK(queue.popExpired(10)->kind == TimerKind::Policy);
     CHECK(queue.popExpired(10)->id == 1);
     CHECK(queue.popExpired(10)->id == 2);
@@ -29,7 +30,7 @@
 
 TEST_CASE("timer queue: a timer expires at its time and not before") {
     TimerQueue queue;
-    queue.schedule({10, TimerKind::Policy, 1, 0});
+    queue.schedule({10, TimerKind::Policy, 1, {}});
     CHECK(queue.nextExpiry() == 10);
     CHECK(!queue.popExpired(9));
     CHECK(queue.popExpired(10));
@@ -38,7 +39,7 @@
 
 TEST_CASE("timer queue: cancelling takes out one of several equal timers") {
     TimerQueue queue;
-    const Timer timer{10, TimerKind::Policy, 1, 0};
+    const Timer timer{10, TimerKind::Policy, 1, {}};
     queue.schedule(timer);
     queue.schedule(timer);
     queue.cancel(timer);
@@ -47,8 +48,8 @@
 
 TEST_CASE("timer queue: cancelling a timer that is not there changes nothing") {
     TimerQueue queue;
-    queue.schedule({10, TimerKind::AttemptTimeout, 1, 0});
-    queue.cancel({10, TimerKind::AttemptTimeout, 1, 1});
-    queue.cancel({11, TimerKind::AttemptTimeout, 1, 0});
+    queue.schedule({10, TimerKind::AttemptTimeout, 1, AttemptIndex(0)});
+    queue.cancel({10, TimerKind::AttemptTimeout, 1, AttemptIndex(1)});
+    queue.cancel({11, TimerKind::AttemptTimeout, 1, AttemptIndex(0)});
     CHECK(queue.size() == 1);
 }
--- a/tests/fleet/restart_recovery_model_test.cpp
+++ b/tests/fleet/restart_recovery_model_test.cpp
@@ -37,7 +37,7 @@
 constexpr std::size_t kMaxStates = 4'000'000;
 
 RestartRecovery hostStartedAt(int host, Micros startedAt) {
-    return RestartRecovery({host, kHosts, kLease, true}, startedAt);
+    return RestartRecovery({HostIndex(host), kHosts, kLease, true}, startedAt);
 }
 
 enum class MessageKind : std::uint8_t { Recovery, LeaseRequest, LeaseGrant };
@@ -213,8 +213,8 @@
     /// Messages between the borrowers do not matter to the chunk and are left out.
     void send(Worlds& worlds, int from, const std::vector<fleet::OutgoingDatagram>& datagrams) const {
         for (const auto& datagram : datagrams)
-            if (from == 0 || datagram.to == 0)
-                send(worlds, {MessageKind::Recovery, from, datagram.to, datagram.bytes, 0, 0});
+            if (from == 0 || datagram.to == HostIndex(0))
+                send(worlds, {MessageKind::Recovery, from, datagram.to.value(), datagram.bytes, 0, 0});
     }
 
     Worlds deliver(const World& world, const Message& message) const {
@@ -230,7 +230,8 @@
         return {world};
     }
     Worlds deliverRecovery(World world, const Message& message) const {
-        const auto result = world.hosts[message.to].handleDatagram(message.from, message.bytes, world.now);
+        const auto result =
+            world.hosts[message.to].handleDatagram(HostIndex(message.from), message.bytes, world.now);
         if (message.to != 0 && result.status == IncarnationStatus::New) world.heldUntil[message.to] = 0;
         Worlds all{world};
         send(all, message.to, result.replies);
@@ -251,7 +252,8 @@
         return all;
     }
     Worlds deliverLeaseGrant(World world, const Message& message) const {
-        const auto status = world.hosts[message.to].observeIncarnation(0, message.incarnation, world.now);
+        const auto status =
+            world.hosts[message.to].observeIncarnation(HostIndex(0), message.incarnation, world.now);
         const bool acceptsStale = brokenRule_ == BrokenRule::AcceptsStaleGrants;
         if (status == IncarnationStatus::Stale && !acceptsStale) return {world};
         Micros& heldUntil = world.heldUntil[message.to];
--- a/tests/fleet/restart_recovery_test.cpp
+++ b/tests/fleet/restart_recovery_test.cpp
@@ -21,7 +21,9 @@
 constexpr Micros kStart = 1'000 * kSecond;
 constexpr Micros kLease = 2 * kSecond;
 
-RestartRecovery::Options optionsOf(int host, int hostCount) { return {host, hostCount, kLease, true}; }
+RestartRecovery::Options optionsOf(int host, int hostCount) {
+    return {HostIndex(host), hostCount, kLease, true};
+}
 
 /// Hosts whose datagrams arrive at once; those in `dead` neither send nor receive.
 struct ConnectedFleet {
@@ -41,9 +43,10 @@
         for (; !wire.empty(); wire.pop_front(), ++sentCount) {
             const Sent sent = wire.front();
             largest = std::max(largest, sent.datagram.bytes.size());
-            const int to = sent.datagram.to;
+            const int to = sent.datagram.to.value();
             if (dead.contains(to)) continue;
-            for (auto& reply : host(to).handleDatagram(sent.from, sent.datagram.bytes, now).replies)
+            for (auto& reply :
+                 host(to).handleDatagram(HostIndex(sent.from), sent.datagram.bytes, now).replies)
                 wire.push_back({to, std::move(reply)});
         }
         return sentCount;
@@ -130,8 +133,8 @@
 TEST_CASE("restart recovery: three hosts hold the notice of each host") {
     ConnectedFleet fleet(40);
     CHECK(fleet.host(5).holders().size() == 3);
-    for (const int holder : fleet.host(5).holders())
-        CHECK(holder != 5);
+    for (const HostIndex holder : fleet.host(5).holders())
+        CHECK(holder != HostIndex(5));
 }
 
 TEST_CASE("restart recovery: after a crash the replies of all peers are enough") {
@@ -148,14 +151,14 @@
     ConnectedFleet fleet(40);
     fleet.run(kSecond);
     const auto holders = fleet.host(5).holders();
-    fleet.dead = {holders[1]};
+    fleet.dead = {holders[1].value()};
     fleet.restart(5);
     fleet.run(kLease - 100 * kMs);
     CHECK(!fleet.isRecovered(5));
     fleet.run(200 * kMs);
     CHECK(fleet.isRecovered(5));
     CHECK(!fleet.mayLend(5));
-    fleet.restart(holders[1]);  // it has no notice, and so cannot mislead a later incarnation
+    fleet.restart(holders[1].value());  // it has no notice, and so cannot mislead a later incarnation
     fleet.run(600 * kMs);
     CHECK(fleet.mayLend(5));
 }
@@ -163,7 +166,7 @@
 TEST_CASE("restart recovery: once every earlier notice is too old a dead notice holder no longer matters") {
     ConnectedFleet fleet(40);
     fleet.run(kSecond);
-    fleet.dead = {fleet.host(5).holders()[2]};
+    fleet.dead = {fleet.host(5).holders()[2].value()};
     fleet.restart(5);
     fleet.run(RestartRecovery::kNoticeRetention + 10 * kMs);
     CHECK(fleet.mayLend(5));
@@ -202,21 +205,21 @@
     RestartRecovery host(optionsOf(0, 3), kStart);
     RestartRecovery started(optionsOf(1, 3), kStart + kMs);
     const auto query = started.dueDatagrams(kStart + kMs).at(0).bytes;
-    CHECK(host.handleDatagram(1, query, kStart + kMs).replies.size() == 2);
-    CHECK(host.handleDatagram(1, query, kStart + kMs).replies.size() == 1);
+    CHECK(host.handleDatagram(HostIndex(1), query, kStart + kMs).replies.size() == 2);
+    CHECK(host.handleDatagram(HostIndex(1), query, kStart + kMs).replies.size() == 1);
 }
 
 TEST_CASE(
     "restart recovery: a message of an earlier incarnation is stale until the newer one is long unheard") {
     RestartRecovery host(optionsOf(0, 3), kStart);
-    CHECK(host.observeIncarnation(1, 100, kStart) == IncarnationStatus::Known);
-    CHECK(host.observeIncarnation(1, 200, kStart + 1) == IncarnationStatus::New);
-    CHECK(host.observeIncarnation(1, 100, kStart + 2) == IncarnationStatus::Stale);
-    CHECK(host.observeIncarnation(1, 200, kStart + 3) == IncarnationStatus::Known);
+    CHECK(host.observeIncarnation(HostIndex(1), 100, kStart) == IncarnationStatus::Known);
+    CHECK(host.observeIncarnation(HostIndex(1), 200, kStart + 1) == IncarnationStatus::New);
+    CHECK(host.observeIncarnation(HostIndex(1), 100, kStart + 2) == IncarnationStatus::Stale);
+    CHECK(host.observeIncarnation(HostIndex(1), 200, kStart + 3) == IncarnationStatus::Known);
     const auto clockSetBack = kStart + 4 + RestartRecovery::kStaleIncarnationPeriod;
-    CHECK(host.observeIncarnation(1, 100, clockSetBack) == IncarnationStatus::New);
+    CHECK(host.observeIncarnation(HostIndex(1), 100, clockSetBack) == IncarnationStatus::New);
     const std::uint32_t afterWrapAround = 0x80000063u;
-    CHECK(host.observeIncarnation(1, afterWrapAround, clockSetBack + 1) == IncarnationStatus::New);
+    CHECK(host.observeIncarnation(HostIndex(1), afterWrapAround, clockSetBack + 1) == IncarnationStatus::New);
     CHECK(host.counters().stale == 1);
     CHECK(host.counters().newIncarnations == 3);
 }
@@ -226,14 +229,14 @@
     RestartRecovery peer(optionsOf(1, 3), kStart);
     const auto query = peer.dueDatagrams(kStart).at(0).bytes;
     for (std::size_t length = 0; length < query.size(); ++length)
-        CHECK(host.handleDatagram(1, query.substr(0, length), kStart).replies.empty());
-    CHECK(host.handleDatagram(1, query + "x", kStart).replies.empty());
+        CHECK(host.handleDatagram(HostIndex(1), query.substr(0, length), kStart).replies.empty());
+    CHECK(host.handleDatagram(HostIndex(1), query + "x", kStart).replies.empty());
     for (const int from : {0, -1, 3})
-        CHECK(host.handleDatagram(from, query, kStart).replies.empty());
+        CHECK(host.handleDatagram(HostIndex(from), query, kStart).replies.empty());
     for (const int tag : {0, 5, 255}) {
         auto wrong = query;
         wrong[5] = char(tag);
-        CHECK(host.handleDatagram(1, wrong, kStart).replies.empty());
+        CHECK(host.handleDatagram(HostIndex(1), wrong, kStart).replies.empty());
     }
     CHECK(host.counters().malformed == query.size() + 7);
     CHECK(host.tableEntries() == 0);
@@ -243,16 +246,16 @@
     RestartRecovery host(optionsOf(0, 3), kStart);
     RestartRecovery peer(optionsOf(1, 3), kStart);
     const auto query = peer.dueDatagrams(kStart).at(0).bytes;
-    const auto reply = host.handleDatagram(1, query, kStart).replies.at(0).bytes;
+    const auto reply = host.handleDatagram(HostIndex(1), query, kStart).replies.at(0).bytes;
     CHECK(reply.size() < fleet::kMaxRecoveryDatagramBytes);
     RestartRecovery restarted(optionsOf(1, 3), kStart + kSecond);
-    restarted.handleDatagram(0, reply, kStart + kSecond);
-    restarted.handleDatagram(2, reply, kStart + kSecond);
+    restarted.handleDatagram(HostIndex(0), reply, kStart + kSecond);
+    restarted.handleDatagram(HostIndex(2), reply, kStart + kSecond);
     CHECK(!restarted.isRecovered(kStart + kSecond));
 }
 
 TEST_CASE("restart recovery: hosts that may not gossip send nothing and recover after a lease") {
-    RestartRecovery host({0, 3, kLease, false}, kStart);
+    RestartRecovery host({HostIndex(0), 3, kLease, false}, kStart);
     CHECK(host.dueDatagrams(kStart).empty());
     CHECK(!host.isRecovered(kStart + kLease - 1));
     CHECK(host.isRecovered(kStart + kLease));
@@ -260,7 +263,7 @@
 }
 
 TEST_CASE("restart recovery: a host that is alone has recovered from the start") {
-    RestartRecovery host({0, 1, kLease, true}, kStart);
+    RestartRecovery host({HostIndex(0), 1, kLease, true}, kStart);
     CHECK(host.isRecovered(kStart));
     CHECK(host.mayLend(kStart));
     CHECK(host.dueDatagrams(kStart).empty());
--- a/tests/golden/golden_handover_test.cpp
+++ b/tests/golden/golden_handover_test.cpp
@@ -42,11 +42,11 @@
     }
     std::string operator()(const FailRequest& a) const { return join({std::to_string(a.id)}); }
     std::string operator()(const CancelAttempt& a) const {
-        return join({std::to_string(a.id), std::to_string(a.attempt)});
+        return join({std::to_string(a.id), std::to_string(a.attempt.value())});
     }
     std::string operator()(const StartHealthCheck& a) const { return join({a.node}); }
     std::string operator()(const SendPeerMessage& a) const {
-        return join({std::to_string(a.to), hexOf(a.bytes)});
+        return join({std::to_string(a.to.host().value()), hexOf(a.bytes)});
     }
     std::string operator()(const SetTimer& a) const {
         return join({std::to_string(a.delayUs), std::to_string(a.token)});
@@ -196,7 +196,7 @@
     const auto units = static_cast<double>(random_.between(1, 6));
     const int cell = static_cast<int>(random_.between(-1, 1));
     Request r = request(++lastRequest_, classIndex, planIndex, now_, units, cell, kHosts);
-    if (r.classIndex == 3) r.key = "ordered" + std::to_string(random_.below(5));
+    if (r.classIndex == ClassIndex(3)) r.key = "ordered" + std::to_string(random_.below(5));
     const bool early = now_ < kStart + 3 * kSecond;
     if (early && random_.chance(10)) r.volume += std::to_string(r.id);  // asked for once, and forgotten later
     r.bodyIncomplete = random_.chance(30);
@@ -268,7 +268,7 @@
         at(now_ + timer->delayUs,
            [this, process, token = timer->token] { give(process, TimerFired{token}); });
     if (const auto* cancel = std::get_if<CancelAttempt>(&action))
-        at(now_ + kMs, [this, c = *cancel] { endAttempt(c.id, c.attempt, Outcome::Cancelled, 0); });
+        at(now_ + kMs, [this, c = *cancel] { endAttempt(c.id, c.attempt.value(), Outcome::Cancelled, 0); });
     if (const auto* probe = std::get_if<StartHealthCheck>(&action)) {
         const Micros took = std::max<Micros>(nodeFreeAt_[probe->node] - now_, 0) + 2 * kMs;
         at(now_ + took, [this, process, node = probe->node, took] {
@@ -277,13 +277,14 @@
     }
     if (const auto* tell = std::get_if<SendPeerMessage>(&action))
         for (int to = 0; to < kHosts; ++to)
-            if (to != processes_[process].host && (tell->to < 0 || tell->to == to) && !random_.chance(5))
+            if (to != processes_[process].host && (tell->to.isEveryPeer() || tell->to == HostIndex(to)) &&
+                !random_.chance(5))
                 at(now_ + random_.between(1, 4) * kMs, [this, from = processes_[process].host, to,
                                                         bytes = tell->bytes] { deliver(from, to, bytes); });
 }
 
 void HandOverSimulation::deliver(int from, int to, const std::string& bytes) {
-    give(serving(to), PeerMessageReceived{from, bytes});
+    give(serving(to), PeerMessageReceived{HostIndex(from), bytes});
 }
 
 void HandOverSimulation::startAttempt(const ForwardRequest& send) {
@@ -324,7 +325,8 @@
         at(freeAt, [this, id, attempt, node, began, passing] {
             const OpenRequest& answered = requests_.at(id);
             if (!answered.out.contains(attempt)) return;
-            give(answered.process, ResponseStarted{id, attempt, node, now_ - began, true, passing});
+            give(answered.process,
+                 ResponseStarted{id, AttemptIndex(attempt), node, now_ - began, true, passing});
         });
         end += random_.between(5, 400) * kMs;
     }
--- a/tests/golden/golden_stored_data_test.cpp
+++ b/tests/golden/golden_stored_data_test.cpp
@@ -68,8 +68,8 @@
     std::string message = peer::header(7'001);
     peer::append(message, peer::UsageReport{3'000, true, {80}, peer::EncodedWait::of(4'000), 2, 0});
     peer::append(message, peer::LeaseRequest{volume, 2, 20'001});
-    peer::append(message, peer::MembershipNotice{std::uint32_t(volume), 1});
-    host.put(kHandedOverAt, PeerMessageReceived{1, message});
+    peer::append(message, peer::MembershipNotice{std::uint32_t(volume), HostIndex(1)});
+    host.put(kHandedOverAt, PeerMessageReceived{HostIndex(1), message});
     host.put(kHandedOverAt, core::AdminOverrideChanged{"b", {true, kHandedOverAt}});
     hot_restart::Snapshot snapshot;
     snapshot.front = "front-0";
@@ -113,11 +113,13 @@
     return message;
 }
 
-fleet::RestartRecovery::Options arrivalTerms(int host) { return {host, kHosts, 2 * kSecond, true}; }
+fleet::RestartRecovery::Options arrivalTerms(int host) {
+    return {HostIndex(host), kHosts, 2 * kSecond, true};
+}
 
 std::string messageTo(int to, const std::vector<fleet::OutgoingDatagram>& messages) {
     for (const auto& message : messages)
-        if (message.to == to) return message.bytes;
+        if (message.to == HostIndex(to)) return message.bytes;
     FAIL("no message to this host");
     return "";
 }
@@ -135,7 +137,7 @@
     all["grant"] = datagram({peer::LeaseGrant{limitedVolume(), 5, {320}, grantStamp}});
     all["others"] = datagram({peer::UsageAggregate{
         cellZero(), {400}, peer::EncodedWait::of(5'000'000), peer::EncodedRate::of(20)}});
-    all["member"] = datagram({peer::MembershipNotice{std::uint32_t(limitedVolume()), 2}});
+    all["member"] = datagram({peer::MembershipNotice{std::uint32_t(limitedVolume()), HostIndex(2)}});
     all["old_hello"] = oldRecord(peer::Tag::OldHello);
     all["old_welcome"] = oldRecord(peer::Tag::OldWelcome);
     // Host 0 leaves and starts again; host 1 keeps its notice, host 2 does not know of it.
@@ -144,11 +146,11 @@
     fleet::RestartRecovery stranger(arrivalTerms(2), kBegin - 20 * kSecond);
     earlier.startShutdown(kBegin - 50 * kMs, kBegin - 1'500 * kMs);
     all["shutdown_notice"] = messageTo(1, earlier.dueDatagrams(kBegin - 1'500 * kMs));
-    keeper.handleDatagram(0, all["shutdown_notice"], kBegin - 1'499 * kMs);
+    keeper.handleDatagram(HostIndex(0), all["shutdown_notice"], kBegin - 1'499 * kMs);
     fleet::RestartRecovery later(arrivalTerms(0), kBegin);
     all["hello"] = messageTo(1, later.dueDatagrams(kBegin));
-    all["welcome_after"] = messageTo(0, keeper.handleDatagram(0, all["hello"], kBegin).replies);
-    all["welcome"] = messageTo(0, stranger.handleDatagram(0, all["hello"], kBegin).replies);
+    all["welcome_after"] = messageTo(0, keeper.handleDatagram(HostIndex(0), all["hello"], kBegin).replies);
+    all["welcome"] = messageTo(0, stranger.handleDatagram(HostIndex(0), all["hello"], kBegin).replies);
     return all;
 }
 
@@ -170,7 +172,7 @@
 std::vector<peer::Record> recordsTo(int to, const std::vector<Action>& actions) {
     std::vector<peer::Record> records;
     for (const auto& told : only<SendPeerMessage>(actions)) {
-        if (!(told.to == to && !fleet::RestartRecovery::isRecoveryDatagram(told.bytes))) continue;
+        if (!(told.to == HostIndex(to) && !fleet::RestartRecovery::isRecoveryDatagram(told.bytes))) continue;
         const auto message = peer::decode(told.bytes);
         CHECK(message.has_value());
         if (message) records.insert(records.end(), message->records.begin(), message->records.end());
@@ -196,7 +198,7 @@
         runTo(kLendingFrom);
     }
     std::vector<Action> hear(int from, const std::string& bytes) {
-        return batch({PeerMessageReceived{from, bytes}});
+        return batch({PeerMessageReceived{HostIndex(from), bytes}});
     }
 };
 
@@ -255,7 +257,7 @@
         for (const auto& refusal : only<RejectRequest>(actions))
             line += " refused " + std::to_string(refusal.id) + " " + std::to_string(refusal.retryAfterUs);
         for (const auto& told : only<SendPeerMessage>(actions))
-            line += " told " + std::to_string(told.to) + " " + hexOf(told.bytes);
+            line += " told " + std::to_string(told.to.host().value()) + " " + hexOf(told.bytes);
         lines.push_back(line);
     }
     const std::string difference = differenceFromGoldenFile("data/after_restore.txt", lines);
@@ -283,7 +285,7 @@
     REQUIRE(ofKind<peer::MembershipNotice>(toSecond).size() == 2);  // itself, joined as a member of the key
     const auto toFirst = recordsTo(2, host.hear(1, datagrams.at("join")));
     REQUIRE(ofKind<peer::MembershipNotice>(toFirst).size() == 1);
-    CHECK(ofKind<peer::MembershipNotice>(toFirst)[0].host == 1);
+    CHECK(ofKind<peer::MembershipNotice>(toFirst)[0].host == HostIndex(1));
     CHECK(host.policy.recovery().counters().malformed == 0);
 }
 
@@ -351,11 +353,11 @@
     Host keeper(settings(1, kHosts), kBegin - 20 * kSecond);
     keeper.batch();
     keeper.runTo(kBegin - 1'499 * kMs);
-    keeper.batch({PeerMessageReceived{0, datagrams.at("shutdown_notice")}});
+    keeper.batch({PeerMessageReceived{HostIndex(0), datagrams.at("shutdown_notice")}});
     CHECK(keeper.policy.recovery().counters().storedNotices == 1);
     keeper.runTo(kBegin);
     const auto welcomeAfter =
-        only<SendPeerMessage>(keeper.batch({PeerMessageReceived{0, datagrams.at("hello")}}));
+        only<SendPeerMessage>(keeper.batch({PeerMessageReceived{HostIndex(0), datagrams.at("hello")}}));
     REQUIRE(!welcomeAfter.empty());
     CHECK(hexOf(welcomeAfter[0].bytes) == hexOf(datagrams.at("welcome_after")));
 
@@ -363,7 +365,7 @@
     stranger.batch();
     stranger.runTo(kBegin);
     const auto welcome =
-        only<SendPeerMessage>(stranger.batch({PeerMessageReceived{0, datagrams.at("hello")}}));
+        only<SendPeerMessage>(stranger.batch({PeerMessageReceived{HostIndex(0), datagrams.at("hello")}}));
     REQUIRE(!welcome.empty());
     CHECK(hexOf(welcome[0].bytes) == hexOf(datagrams.at("welcome")));
 }
@@ -374,16 +376,16 @@
     const auto hellos = only<SendPeerMessage>(byNotice.batch());
     REQUIRE(hellos.size() == 2);
     CHECK(hellos[0].bytes == datagrams.at("hello"));
-    byNotice.batch({PeerMessageReceived{1, datagrams.at("welcome_after")}});
+    byNotice.batch({PeerMessageReceived{HostIndex(1), datagrams.at("welcome_after")}});
     CHECK(byNotice.policy.recovery().recoveryCause() ==
           fleet::RestartRecovery::RecoveryCause::ShutdownNotice);
     CHECK(!byNotice.policy.recovery().isRecovered(kBegin));
     CHECK(byNotice.policy.recovery().isRecovered(kBegin + 600 * kMs));  // two seconds after the notice
 
     Host byEveryone(settings(0, kHosts), kBegin);
-    byEveryone.batch({PeerMessageReceived{2, datagrams.at("welcome")}});
+    byEveryone.batch({PeerMessageReceived{HostIndex(2), datagrams.at("welcome")}});
     CHECK(!byEveryone.policy.recovery().isRecovered(kBegin));
-    byEveryone.batch({PeerMessageReceived{1, datagrams.at("welcome_after")}});
+    byEveryone.batch({PeerMessageReceived{HostIndex(1), datagrams.at("welcome_after")}});
     CHECK(byEveryone.policy.recovery().isRecovered(kBegin));
     CHECK(byEveryone.policy.recovery().recoveryCause() ==
           fleet::RestartRecovery::RecoveryCause::AllPeersReplied);
--- a/tests/http/attempt_deadlines_test.cpp
+++ b/tests/http/attempt_deadlines_test.cpp
@@ -74,14 +74,14 @@
         const auto first = of<core::StartAttempt>(step(state, kStart, RequestReceived{asked}));
         REQUIRE(first.size() == 1);
         CHECK(first[0].lastByteBy == core::StartAttempt::kNever);
-        step(state, kStart, core::AttemptRequestSent{1, 0});
+        step(state, kStart, core::AttemptRequestSent{1, AttemptIndex(0)});
         const Micros broke = kStart + window - 20 * kMs;
-        const auto repeat =
-            of<core::StartAttempt>(step(state, broke, core::AttemptFinished{1, 0, Outcome::Reset, 0, 0, {}}));
+        const auto repeat = of<core::StartAttempt>(
+            step(state, broke, core::AttemptFinished{1, AttemptIndex(0), Outcome::Reset, 0, 0, {}}));
         REQUIRE(repeat.size() == 1);
         CHECK(repeat[0].lastByteBy == kStart + window);
         CHECK(repeat[0].firstByteBy <= kStart + window);
-        if (written) step(state, kStart + window - kMs, core::AttemptRequestSent{1, 1});
+        if (written) step(state, kStart + window - kMs, core::AttemptRequestSent{1, AttemptIndex(1)});
         const auto after = step(state, kStart + window, core::TimerExpired{});
         CHECK(of<core::StopAttempt>(after).size() == (written ? 0 : 1));
         CHECK(of<core::SendFailure>(after).size() == (written ? 0 : 1));  // it may have run: no refusal
@@ -94,10 +94,10 @@
     const auto message = std::make_shared<http::RequestMessage>(boost::beast::http::verb::get, "/api", 11);
     const auto attempt = std::make_shared<http::NodeAttempt>(
         rig.engine, rig.pool,
-        net::AttemptParams{9, 0, rig.node().address(), rig.engine.now() + 1'000'000,
+        net::AttemptParams{9, AttemptIndex(0), rig.node().address(), rig.engine.now() + 1'000'000,
                            rig.engine.now() + 1'000'000, rig.engine.now() - 1},
         message, std::nullopt, std::weak_ptr<http::Downstream>(),
-        [](int, http::ResponseMessage, net::ByteBudget::Hold) {});
+        [](AttemptIndex, http::ResponseMessage, net::ByteBudget::Hold) {});
     attempt->start();
     rig.until([&] { return rig.node().wires.size() == 1 && rig.node().wires[0]->ended; });
     CHECK(rig.node().wires[0]->got.empty());
@@ -111,9 +111,10 @@
     // Its time is over already when the connection is up: the node may be draining by now.
     const auto attempt = std::make_shared<http::NodeAttempt>(
         rig.engine, rig.pool,
-        net::AttemptParams{9, 0, rig.node().address(), rig.engine.now() - 1, rig.engine.now() + 1'000'000},
+        net::AttemptParams{9, AttemptIndex(0), rig.node().address(), rig.engine.now() - 1,
+                           rig.engine.now() + 1'000'000},
         message, std::nullopt, std::weak_ptr<http::Downstream>(),
-        [](int, http::ResponseMessage, net::ByteBudget::Hold) {});
+        [](AttemptIndex, http::ResponseMessage, net::ByteBudget::Hold) {});
     attempt->start();
     rig.until([&] { return rig.engine.counters().lateResults == 1 && rig.node().wires.size() == 1; });
     CHECK(rig.node().wires[0]->got.empty());
--- a/tests/http/client_disconnects_test.cpp
+++ b/tests/http/client_disconnects_test.cpp
@@ -127,7 +127,8 @@
         Rig rig(std::move(config));
         Unreachable node(rig.io);
         rig.engine.endpointListReceived(
-            {{EndpointListKind::Delta, 2, {{"s-0", "z", 0, 1, NodeState::Ready, 1}}}, {node.address()}});
+            {{EndpointListKind::Delta, 2, {{"s-0", "z", CellIndex(0), 1, NodeState::Ready, 1}}},
+             {node.address()}});
         const auto client = rig.client();
         client->say(Ask{.deadlineMs = 30'000}.text());
         rig.until([&] { return rig.engine.counters().attempts == 1; });
--- a/tests/http/peers_test.cpp
+++ b/tests/http/peers_test.cpp
@@ -34,6 +34,6 @@
     CHECK(peer.receive_from(asio::buffer(bytes), from) <= 256);
     CHECK(from == to);
     const auto unsent = rig.peers.counters().unsent;
-    rig.peers.send(1, std::string(257, 'b'));
+    rig.peers.send(HostIndex(1), std::string(257, 'b'));
     CHECK(rig.peers.counters().unsent == unsent + 1);
 }
--- a/tests/http/pending_request_test.cpp
+++ b/tests/http/pending_request_test.cpp
@@ -48,16 +48,16 @@
 TEST_CASE_FIXTURE(Fixture,
                   "pending request: the delivered attempt's response is sent with its content type") {
     const auto request = make();
-    request->keepResponse(0, response("uno"), nullptr);
-    request->keepResponse(1, response("dos"), nullptr);
-    request->deliver(1);
+    request->keepResponse(AttemptIndex(0), response("uno"), nullptr);
+    request->keepResponse(AttemptIndex(1), response("dos"), nullptr);
+    request->deliver(AttemptIndex(1));
     CHECK(client->responses == std::vector<std::string>{"200|Content-Type: text/plain\r\n|dos"});
     CHECK(client->streamsCompleted == 0);
 }
 
 TEST_CASE_FIXTURE(Fixture, "pending request: an attempt without a kept response was streamed") {
     const auto request = make();
-    request->deliver(0);
+    request->deliver(AttemptIndex(0));
     CHECK(client->responses.empty());
     CHECK(client->streamsCompleted == 1);
 }
@@ -72,8 +72,8 @@
 TEST_CASE_FIXTURE(Fixture, "pending request: nothing is sent to a client that is gone") {
     const auto request = make();
     client = nullptr;
-    request->keepResponse(0, response("uno"), nullptr);
-    CHECK_NOTHROW(request->deliver(0));
+    request->keepResponse(AttemptIndex(0), response("uno"), nullptr);
+    CHECK_NOTHROW(request->deliver(AttemptIndex(0)));
     CHECK_NOTHROW(request->fail());
 }
 
--- a/tests/http/request_parser_test.cpp
+++ b/tests/http/request_parser_test.cpp
@@ -12,11 +12,11 @@
 TEST_CASE("request parser: the fields of a valid request are translated") {
     const auto parsed = std::get<http::ParsedRequest>(http::parseRequest(platformRequest(), testSettings()));
     CHECK(parsed.timeoutUs == 480'000);
-    CHECK(parsed.request.classIndex == 1);
-    CHECK(parsed.request.planIndex == 0);
+    CHECK(parsed.request.classIndex == ClassIndex(1));
+    CHECK(parsed.request.planIndex == PlanIndex(0));
     CHECK(parsed.request.key == "7f3a9c21e0b4d655");
     CHECK(parsed.request.units == 2);
-    CHECK(parsed.request.cell == -1);
+    CHECK(parsed.request.cell.isNone());
     CHECK(parsed.request.volumeHosts == 3);
 }
 
--- a/tests/http/streaming_bodies_test.cpp
+++ b/tests/http/streaming_bodies_test.cpp
@@ -89,9 +89,9 @@
     // A node that keeps nothing: the stand-in's own reader would buffer all of it.
     std::shared_ptr<ByteStream> taker, giver;
     tcp::acceptor plain(rig.io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
-    auto list =
-        config::EndpointListing{{EndpointListKind::Delta, 2, {{"s-0", "z", 0, 1, NodeState::Ready, 1}}},
-                                {{"127.0.0.1", plain.local_endpoint().port()}}};
+    auto list = config::EndpointListing{
+        {EndpointListKind::Delta, 2, {{"s-0", "z", CellIndex(0), 1, NodeState::Ready, 1}}},
+        {{"127.0.0.1", plain.local_endpoint().port()}}};
     rig.engine.endpointListReceived(std::move(list));
     plain.async_accept([&](auto, tcp::socket socket) {
         taker = std::make_shared<ByteStream>(std::move(socket));
--- a/tests/net/engine_test.cpp
+++ b/tests/net/engine_test.cpp
@@ -22,7 +22,7 @@
         if (onStart) onStart(params);
         return attempts.back();
     }
-    void deliver(int attempt) override { delivered.push_back(attempt); }
+    void deliver(AttemptIndex attempt) override { delivered.push_back(attempt); }
     void refuse(Micros) override { ++rejections; }
     void fail() override { ++failures; }
     std::size_t answers() const { return delivered.size() + rejections + failures; }
@@ -30,7 +30,7 @@
     std::function<void(const net::AttemptParams&)> onStart;
     std::vector<net::AttemptParams> started;
     std::vector<std::shared_ptr<FakeAttempt>> attempts;
-    std::vector<int> delivered;
+    std::vector<AttemptIndex> delivered;
     std::size_t rejections = 0;
     std::size_t failures = 0;
 };
@@ -38,7 +38,7 @@
 config::Config configWithOneNode() {
     auto config =
         config::parseConfig(config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json"));
-    config.cachedEndpoints.list.nodes.push_back({"node-0", "z", 0, 1, NodeState::Ready, 0});
+    config.cachedEndpoints.list.nodes.push_back({"node-0", "z", CellIndex(0), 1, NodeState::Ready, 0});
     config.cachedEndpoints.addresses.push_back({"127.0.0.1", 4711});
     return config;
 }
@@ -51,12 +51,12 @@
 
     RequestId submit() {
         Request request;
-        request.classIndex = 0;
-        request.planIndex = 1;
+        request.classIndex = ClassIndex(0);
+        request.planIndex = PlanIndex(1);
         request.key = "key";
         request.volume = "volume";
         request.deadlineUs = engine.now() + kSecond;
-        request.cell = 0;
+        request.cell = CellIndex(0);
         const auto id = engine.submit(request, transfer);
         io.poll();
         return id;
@@ -136,9 +136,9 @@
     CHECK(running.engine.nodeCount() == 1);
     running.engine.endpointListReceived({{EndpointListKind::Delta,
                                           2,
-                                          {{"node-0", "z", 0, 1, NodeState::Removed, 0},
-                                           {"node-1", "z", 0, 1, NodeState::Ready, 0},
-                                           {"node-2", "z", 0, 1, NodeState::Ready, 0}}},
+                                          {{"node-0", "z", CellIndex(0), 1, NodeState::Removed, 0},
+                                           {"node-1", "z", CellIndex(0), 1, NodeState::Ready, 0},
+                                           {"node-2", "z", CellIndex(0), 1, NodeState::Ready, 0}}},
                                          {{"127.0.0.1", 1}, {"127.0.0.1", 2}, {"127.0.0.1", 3}}});
     CHECK(running.engine.nodeCount() == 2);
     CHECK(running.engine.listVersion() == 2);
@@ -147,7 +147,8 @@
 TEST_CASE("engine: a full endpoint list replaces the last one") {
     RunningEngine running;
     running.engine.endpointListReceived(
-        {{EndpointListKind::Full, 3, {{"node-1", "z", 0, 1, NodeState::Ready, 0}}}, {{"127.0.0.1", 2}}});
+        {{EndpointListKind::Full, 3, {{"node-1", "z", CellIndex(0), 1, NodeState::Ready, 0}}},
+         {{"127.0.0.1", 2}}});
     CHECK(running.engine.nodeCount() == 1);
     running.engine.endpointListUnavailable();
     CHECK(running.engine.nodeCount() == 1);
--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -18,7 +18,7 @@
     peer::append(message, peer::UsageAggregate{std::uint32_t(peer::hashOf("0")), {16 * 100}, {}, {}});
     h.batch({request(1, 0, 1, h.now)});
     h.now += took;
-    h.batch({ended(1, 0, "a", Outcome::Ok, took), PeerMessageReceived{1, message}});
+    h.batch({ended(1, 0, "a", Outcome::Ok, took), PeerMessageReceived{HostIndex(1), message}});
     h.now += 10 * kMs;
     std::vector<AnyEvent> run;
     for (RequestId id = 2; id <= 6; ++id)
--- a/tests/policy/dispatcher_test.cpp
+++ b/tests/policy/dispatcher_test.cpp
@@ -29,7 +29,7 @@
     peer::append(message, peer::UsageAggregate{
                               std::uint32_t(peer::hashOf("1")), {16}, {8}, {}});  // a wait of one millisecond
     h.batch({request(5, 0, 1, h.now, 2, 1),
-             PeerMessageReceived{1, message}});  // it has been asked for the cell once
+             PeerMessageReceived{HostIndex(1), message}});  // it has been asked for the cell once
     h.runTo(h.now + kSecond);
     for (RequestId id = 10; id < 20; ++id) {
         const auto sends = only<ForwardRequest>(h.batch({request(id, 2, 1, h.now, 2, -1)}));
--- a/tests/policy/gossip_test.cpp
+++ b/tests/policy/gossip_test.cpp
@@ -27,7 +27,7 @@
     }
     std::vector<ForwardRequest> take(int i, const std::vector<Action>& actions) {
         for (const auto& message : only<SendPeerMessage>(actions)) {
-            bytes += message.bytes.size() * std::size_t(message.to < 0 ? kHosts - 1 : 1);
+            bytes += message.bytes.size() * std::size_t(message.to.isEveryPeer() ? kHosts - 1 : 1);
             largest = std::max(largest, message.bytes.size());
             if (joined) wire.push_back({now + kDelay, i, message});
         }
@@ -41,8 +41,9 @@
             std::erase_if(wire, [&](const Message& m) { return m.at <= now && (due.push_back(m), true); });
             for (const auto& m : due)
                 for (int to = 0; to < kHosts; ++to)
-                    if (to != m.from && (m.message.to == to || m.message.to < 0))
-                        sentLater += give(to, {PeerMessageReceived{m.from, m.message.bytes}}).size();
+                    if (to != m.from && (m.message.to.isEveryPeer() || m.message.to == HostIndex(to)))
+                        sentLater +=
+                            give(to, {PeerMessageReceived{HostIndex(m.from), m.message.bytes}}).size();
             for (int i = 0; i < kHosts; ++i)
                 for (const auto& s : take(i, hosts[std::size_t(i)]->runTo(now)))
                     later.emplace_back(i, s), ++sentLater;
@@ -278,7 +279,7 @@
         m += char(tag);
         for (int i = 0; i < kBytes[tag]; ++i)
             m += char(random() % 3 ? random() : 255);
-        f.give(3, {PeerMessageReceived{int(random() % 104) - 2, m}});
+        f.give(3, {PeerMessageReceived{HostIndex(int(random() % 104) - 2), m}});
     }
     f.now += 3 * kSecond;
     EXPECT_EQ(f.give(3, {request(1, 0, 1, f.now)}).size(), 1u);
--- a/tests/policy/lease_allocator_test.cpp
+++ b/tests/policy/lease_allocator_test.cpp
@@ -31,7 +31,7 @@
     void take(int i, const std::vector<Action>& actions) {
         for (const auto& message : only<SendPeerMessage>(actions))
             for (auto& [other, host] : hosts) {
-                if (other == i || (message.to >= 0 && message.to != other)) continue;
+                if (other == i || !(message.to.isEveryPeer() || message.to == HostIndex(other))) continue;
                 if (cut || cuts.count({i, other}) || (lossPercent > 0 && int(random() % 100) < lossPercent))
                     continue;
                 const Micros delay = minDelay + Micros(random() % std::uint64_t(maxDelay - minDelay + 1));
@@ -59,7 +59,7 @@
                 }
                 const auto m = wire[k];
                 wire.erase(wire.begin() + static_cast<std::ptrdiff_t>(k));
-                if (hosts.count(m.to)) deliver(m.to, {PeerMessageReceived{m.from, m.bytes}});
+                if (hosts.count(m.to)) deliver(m.to, {PeerMessageReceived{HostIndex(m.from), m.bytes}});
             }
             while (!answers.empty() && std::get<0>(answers.front()) <= now) {
                 const auto [at, i, send] = answers.front();
@@ -247,7 +247,7 @@
         for (auto& c : junk)
             c = static_cast<char>(random());
         if (i % 2 && !junk.empty()) junk[0] = static_cast<char>(0xA9);
-        f.deliver(0, {PeerMessageReceived{int(random() % 5) - 1, junk}});
+        f.deliver(0, {PeerMessageReceived{HostIndex(int(random() % 5) - 1), junk}});
         f.run(10 * kMs, {{0, 60}});
     }
     EXPECT_GE(f.lowest, 0);
--- a/tests/policy/peer_message_test.cpp
+++ b/tests/policy/peer_message_test.cpp
@@ -34,8 +34,8 @@
     EXPECT_EQ(aggregate.rate.sixteenths, 400);
     EXPECT_EQ(aggregate.wait.code, 50);
     EXPECT_EQ(aggregate.slowStartRate.steps.code, 60);
-    const auto notice = decoded(MembershipNotice{9, 299});
-    EXPECT_EQ(notice.host, 299);
+    const auto notice = decoded(MembershipNotice{9, HostIndex(299)});
+    EXPECT_EQ(notice.host, HostIndex(299));
     const auto request = decoded(LeaseRequest{1ull << 60, 7, 20'001});
     EXPECT_EQ(request.volume, 1ull << 60);
     EXPECT_EQ(request.chunks, 7);
@@ -62,7 +62,7 @@
 TEST(PeerMessage, RecordsOfEarlierVersionsAreSkipped) {
     for (const char tag : {char(Tag::OldHello), char(Tag::OldWelcome)}) {
         std::string message = header(kIncarnation) + tag + "1234";
-        append(message, MembershipNotice{9, 2});
+        append(message, MembershipNotice{9, HostIndex(2)});
         const auto read = decode(message);
         ASSERT_TRUE(read);
         EXPECT_EQ(read->records.size(), 1u);
--- a/tests/policy/value_types_test.cpp
+++ b/tests/policy/value_types_test.cpp
@@ -77,12 +77,12 @@
 }
 
 TEST(LeastWait, IsTheFirstOfEquals) {
-    LeastWait least;
-    EXPECT_EQ(least.choice, -1);
-    least.offer(3, 20);
-    least.offer(4, 10);
-    least.offer(5, 10);
-    EXPECT_EQ(least.choice, 4);
+    LeastWait<NodeIndex> least;
+    EXPECT_TRUE(least.choice.isNone());
+    least.offer(NodeIndex(3), 20);
+    least.offer(NodeIndex(4), 10);
+    least.offer(NodeIndex(5), 10);
+    EXPECT_EQ(least.choice, NodeIndex(4));
 }
 
 TEST(KeyOrder, ServesOneRequestAfterTheOther) {
@@ -113,32 +113,33 @@
     PendingRequest early;
     late.due = 20;
     early.due = 10;
-    late.cell = early.cell = 1;
+    late.cell = early.cell = CellIndex(1);
     late.info.units = 2;
     early.info.units = 3;
     queues.add(late);
     queues.add(early);
-    EXPECT_EQ(queues.of(1).entries().begin()->second, &early);
-    EXPECT_EQ(queues.of(1).units(), 5);
+    EXPECT_EQ(queues.of(CellIndex(1)).entries().begin()->second, &early);
+    EXPECT_EQ(queues.of(CellIndex(1)).units(), 5);
     EXPECT_EQ(queues.least([](const PendingRequest& request) { return request.info.units; }), &late);
     EXPECT_TRUE(queues.hasChanged());
-    EXPECT_EQ(queues.takeChanged(), 1);
+    EXPECT_EQ(queues.takeChanged(), CellIndex(1));
     EXPECT_FALSE(queues.hasChanged());
     queues.remove(late);
     EXPECT_FALSE(late.queued);
     queues.markWaiting();
-    EXPECT_EQ(queues.takeChanged(), 1);
+    EXPECT_EQ(queues.takeChanged(), CellIndex(1));
 }
 
 TEST(VolumeLimit, CountsTheLargestRunningGrantOfEachPeer) {
     VolumeLimit limit;
     limit.homeChunks = 10;
-    limit.granted = {{1, 4, kSecond, 1}, {1, 2, kSecond, 2}, {2, 3, kSecond, 1}};
+    limit.granted = {
+        {HostIndex(1), 4, kSecond, 1}, {HostIndex(1), 2, kSecond, 2}, {HostIndex(2), 3, kSecond, 1}};
     EXPECT_EQ(limit.chunksGranted(), 7);
-    EXPECT_EQ(limit.chunksGranted(1), 3);
+    EXPECT_EQ(limit.chunksGranted(HostIndex(1)), 3);
     EXPECT_EQ(limit.chunksInUse(true, 0), 3);
     EXPECT_EQ(limit.chunksInUse(false, 0), 0);
-    limit.onReturned(1, 1, 1);  // up to the first request: the second grant runs on
+    limit.onReturned(HostIndex(1), 1, 1);  // up to the first request: the second grant runs on
     EXPECT_EQ(limit.chunksGranted(), 5);
     limit.bucket.at = kSecond;
     EXPECT_EQ(limit.chunksGranted(), 0);
@@ -148,14 +149,14 @@
 
 TEST(VolumeLimit, FindsTheLeaseThatAnAnswerBelongsTo) {
     VolumeLimit limit;
-    limit.held[1].onRequested(7, kSecond);
-    EXPECT_EQ(limit.findRequested(1, 6), nullptr);
-    EXPECT_EQ(limit.findRequested(2, 7), nullptr);
-    HeldLease* const lease = limit.findRequested(1, 7);
+    limit.held[HostIndex(1)].onRequested(7, kSecond);
+    EXPECT_EQ(limit.findRequested(HostIndex(1), 6), nullptr);
+    EXPECT_EQ(limit.findRequested(HostIndex(2), 7), nullptr);
+    HeldLease* const lease = limit.findRequested(HostIndex(1), 7);
     ASSERT_NE(lease, nullptr);
     EXPECT_TRUE(lease->isAwaited(kSecond, kSecond));
     lease->onGranted(3, kSecond);
-    EXPECT_EQ(limit.findRequested(1, 7), nullptr);
+    EXPECT_EQ(limit.findRequested(HostIndex(1), 7), nullptr);
     EXPECT_TRUE(lease->isRunning(kSecond));
     EXPECT_FALSE(lease->isRunning(2 * kSecond));
     EXPECT_EQ(limit.chunksInUse(false, kSecond), 3);
@@ -176,10 +177,10 @@
 
 TEST(KeyAggregate, SumsItsHostsAndForgetsIdleOnes) {
     KeyAggregate aggregate;
-    EXPECT_TRUE(aggregate.record(1, 10, 2, 0));
-    EXPECT_TRUE(aggregate.record(2, 1, 1, 0));
-    EXPECT_FALSE(aggregate.record(1, 20, 2, 0));
-    aggregate.joined = {1, 2};
+    EXPECT_TRUE(aggregate.record(HostIndex(1), 10, 2, 0));
+    EXPECT_TRUE(aggregate.record(HostIndex(2), 1, 1, 0));
+    EXPECT_FALSE(aggregate.record(HostIndex(1), 20, 2, 0));
+    aggregate.joined = {HostIndex(1), HostIndex(2)};
     aggregate.recordWait(1000, 2, 1);
     const UsageTotals totals = aggregate.totals(0, kSecond, kSecond);
     EXPECT_DOUBLE_EQ(totals.rate, 21);
@@ -189,7 +190,7 @@
     EXPECT_DOUBLE_EQ(aggregate.sentWaitLeft(500, 1), 1000);
     aggregate.dropIdle(2, 0, kSecond);
     EXPECT_EQ(aggregate.hosts.size(), 1u);
-    EXPECT_EQ(aggregate.joined, std::set<int>{1});
+    EXPECT_EQ(aggregate.joined, std::set<HostIndex>{HostIndex(1)});
 }
 
 }  // namespace
--- a/tests/rsync/client_handshake_test.cpp
+++ b/tests/rsync/client_handshake_test.cpp
@@ -19,16 +19,16 @@
     result.name = name;
     result.comment = "files of " + name;
     result.nodeModule = "bodega";
-    result.pullClass = 3;
-    result.pushClass = 4;
+    result.pullClass = ClassIndex(3);
+    result.pushClass = ClassIndex(4);
     return result;
 }
 
 config::RsyncFront frontConfig() {
     auto readOnly = module("lectura");
-    readOnly.pushClass = -1;
+    readOnly.pushClass = ClassIndex();
     auto writeOnly = module("escritura");
-    writeOnly.pullClass = -1;
+    writeOnly.pullClass = ClassIndex();
     config::RsyncFront config;
     config.motd = "bienvenidos";
     config.modules = {module("manuales"), readOnly, writeOnly};
@@ -87,8 +87,8 @@
 }
 
 TEST_CASE("rsync client handshake: each direction has the class that the module gives it") {
-    CHECK(rsync::classIndex(module("m"), rsync::Direction::Pull) == 3);
-    CHECK(rsync::classIndex(module("m"), rsync::Direction::Push) == 4);
+    CHECK(rsync::classIndex(module("m"), rsync::Direction::Pull) == ClassIndex(3));
+    CHECK(rsync::classIndex(module("m"), rsync::Direction::Push) == ClassIndex(4));
 }
 
 TEST_CASE("rsync client handshake: before the module is accepted an error is a line") {
--- a/tests/support/net_support.h
+++ b/tests/support/net_support.h
@@ -121,11 +121,12 @@
           peers(engine, config),
           front(engine, pool, config.listen, mostClients, ring),
           rsync(engine, rsyncPool, rsyncConfig(), 16) {
-        engine.setEffectHandlers({[this](int to, const std::string& bytes) { peers.send(to, bytes); },
-                                  [this](bool on) { discovery.setWatching(on); },
-                                  [this](const std::string& id, const config::Endpoint& at) {
-                                      http::probe(engine, pool, id, at);
-                                  }});
+        engine.setEffectHandlers(
+            {[this](PeerRecipient to, const std::string& bytes) { peers.send(to, bytes); },
+             [this](bool on) { discovery.setWatching(on); },
+             [this](const std::string& id, const config::Endpoint& at) {
+                 http::probe(engine, pool, id, at);
+             }});
         engine.start();
     }
     ~Rig() {
@@ -178,7 +179,7 @@
         for (std::size_t i = 0; i < nodeCount; ++i) {
             nodes.push_back(std::make_unique<StandIn>(io));
             c.cachedEndpoints.list.nodes.push_back(
-                {fmt::format("s-{}", i), "z", int(i), 1, NodeState::Ready, 0});
+                {fmt::format("s-{}", i), "z", CellIndex::ofPosition(i), 1, NodeState::Ready, 0});
             c.cachedEndpoints.addresses.push_back(nodes.back()->address());
         }
         return c;
@@ -189,14 +190,14 @@
         m.comment = "bundles";
         m.nodeModule = "bodega";
         m.volume = "00000000000000aa";
-        m.plan = 0;
-        m.pullClass = 0;
-        m.pushClass = 1;
+        m.plan = PlanIndex(0);
+        m.pullClass = ClassIndex(0);
+        m.pushClass = ClassIndex(1);
         m.units = 2;
         m.deadlineUs = 2'000'000;
         auto quick = m, large = m, readOnly = m;
         quick.name = "breve", quick.deadlineUs = 600'000;
-        readOnly.name = "lectura", readOnly.pushClass = -1;
+        readOnly.name = "lectura", readOnly.pushClass = ClassIndex();
         large.name = "grande", large.units = 6;
         return {{"127.0.0.1", 0}, 0, "", {m, quick, readOnly, large}};
     }
--- a/tests/support/policy_support.h
+++ b/tests/support/policy_support.h
@@ -15,7 +15,7 @@
 inline Settings settings(int host = 0, int hosts = 1) {
     Settings s;
     s.seed = 77 + static_cast<std::uint64_t>(host);
-    s.hostIndex = host;
+    s.hostIndex = HostIndex(host);
     s.hostCount = hosts;
     ClassInfo safe{"safe", 500 * kMs, 2 * kSecond, 5 * kSecond, 2, 0.1};
     ClassInfo keyed{"keyed",       500 * kMs, 4 * kSecond, kSecond, 2, 0.1, RetrySafety::IdempotentWithKey,
@@ -49,27 +49,27 @@
     return {kind, 1, std::move(list)};
 }
 inline NodeInfo node(std::string id, int cell, NodeState state = NodeState::Ready, Micros started = 0) {
-    return {std::move(id), "hall", cell, 1, state, started};
+    return {std::move(id), "hall", CellIndex(cell), 1, state, started};
 }
 
 inline Request request(RequestId id, int cls, int plan, Micros now, double units = 2, int cell = 0,
                        int hosts = 1) {
     Request r;
     r.id = id;
-    r.classIndex = cls;
-    r.planIndex = plan;
+    r.classIndex = ClassIndex(cls);
+    r.planIndex = PlanIndex(plan);
     r.key = std::string("k").append(std::to_string(id));
     r.volume = plan == 0 ? "vol-limited" : "vol-open";
     r.deadlineUs = now + 2 * kSecond;
     r.units = units;
-    r.cell = cell;
+    r.cell = CellIndex(cell);
     r.volumeHosts = hosts;
     return r;
 }
 
 inline AttemptOutcome ended(RequestId id, int attempt, const std::string& node, Outcome outcome,
                             Micros took = 20 * kMs) {
-    return {id, attempt, node, outcome, took, outcome == Outcome::Ok, 0, 0, {}};
+    return {id, AttemptIndex(attempt), node, outcome, took, outcome == Outcome::Ok, 0, 0, {}};
 }
 
 // Any event of the policy, written without the wrappers of requests and endpoint lists.
