--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -19,22 +19,22 @@
 }  // namespace
 
 double Admission::classify(PendingRequest& request) {
-    Volume& volume = *request.volume;
+    Volume& volume = request.volume();
     const Settings& settings = context_.settings;
-    const PlanInfo& plan = settings.plans.at(volume.plan.position());
-    const double units = request.info.units;
-    const double ownShare = usage_.ownShare(*volume.usage);
+    const PlanInfo& plan = settings.plans.at(volume.plan().position());
+    const double units = request.units();
+    const double ownShare = usage_.ownShare(volume.usage());
     const double reserved = reservedForHigherClasses(volume, request);
 
-    TokenBucket& guaranteed = volume.quota.guaranteed;
+    TokenBucket& guaranteed = volume.quota().guaranteed;
     const double guaranteedRate = plan.guaranteedRate * ownShare;
     const double guaranteedCapacity = guaranteedRate + settings.maxUnits;
     guaranteed.refill(guaranteedRate, guaranteedCapacity, context_.now);
     const bool isGuaranteed =
         plan.guaranteedRate > 0 && guaranteed.tryTake(units, reserved, guaranteedCapacity);
 
-    CellQuota& cell = volume.quota.byCell[request.cell];
-    WaterLevel& level = levelAt(request.cell);
+    CellQuota& cell = volume.quota().byCell[request.cell()];
+    WaterLevel& level = levelAt(request.cell());
     cell.demand.add(context_.now, kRateMemory, units);
     const double asked = cell.demand.rate(context_.now, kRateMemory);
     level.mostAsked = std::max(level.mostAsked, asked / std::max(plan.shares * ownShare, kNegligibleRate));
@@ -44,20 +44,20 @@
     const bool isShare = !isGuaranteed && cell.share.tryTake(units, reserved, shareCapacity);
 
     request.setQuota(isGuaranteed, isShare);
-    if (request.quota != QuotaClass::Spare) return units;
+    if (request.quota() != QuotaClass::Spare) return units;
     return units * (settings.spareWeight / std::max(settings.shareWeight, kNegligibleRate));
 }
 
 double Admission::reservedForHigherClasses(Volume& volume, const PendingRequest& request) const {
-    auto& demandByClass = volume.quota.demandByClass;
+    auto& demandByClass = volume.quota().demandByClass;
     const auto& classes = context_.settings.classes;
     demandByClass.resize(classes.size());
-    if (!request.classInfo) return 0;
+    if (!request.classInfo()) return 0;
     double reserved = 0;
     for (std::size_t i = 0; i < classes.size(); ++i)
-        if (classes[i].priorityWeight > request.classInfo->priorityWeight)
+        if (classes[i].priorityWeight > request.classInfo()->priorityWeight)
             reserved += demandByClass[i].rate(context_.now, kRateMemory) * kHigherClassSeconds;
-    demandByClass[request.info.classIndex.position()].add(context_.now, kRateMemory, request.info.units);
+    demandByClass[request.info().classIndex.position()].add(context_.now, kRateMemory, request.units());
     return reserved;
 }
 
@@ -68,7 +68,7 @@
         const Node& node = cluster_.node(index);
         if (!node.isReady() || cluster_.expectedLatency(node) >= latency) continue;
         latency = cluster_.expectedLatency(node);
-        unqueued = node.concurrency.unqueuedLatency();
+        unqueued = node.concurrency().unqueuedLatency();
     }
     level.mostAsked *= kMostAskedDecay;
     if (latency == kUnlimited) return;  // the successor of a drained node is not overloaded: the level stays
@@ -81,20 +81,20 @@
 
 double Admission::value(const PendingRequest& request) const {
     const Settings& settings = context_.settings;
-    const PlanIndex plan = request.volume->plan;
+    const PlanIndex plan = request.volume().plan();
     const double factor = plan.isNone() ? 1 : settings.plans.at(plan.position()).priorityFactor;
     const double beyondGuaranteed =
-        request.quota == QuotaClass::Share ? settings.shareWeight : settings.spareWeight;
-    const double part = request.quota == QuotaClass::Guaranteed ? 1 : beyondGuaranteed;
+        request.quota() == QuotaClass::Share ? settings.shareWeight : settings.spareWeight;
+    const double part = request.quota() == QuotaClass::Guaranteed ? 1 : beyondGuaranteed;
     return request.priorityWeight() * factor * part;
 }
 
 double Admission::longestLatency(const PendingRequest& request) const {
-    const double left = double(request.due - context_.now);
-    if (request.quota == QuotaClass::Guaranteed) return left;
-    if (request.quota == QuotaClass::Share)
+    const double left = double(request.due() - context_.now);
+    if (request.quota() == QuotaClass::Guaranteed) return left;
+    if (request.quota() == QuotaClass::Share)
         return std::min(left, kShareLatencyPart * context_.latencyObjective);
-    const WaterLevel level = levelOf(request.cell);
+    const WaterLevel level = levelOf(request.cell());
     if (level.level < level.mostAsked) return 0;  // spare: only where the shares are not contended
     return kSpareLatencyPart * context_.latencyObjective;
 }
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -30,10 +30,10 @@
 
     /// Sets up the quota of a volume that was just opened.
     void open(Volume& volume) const {
-        volume.quota.guaranteed.at = context_.now;
-        if (volume.plan.isNone()) return;
-        const PlanInfo& plan = context_.settings.plans.at(volume.plan.position());
-        volume.quota.guaranteed.tokens = plan.guaranteedRate / volume.hosts + context_.settings.maxUnits;
+        volume.quota().guaranteed.at = context_.now;
+        if (volume.plan().isNone()) return;
+        const PlanInfo& plan = context_.settings.plans.at(volume.plan().position());
+        volume.quota().guaranteed.tokens = plan.guaranteedRate / volume.hosts() + context_.settings.maxUnits;
     }
     /// Counts a request that arrived, and gives it its quota class. It must have a cell. This host keeps its
     /// part of each quota, by its part of the volume's use. \return units that are due to it in its cell:
@@ -41,9 +41,10 @@
     double classify(PendingRequest& request);
     /// A request is over of which nothing ran: its units go back to the quota.
     void giveBack(const PendingRequest& request) const {
-        VolumeQuota& quota = request.volume->quota;
-        if (request.quota == QuotaClass::Guaranteed) quota.guaranteed.tokens += request.info.units;
-        if (request.quota == QuotaClass::Share) quota.byCell[request.cell].share.tokens += request.info.units;
+        VolumeQuota& quota = request.volume().quota();
+        if (request.quota() == QuotaClass::Guaranteed) quota.guaranteed.tokens += request.units();
+        if (request.quota() == QuotaClass::Share)
+            quota.byCell[request.cell()].share.tokens += request.units();
     }
     /// Adapts the water levels to the latency of each cell; to be called at an interval.
     void updateLevels() {
--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -30,41 +30,42 @@
         onFailure(node, sentAt, outcome);
         return;
     }
-    node.outliers.onAnswer(outcome == Outcome::Error, sentAt, context_.now);
+    node.outliers().onAnswer(outcome == Outcome::Error, sentAt, context_.now);
     // A quick error says nothing of a node's pace: taken for an answer it would draw all new objects to it.
     if (outcome == Outcome::Ok) onAnswer(node, units, elapsed);
 }
 
 void AttemptTracker::onFailure(Node& node, Micros sentAt, Outcome outcome) {
-    if (!node.outliers.onFailure(outcome, sentAt, context_.now)) return;
-    node.concurrency.onFailure();
+    if (!node.outliers().onFailure(outcome, sentAt, context_.now)) return;
+    node.concurrency().onFailure();
     // Silence is not reported as a wait, as the answer may have been lost.
     if (outcome == Outcome::Rejected || outcome == Outcome::ConnectFailed)
-        gossip_.reportCell(cluster_.cell(node.info.cell), kRejectionObjectives * context_.latencyObjective);
+        gossip_.reportCell(cluster_.cell(node.info().cell), kRejectionObjectives * context_.latencyObjective);
 }
 
 void AttemptTracker::onAnswer(Node& node, double units, Micros elapsed) {
-    const Cell& cell = cluster_.cell(node.info.cell);
+    const Cell& cell = cluster_.cell(node.info().cell);
     if (cluster_.isWarmingUp(node)) {
-        node.slowStart.onCompleted(units, context_.now);
-        cell.usage->slowStartUnits += units;
+        node.slowStart().onCompleted(units, context_.now);
+        cell.usage->onSlowStartCompleted(units);
     }
     // The report may come back at once as an aggregate, which counts as heard too.
-    const LatencyEstimate& estimate = node.concurrency.estimate();
+    const LatencyEstimate& estimate = node.concurrency().estimate();
     const Micros heardBefore = estimate.heardAt;
     const double wait = double(elapsed) - estimate.floor.value() * units;
     gossip_.reportCell(cell, std::max(wait, kMinReportedTicks * double(kTickInterval)));
-    node.concurrency.onAnswer({double(elapsed), units, node.outstanding, heardBefore},
-                              cluster_.conditionsOf(node));
+    node.concurrency().onAnswer({double(elapsed), units, node.outstanding(), heardBefore},
+                                cluster_.conditionsOf(node));
 }
 
 AttemptTracker::Verdict AttemptTracker::judge(const PendingRequest& request, const Node& node) const {
-    const double age = double(context_.now - request.sentAt);
-    const double usual = node.concurrency.estimate().usual(request.info.units);
+    const double age = double(context_.now - request.sentAt());
+    const double usual = node.concurrency().estimate().usual(request.units());
     const double patience = std::max(kLostObjectivePart * context_.latencyObjective, kLostLatencies * usual);
-    if (node.outliers.answeredLaterThan(request.sentAt, usual))
+    if (node.outliers().answeredLaterThan(request.sentAt(), usual))
         return age > patience ? Verdict::Lost : Verdict::Waiting;
-    const bool checks = age > kHealthCheckFactor * patience && !node.outliers.wasCheckedSince(request.sentAt);
+    const bool checks =
+        age > kHealthCheckFactor * patience && !node.outliers().wasCheckedSince(request.sentAt());
     return checks ? Verdict::Unsure : Verdict::Waiting;
 }
 
@@ -72,13 +73,14 @@
     std::map<std::uint64_t, CancelAttempt> lost;  // by order of arrival
     std::set<NodeIndex> unsure;
     for (const auto& [id, request] : requests.all()) {
-        if (request.outstanding != 1 || request.streaming || request.bodyIncomplete || request.nodeDone)
+        if (request.outstanding() != 1 || request.isStreaming() || request.isBodyIncomplete() ||
+            request.isNodeDone())
             continue;
-        const auto& [attempt, index] = *request.nodeByAttempt.begin();
+        const auto& [attempt, index] = *request.nodeByAttempt().begin();
         const Verdict verdict = judge(request, cluster_.node(index));
         if (verdict == Verdict::Unsure) unsure.insert(index);
-        if (verdict == Verdict::Lost && (request.finished || retries_.mayRepeatLost(request)))
-            lost.emplace(request.sequence, CancelAttempt{id, attempt});
+        if (verdict == Verdict::Lost && (request.isFinished() || retries_.mayRepeatLost(request)))
+            lost.emplace(request.sequence(), CancelAttempt{id, attempt});
     }
     for (const auto& [sequence, cancel] : lost)
         context_.emit(cancel);
--- a/src/policy/attempt_tracker.h
+++ b/src/policy/attempt_tracker.h
@@ -18,16 +18,16 @@
     /// Sends a request to a node; the guards were asked before.
     void send(PendingRequest& request, NodeIndex index) {
         Node& node = cluster_.node(index);
-        const double units = request.info.units;
-        if (!std::exchange(request.hasTokens, true)) LeaseAllocator::spend(*request.volume, units);
-        if (cluster_.isSuspect(node)) node.outliers.onTrialSent(context_.now);
-        if (node.outstanding == 0) node.outliers.onWorkBegan(context_.now);
-        if (!request.bodyIncomplete) ++node.outstanding;
-        if (cluster_.isWarmingUp(node)) node.slowStart.onSent(context_.settings, units, context_.now);
+        const double units = request.units();
+        if (!request.hasTokens()) LeaseAllocator::spend(request.volume(), units);
+        request.onTokensSpent();
+        if (cluster_.isSuspect(node)) node.outliers().onTrialSent(context_.now);
+        node.onAttemptSent(!request.isBodyIncomplete(), context_.now);
+        if (cluster_.isWarmingUp(node)) node.slowStart().onSent(context_.settings, units, context_.now);
         retries_.onSent(request);
         request.onSent(index, context_.now);
-        const Micros lastByteBy = request.mayHaveRun ? request.repeatableUntil() : 0;
-        context_.emit(ForwardRequest{request.info.id, node.info.id, 0, lastByteBy});
+        const Micros lastByteBy = request.mayHaveRun() ? request.repeatableUntil() : 0;
+        context_.emit(ForwardRequest{request.id(), node.info().id, 0, lastByteBy});
     }
     /// Whether an outcome says anything of its node.
     /// \param heldPlace whether the attempt was complete and unanswered: else a rejection or an answer says
@@ -39,10 +39,8 @@
     void onOutcome(Node& node, double units, Micros elapsed, Outcome outcome);
     /// A request body is complete: from now on its attempts hold places at their nodes.
     void onBodyCompleted(const PendingRequest& request) {
-        for (const auto& [attempt, index] : request.nodeByAttempt) {
-            Node& node = cluster_.node(index);
-            if (node.outstanding++ == 0) node.outliers.onWorkBegan(context_.now);
-        }
+        for (const auto& [attempt, index] : request.nodeByAttempt())
+            cluster_.node(index).onAttemptSent(true, context_.now);
     }
     /// Cancels attempts whose answers are lost, so that their places are free and the time that is left goes
     /// to another attempt. Checks the health of nodes where that is not sure.
@@ -56,8 +54,8 @@
     void checkHealth(NodeIndex index) {
         Node& node = cluster_.node(index);
         if (!context_.settings.mayCheckHealth || !node.isReady()) return;
-        node.outliers.onHealthCheckSent(context_.now);
-        context_.emit(StartHealthCheck{node.info.id});
+        node.outliers().onHealthCheckSent(context_.now);
+        context_.emit(StartHealthCheck{node.info().id});
     }
 
     Context& context_;
--- a/src/policy/cell_queues.h
+++ b/src/policy/cell_queues.h
@@ -21,22 +21,22 @@
             return std::tie(due, sequence) < std::tie(other.due, other.sequence);
         }
     };
-    void add(PendingRequest& request) { requests_.emplace(Key{request.due, request.sequence}, &request); }
-    void remove(const PendingRequest& request) { requests_.erase({request.due, request.sequence}); }
+    void add(PendingRequest& request) { requests_.emplace(Key{request.due(), request.sequence()}, &request); }
+    void remove(const PendingRequest& request) { requests_.erase({request.due(), request.sequence()}); }
     [[nodiscard]] bool empty() const { return requests_.empty(); }
     [[nodiscard]] const std::map<Key, PendingRequest*>& entries() const { return requests_; }
     /// Requests whose clients wait no longer than that.
     [[nodiscard]] std::vector<PendingRequest*> withDeadlineBefore(Micros time) const {
         std::vector<PendingRequest*> found;
         for (const auto& [key, request] : requests_)
-            if (request->info.deadlineUs < time) found.push_back(request);
+            if (request->info().deadlineUs < time) found.push_back(request);
         return found;
     }
     /// Units of all that waits.
     [[nodiscard]] double units() const {
         double sum = 0;
         for (const auto& [key, request] : requests_)
-            sum += request->info.units;
+            sum += request->units();
         return sum;
     }
 
@@ -54,13 +54,13 @@
     }
     /// Queues a request in its cell.
     void add(PendingRequest& request) {
-        request.queued = true;
-        of(request.cell).add(request);
-        markChanged(request.cell);
+        request.onQueued();
+        of(request.cell()).add(request);
+        markChanged(request.cell());
     }
     void remove(PendingRequest& request) {
-        request.queued = false;
-        of(request.cell).remove(request);
+        request.onDequeued();
+        of(request.cell()).remove(request);
     }
     /// The waiting request with the least value, the first of equals; null if none waits.
     template <typename ValueOf>
--- a/src/policy/cluster_view.cpp
+++ b/src/policy/cluster_view.cpp
@@ -21,7 +21,7 @@
 
 ClusterView::ClusterView(Context& context, UsageTable& usage)
     : context_(context), usage_(usage), table_(usage) {
-    table_.cells().resize(std::size_t(std::max(context.settings.cellCount, 0)));
+    table_.addCells(std::max(context.settings.cellCount, 0));
     nextWatchAt_ = context.now + jitter(watchSpread());
 }
 
@@ -60,25 +60,24 @@
 
 bool ClusterView::applyNode(const NodeInfo& info, bool drainIsNew) {
     const auto [node, isNew] = table_.add(info);
-    const bool started = isNew || node.info.startedUs != info.startedUs;
+    const bool started = isNew || node.info().startedUs != info.startedUs;
     if (started)
         node.restart(context_.now, peer::fractionOf(info.id + std::to_string(context_.settings.seed)));
     if (node.isReady() && info.state == NodeState::Draining && drainIsNew)
-        node.servesDrainUntil = context_.now + Micros(kDrainPart * double(context_.settings.drainGraceUs));
-    node.info = info;
-    node.listed = info.state != NodeState::Removed;
+        node.startDrain(context_.now + Micros(kDrainPart * double(context_.settings.drainGraceUs)));
+    node.update(info);
     return started;
 }
 
 bool ClusterView::acceptsRequests(const Node& node) const {
     if (node.isReady()) return true;
-    return node.listed && context_.now < node.servesDrainUntil &&
-           cells()[node.info.cell.position()].ready == 0;
+    return node.isListed() && context_.now < node.servesDrainUntil() &&
+           cells()[node.info().cell.position()].ready == 0;
 }
 
 bool ClusterView::slowStartAdmits(Node& node, double units) const {
     if (!isWarmingUp(node) || context_.settings.slowStartWindowUs <= 0) return true;
-    return !context_.handedOver && node.slowStart.admits(context_.settings, units, context_.now);
+    return !context_.handedOver && node.slowStart().admits(context_.settings, units, context_.now);
 }
 
 }  // namespace wingproxy
--- a/src/policy/cluster_view.h
+++ b/src/policy/cluster_view.h
@@ -39,7 +39,7 @@
     [[nodiscard]] Node* findNode(const std::string& id) { return table_.find(id); }
     [[nodiscard]] std::size_t nodeCount() const { return table_.namedNodes(); }
     /// The cell of this number, in use from now on.
-    Cell& cell(CellIndex number) { return table_.cell(number); }
+    const Cell& cell(CellIndex number) { return table_.cell(number); }
     [[nodiscard]] const std::vector<Cell>& cells() const { return table_.cells(); }
     [[nodiscard]] int cellCount() const { return int(table_.cells().size()); }
     [[nodiscard]] int outstandingIn(const Cell& cell) const { return table_.outstandingIn(cell); }
@@ -56,36 +56,37 @@
     /// no other.
     [[nodiscard]] bool acceptsRequests(const Node& node) const;
     [[nodiscard]] bool isWarmingUp(const Node& node) const {
-        return node.info.startedUs > 0 &&
-               context_.now - node.info.startedUs < context_.settings.slowStartDurationUs;
+        return node.info().startedUs > 0 &&
+               context_.now - node.info().startedUs < context_.settings.slowStartDurationUs;
     }
     /// Whether slow start allows one more request of `units`.
     [[nodiscard]] bool slowStartAdmits(Node& node, double units) const;
     [[nodiscard]] bool isSuspect(const Node& node) const {
-        return node.outliers.isSuspect(node.outstanding, node.concurrency.estimate().latency, context_.now);
+        return node.outliers().isSuspect(node.outstanding(), node.concurrency().estimate().latency,
+                                         context_.now);
     }
     /// Microseconds that an answer takes, as far as is known.
     [[nodiscard]] double expectedLatency(const Node& node) const {
-        return node.concurrency.expectedLatency(context_.now, context_.latencyObjective);
+        return node.concurrency().expectedLatency(context_.now, context_.latencyObjective);
     }
     /// Attempts of this host that may be outstanding there.
     [[nodiscard]] double attemptsAllowed(const Node& node) const {
-        return node.concurrency.attemptsAllowed(conditionsOf(node));
+        return node.concurrency().attemptsAllowed(conditionsOf(node));
     }
     /// Units a second that this host may expect from it.
     [[nodiscard]] double unitsPerSecond(const Node& node) const {
-        return node.concurrency.unitsPerSecond(conditionsOf(node));
+        return node.concurrency().unitsPerSecond(conditionsOf(node));
     }
     [[nodiscard]] ConcurrencyLimit::Conditions conditionsOf(const Node& node) const {
-        const bool hasCell = node.info.cell.isBelow(cellCount());
-        const KeyUsage* usage = hasCell ? cells()[node.info.cell.position()].usage : nullptr;
+        const bool hasCell = node.info().cell.isBelow(cellCount());
+        const KeyUsage* usage = hasCell ? cells()[node.info().cell.position()].usage : nullptr;
         return {context_.now, context_.latencyObjective, usage ? usage_.ownShare(*usage) : 1};
     }
     /// Listed nodes that get no requests, or only trial ones.
     [[nodiscard]] std::size_t avoidedNodes() const {
         const auto isAvoided = [&](const Node& node) {
-            const bool inUse = node.outliers.wasUsedWithin(kRateMemory, context_.now);
-            return node.listed && (!node.isReady() || (isSuspect(node) && !inUse));
+            const bool inUse = node.outliers().wasUsedWithin(kRateMemory, context_.now);
+            return node.isListed() && (!node.isReady() || (isSuspect(node) && !inUse));
         };
         return std::size_t(std::count_if(table_.nodes().begin(), table_.nodes().end(), isAvoided));
     }
@@ -97,15 +98,15 @@
         for (const NodeIndex index : cell.nodes) {
             Node& member = node(index);
             if (!isWarmingUp(member)) continue;
-            const KeyUsage& usage = *this->cell(member.info.cell).usage;
-            member.slowStart.earnTurn(context_.settings, units, usage_.ownRate(usage),
-                                      usage_.othersOrAssumed(usage), member.info.startedUs, context_.now);
+            const KeyUsage& usage = *this->cell(member.info().cell).usage;
+            member.slowStart().earnTurn(context_.settings, units, usage_.ownRate(usage),
+                                        usage_.othersOrAssumed(usage), member.info().startedUs, context_.now);
         }
     }
     /// A peer says how long requests wait in a cell.
     void onWaitReported(CellIndex cell, double waitUs) {
         for (const NodeIndex index : cells().at(cell.position()).nodes)
-            node(index).concurrency.onWaitReported(waitUs, context_.now);
+            node(index).concurrency().onWaitReported(waitUs, context_.now);
     }
 
 private:
--- a/src/policy/dispatcher.cpp
+++ b/src/policy/dispatcher.cpp
@@ -31,11 +31,11 @@
 
 double Dispatcher::waitForNewObject(Node& node, double unitsAhead, double units) const {
     const double allowed = cluster_.attemptsAllowed(node);
-    const double excess = std::max(0.0, node.outstanding + 1 - allowed) / allowed;
+    const double excess = std::max(0.0, node.outstanding() + 1 - allowed) / allowed;
     double wait =
         cluster_.expectedLatency(node) * (1 + excess) + unitsAhead * 1e6 / cluster_.unitsPerSecond(node);
     // What fails there may be tried again in its cell only.
-    wait += node.outliers.errorPenalty(context_.latencyObjective, context_.now);
+    wait += node.outliers().errorPenalty(context_.latencyObjective, context_.now);
     // The capacity of a starting node belongs first to what only it can serve. An objective more, so that
     // hosts which have no answer of it yet do not all choose what looks idle.
     if (cluster_.isWarmingUp(node))
@@ -49,8 +49,8 @@
     const Node& node = cluster_.node(index);
     if (!cluster_.acceptsRequests(node)) return false;
     if (cluster_.isSuspect(node)) {
-        if (!node.outliers.mayTry(context_.now)) return false;
-    } else if (node.outstanding > 0 && node.outstanding + 1 > cluster_.attemptsAllowed(node)) {
+        if (!node.outliers().mayTry(context_.now)) return false;
+    } else if (node.outstanding() > 0 && node.outstanding() + 1 > cluster_.attemptsAllowed(node)) {
         return false;
     }
     return cluster_.expectedLatency(node) <= admission_.longestLatency(request) &&
@@ -64,7 +64,7 @@
         const Node& node = cluster_.node(index);
         const double factor = cluster_.isSuspect(node) ? kSuspectWaitFactor : 1;
         const double latency = cluster_.expectedLatency(node);
-        best.offer(index, latency * (node.outstanding + 1) / cluster_.attemptsAllowed(node) * factor);
+        best.offer(index, latency * (node.outstanding() + 1) / cluster_.attemptsAllowed(node) * factor);
     }
     return best.choice;
 }
--- a/src/policy/dispatcher.h
+++ b/src/policy/dispatcher.h
@@ -24,14 +24,14 @@
     [[nodiscard]] CellIndex cellForNewObject(double units);
     /// Queues a request, in a cell of its choice where none is set.
     void enqueue(PendingRequest& request) {
-        if (request.cell.isNone()) request.cell = cellForNewObject(request.info.units);
-        if (!request.hasTokens) LeaseAllocator::addQueuedUnits(*request.volume, request.info.units);
+        if (request.cell().isNone()) request.setCell(cellForNewObject(request.units()));
+        if (!request.hasTokens()) LeaseAllocator::addQueuedUnits(request.volume(), request.units());
         queues_.add(request);
     }
     /// Takes a request out of its queue, if it is in one.
     void dequeue(PendingRequest& request) {
-        if (!request.queued) return;
-        if (!request.hasTokens) LeaseAllocator::removeQueuedUnits(*request.volume, request.info.units);
+        if (!request.isQueued()) return;
+        if (!request.hasTokens()) LeaseAllocator::removeQueuedUnits(request.volume(), request.units());
         queues_.remove(request);
     }
     /// Sends what may leave a cell's queue, earliest due first.
--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -32,10 +32,10 @@
 double Gossip::notableRate() const { return context_.settings.meanUnits * kChangedAggregateRequests; }
 
 bool Gossip::isDue(const KeyUsage& usage, const Observation& observation) const {
-    const Micros age = context_.now - usage.reported.at;
-    if (observation.outstanding != usage.reportedOutstanding) return age >= kOutstandingReportInterval;
+    const Micros age = context_.now - usage.reported().at;
+    if (observation.outstanding != usage.reportedOutstanding()) return age >= kOutstandingReportInterval;
     if (age < kReportInterval) return false;
-    const double reported = usage.reported.rate(context_.now, kUsageMemory);
+    const double reported = usage.reported().rate(context_.now, kUsageMemory);
     const double step = kChangedRequests * context_.settings.meanUnits * 1e6 / double(kUsageMemory);
     return std::abs(usage_.ownRate(usage) - reported) >= changeThreshold(reported, step) ||
            observation.waitUs > notableWait();
@@ -43,11 +43,10 @@
 
 void Gossip::reportUsage(std::uint32_t key, KeyUsage& usage, const Observation& observation) {
     if (!isDue(usage, observation)) return;
-    usage.reported = {usage_.ownRate(usage), context_.now};
-    usage.reportedOutstanding = observation.outstanding;
-    const auto rate = peer::FixedPoint::of(usage.reported.value);
+    usage.onReported(usage_.ownRate(usage), observation.outstanding, context_.now);
+    const auto rate = peer::FixedPoint::of(usage.reported().value);
     const auto wait = peer::EncodedWait::of(observation.waitUs);
-    const auto slowStartUnits = peer::byteOf(std::exchange(usage.slowStartUnits, 0));
+    const auto slowStartUnits = peer::byteOf(usage.takeSlowStartUnits());
     const auto outstanding = peer::byteOf(observation.outstanding);
     const auto rendezvous = HostIndex::ofPosition(key % std::uint32_t(context_.settings.hostCount));
     send(rendezvous, peer::UsageReport{key, observation.joins, rate, wait, outstanding, slowStartUnits});
--- a/src/policy/gossip.h
+++ b/src/policy/gossip.h
@@ -46,22 +46,21 @@
     void handle(HostIndex /*from*/, const peer::UsageAggregate& aggregate) {
         KeyUsage* const usage = usage_.find(aggregate.key);
         if (!usage) return;
-        usage->others = {aggregate.rate.value(), context_.now, aggregate.slowStartRate.rate()};
-        if (usage->cell.isSet() && aggregate.wait.code > 0)
-            cluster_.onWaitReported(usage->cell, aggregate.wait.us());
+        usage->onOthersReported({aggregate.rate.value(), context_.now, aggregate.slowStartRate.rate()});
+        if (usage->cell().isSet() && aggregate.wait.code > 0)
+            cluster_.onWaitReported(usage->cell(), aggregate.wait.us());
     }
     void handle(HostIndex /*from*/, const peer::MembershipNotice& notice) {
         KeyUsage* const usage = usage_.find(notice.key);
         const Settings& settings = context_.settings;
         const bool isPeer = notice.host.isBelow(settings.hostCount) && notice.host != settings.hostIndex;
-        if (usage && isPeer) usage->peers.insert(notice.host);
+        if (usage && isPeer) usage->addPeer(notice.host);
     }
 
     /// A new process of a node in this cell: what its predecessor completed says nothing of it.
     void onNodeStarted(const Cell& cell, Micros startedUs) {
         aggregates_[cell.key].restartSlowStart(startedUs + context_.settings.slowStartDurationUs);
-        cell.usage->slowStartUnits = 0;
-        cell.usage->others.slowStartRate = 0;
+        cell.usage->restartSlowStart();
     }
     /// Forgets keys that no host uses.
     void forgetUnused() {
--- a/src/policy/lease_allocator.cpp
+++ b/src/policy/lease_allocator.cpp
@@ -45,24 +45,24 @@
 }
 
 void LeaseAllocator::open(Volume& volume) {
-    VolumeLimit& limit = volume.limit;
+    VolumeLimit& limit = volume.limit();
     limit.bucket.at = context_.now;
-    if (volume.plan.isNone()) return;
-    const PlanInfo& plan = context_.settings.plans.at(volume.plan.position());
+    if (volume.plan().isNone()) return;
+    const PlanInfo& plan = context_.settings.plans.at(volume.plan().position());
     limit.limited = plan.limit > 0;
     if (!limit.limited) return;
-    cut(limit, plan, volume.hosts);
+    cut(limit, plan, volume.hosts());
     // A bucket starts empty, as an earlier process of this host may have spent it, and fills from there.
-    limit.bucket.at = volume.hosts == 1 ? context_.startedAt : std::min(state_.recoveredAt, context_.now);
+    limit.bucket.at = volume.hosts() == 1 ? context_.startedAt : std::min(state_.recoveredAt, context_.now);
     refill(volume);
     if (context_.handedOver) limit.keepOnly(0);
 }
 
 double LeaseAllocator::timeToTokens(const Volume& volume, double units) const {
-    const VolumeLimit& limit = volume.limit;
+    const VolumeLimit& limit = volume.limit();
     double fillRate = limit.rateOf(chunksInUse(volume));
     const double othersLeave =
-        context_.settings.plans.at(volume.plan.position()).limit - usage_.othersRate(*volume.usage);
+        context_.settings.plans.at(volume.plan().position()).limit - usage_.othersRate(volume.usage());
     for (const auto& [peer, lease] : limit.held)
         if (lease.isAwaited(context_.now, kRequestTimeout)) fillRate = std::max(fillRate, othersLeave);
     return std::max(0.0, units - limit.bucket.tokens) * 1e6 / std::max(fillRate, kMinFillRate);
@@ -71,13 +71,12 @@
 // ---- leases of this host
 
 double LeaseAllocator::demandOf(const Volume& volume) const {
-    return volume.demand.rate(context_.now, kRateMemory) * kDemandMargin +
-           volume.limit.backlog() / kBacklogSeconds;
+    return volume.demandRate(context_.now) * kDemandMargin + volume.limit().backlog() / kBacklogSeconds;
 }
 
 void LeaseAllocator::rebalance(Volume& volume) {
-    VolumeLimit& limit = volume.limit;
-    if (!limit.limited || volume.hosts <= 1 || !context_.settings.mayGossip || limit.chunkRate <= 0) return;
+    VolumeLimit& limit = volume.limit();
+    if (!limit.limited || volume.hosts() <= 1 || !context_.settings.mayGossip || limit.chunkRate <= 0) return;
     refill(volume);
     limit.dropExpiredGrants(context_.now);
     const double demand = demandOf(volume);
@@ -88,19 +87,19 @@
 }
 
 bool LeaseAllocator::returnIdleChunks(Volume& volume, double surplus) {
-    const int idle = int(surplus / volume.limit.chunkRate) - kIdleChunksKept;
-    for (auto& [peer, lease] : volume.limit.held) {
+    const int idle = int(surplus / volume.limit().chunkRate) - kIdleChunksKept;
+    for (auto& [peer, lease] : volume.limit().held) {
         if (!lease.isRunning(context_.now) || idle < 1) continue;
         lease.reduceTo(std::max(0, lease.chunks - idle));
-        outbox_.send(peer, peer::LeaseReturn{volume.hash, std::uint8_t(lease.chunks), lease.stamp});
+        outbox_.send(peer, peer::LeaseReturn{volume.hash(), std::uint8_t(lease.chunks), lease.stamp});
         return true;
     }
     return false;
 }
 
 void LeaseAllocator::requestChunks(Volume& volume, int missing) {
-    const std::set<HostIndex>& peers = volume.usage->peers;
-    auto peer = peers.upper_bound(volume.limit.lastPeerAsked);
+    const std::set<HostIndex>& peers = volume.usage().peers();
+    auto peer = peers.upper_bound(volume.limit().lastPeerAsked);
     for (std::size_t i = 0; i < peers.size() && state_.requestBytes > 0; ++i, ++peer) {
         if (peer == peers.end()) peer = peers.begin();
         missing -= requestFrom(volume, *peer, missing);
@@ -108,7 +107,7 @@
 }
 
 int LeaseAllocator::requestFrom(Volume& volume, HostIndex peer, int missing) {
-    VolumeLimit& limit = volume.limit;
+    VolumeLimit& limit = volume.limit();
     HeldLease& lease = limit.held[peer];
     const Micros now = context_.now;
     const bool running = lease.isRunning(now);
@@ -121,7 +120,7 @@
     limit.lastRequestAt = now;
     limit.lastPeerAsked = peer;
     state_.requestBytes -= double(peer::LeaseRequest::kEncodedBytes);
-    outbox_.send(peer, peer::LeaseRequest{volume.hash, std::uint8_t(wanted), lease.stamp});
+    outbox_.send(peer, peer::LeaseRequest{volume.hash(), std::uint8_t(wanted), lease.stamp});
     return (wanted - held + 1) / 2;  // a peer may grant less: twice what lacks is requested
 }
 
@@ -133,13 +132,13 @@
     Volume* const volume = volumes_.find(grant.volume);
     if (!volume) return false;
     refill(*volume);
-    HeldLease* const lease = volume->limit.findRequested(from, grant.stamp);
+    HeldLease* const lease = volume->limit().findRequested(from, grant.stamp);
     if (!lease) return false;
     // The home counts what it granted before until it hears that no more than this is used.
     if (lease->until > context_.now && int(grant.chunks) < lease->chunks)
-        outbox_.send(from, peer::LeaseReturn{volume->hash, grant.chunks, grant.stamp});
-    lease->onGranted(std::min(int(grant.chunks), volume->limit.homeChunks), kLeaseDuration);
-    if (lease->until > context_.now) volume->limit.bucket.tokens += grant.tokens.value();
+        outbox_.send(from, peer::LeaseReturn{volume->hash(), grant.chunks, grant.stamp});
+    lease->onGranted(std::min(int(grant.chunks), volume->limit().homeChunks), kLeaseDuration);
+    if (lease->until > context_.now) volume->limit().bucket.tokens += grant.tokens.value();
     refill(*volume);
     return true;
 }
@@ -157,9 +156,9 @@
 void LeaseAllocator::serve(const PendingRequest& pending) {
     const auto& [peer, request] = pending;
     Volume* const volume = volumes_.find(request.volume);
-    if (!volume || volume->limit.chunkRate <= 0 || !recovery_.mayLend(context_.now)) return;
-    VolumeLimit& limit = volume->limit;
-    volume->neededAt = context_.now;
+    if (!volume || volume->limit().chunkRate <= 0 || !recovery_.mayLend(context_.now)) return;
+    VolumeLimit& limit = volume->limit();
+    volume->onNeeded(context_.now);
     refill(*volume);
     const int granted = grantable(*volume, peer, request.chunks);
     const int grantedBefore = limit.chunksGranted() - limit.chunksGranted(peer);
@@ -167,18 +166,18 @@
     const auto saved = splitSavedTokens(*volume, std::max(0, granted - grantedBefore));
     limit.granted.push_back({peer, granted, context_.now + kLeaseDuration, request.stamp});
     refill(*volume);
-    outbox_.send(peer, peer::LeaseGrant{volume->hash, std::uint8_t(granted), saved, request.stamp});
+    outbox_.send(peer, peer::LeaseGrant{volume->hash(), std::uint8_t(granted), saved, request.stamp});
 }
 
 int LeaseAllocator::grantable(const Volume& volume, HostIndex peer, int wanted) const {
-    const VolumeLimit& limit = volume.limit;
+    const VolumeLimit& limit = volume.limit();
     const double ownDemand = std::max(0.0, demandOf(volume) - limit.baseRate);
     const int ownChunks = std::min(limit.homeChunks, int(std::ceil(ownDemand / limit.chunkRate)));
     return std::clamp(limit.homeChunks - limit.chunksGranted(peer) - ownChunks, 0, wanted);
 }
 
 peer::FixedPoint LeaseAllocator::splitSavedTokens(Volume& volume, int newChunks) const {
-    const double tokens = volume.limit.tokensOf(newChunks, std::max(1, chunksInUse(volume)));
+    const double tokens = volume.limit().tokensOf(newChunks, std::max(1, chunksInUse(volume)));
     const auto saved = peer::FixedPoint::of(tokens);
     spend(volume, saved.value());
     return saved;
@@ -190,7 +189,7 @@
     std::map<Volume*, double> reserved;
     for (auto& [name, volume] : volumes_.all()) {
         refill(volume);
-        reserved[&volume] = volume.limit.setAside(kReservePart);
+        reserved[&volume] = volume.limit().setAside(kReservePart);
     }
     return reserved;
 }
--- a/src/policy/lease_allocator.h
+++ b/src/policy/lease_allocator.h
@@ -31,17 +31,17 @@
     void open(Volume& volume);
     /// Whether the volume may spend `units` now. Brings its bucket up to date.
     [[nodiscard]] bool hasTokens(Volume& volume, double units) {
-        if (!volume.limit.limited) return true;
+        if (!volume.limit().limited) return true;
         refill(volume);
-        return volume.limit.bucket.tokens >= units;
+        return volume.limit().bucket.tokens >= units;
     }
     static void spend(Volume& volume, double units) {
-        if (volume.limit.limited) volume.limit.bucket.tokens -= units;
+        if (volume.limit().limited) volume.limit().bucket.tokens -= units;
     }
     /// Units of requests that wait without tokens: a demand beyond what arrives.
-    static void addQueuedUnits(Volume& volume, double units) { volume.limit.queuedUnits += units; }
+    static void addQueuedUnits(Volume& volume, double units) { volume.limit().queuedUnits += units; }
     static void removeQueuedUnits(Volume& volume, double units) {
-        volume.limit.queuedUnits = std::max(0.0, volume.limit.queuedUnits - units);
+        volume.limit().queuedUnits = std::max(0.0, volume.limit().queuedUnits - units);
     }
     /// Microseconds until the volume has tokens for `units`. A request for chunks that is under way counts as
     /// granted, as far as the other hosts leave of the limit.
@@ -69,14 +69,14 @@
         Volume* const volume = volumes_.find(returned.volume);
         if (!volume) return;
         refill(*volume);
-        volume->limit.onReturned(from, returned.chunks, returned.stamp);
+        volume->limit().onReturned(from, returned.chunks, returned.stamp);
         refill(*volume);
     }
     /// A peer's new process knows nothing of the chunks that it granted: they go back to it.
     void onPeerRestarted(HostIndex peer) {
         for (auto& [name, volume] : volumes_.all()) {
             refill(volume);
-            volume.limit.held.erase(peer);
+            volume.limit().held.erase(peer);
         }
     }
 
@@ -94,7 +94,7 @@
     /// Leaves the reserved units here, and no other right.
     static void keepOnly(const std::map<Volume*, double>& reserved) {
         for (const auto& [volume, units] : reserved)
-            volume->limit.keepOnly(units);
+            volume->limit().keepOnly(units);
     }
 
     /// What is not in the volumes; for the snapshot.
@@ -114,16 +114,16 @@
     // arrive.
     static void cut(VolumeLimit& limit, const PlanInfo& plan, int hosts);
     void refill(Volume& volume) const {
-        VolumeLimit& limit = volume.limit;
+        VolumeLimit& limit = volume.limit();
         if (!limit.limited) return;
         const int chunks = chunksInUse(volume);
         limit.bucket.refill(limit.rateOf(chunks), limit.burstOf(chunks), context_.now);
     }
     [[nodiscard]] bool mayUseHome(const Volume& volume) const {
-        return state_.recoveredAt <= context_.now || volume.hosts == 1;
+        return state_.recoveredAt <= context_.now || volume.hosts() == 1;
     }
     [[nodiscard]] int chunksInUse(const Volume& volume) const {
-        return volume.limit.chunksInUse(mayUseHome(volume), context_.now);
+        return volume.limit().chunksInUse(mayUseHome(volume), context_.now);
     }
     [[nodiscard]] double demandOf(const Volume& volume) const;
     bool returnIdleChunks(Volume& volume, double surplus);
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -16,9 +16,9 @@
         if (!cluster_.acceptsRequests(node)) continue;
         // A suspect answers no sooner than it is tried.
         const double trialRate =
-            node.concurrency.estimate().units * 1e6 / double(OutlierDetector::trialInterval());
+            node.concurrency().estimate().units * 1e6 / double(OutlierDetector::trialInterval());
         capacity.unitsPerSecond += cluster_.isSuspect(node) ? trialRate : cluster_.unitsPerSecond(node);
-        const double latency = cluster_.expectedLatency(node) + node.outliers.ejectionLeft(context_.now);
+        const double latency = cluster_.expectedLatency(node) + node.outliers().ejectionLeft(context_.now);
         capacity.latency = capacity.latency > 0 ? std::min(capacity.latency, latency) : latency;
     }
     return capacity;
@@ -44,13 +44,13 @@
 
 LoadShedder::Position LoadShedder::victimFor(Backlog& backlog, const Capacity& capacity) const {
     const PendingRequest& request = *backlog.requests.back();
-    const double left = double(request.due - context_.now) - capacity.latency;
-    const double unitsAhead = backlog.units - request.info.units;
+    const double left = double(request.due() - context_.now) - capacity.latency;
+    const double unitsAhead = backlog.units - request.units();
     if (unitsAhead * 1e6 / capacity.unitsPerSecond > left ||
         capacity.latency > admission_.longestLatency(request))
         return leastValuable(backlog);
     if (request.needsTokens() &&
-        leases_.timeToTokens(*request.volume, backlog.tokensNeeded[request.volume]) > std::max(0.0, left))
+        leases_.timeToTokens(request.volume(), backlog.tokensNeeded[&request.volume()]) > std::max(0.0, left))
         return lowestPriorityOfVolume(backlog);
     return backlog.requests.end();
 }
@@ -66,9 +66,9 @@
 LoadShedder::Position LoadShedder::lowestPriorityOfVolume(Backlog& backlog) {
     auto& requests = backlog.requests;
     Position lowest = std::prev(requests.end());
-    const Volume* const volume = (*lowest)->volume;
+    const Volume* const volume = &(*lowest)->volume();
     for (auto it = requests.begin(); it != requests.end(); ++it)
-        if ((*it)->volume == volume && !(*it)->hasTokens &&
+        if (&(*it)->volume() == volume && !(*it)->hasTokens() &&
             (*it)->priorityWeight() < (*lowest)->priorityWeight())
             lowest = it;
     return lowest;
--- a/src/policy/load_shedder.h
+++ b/src/policy/load_shedder.h
@@ -40,13 +40,13 @@
 
         void add(PendingRequest& request) {
             requests.push_back(&request);
-            units += request.info.units;
-            if (request.needsTokens()) tokensNeeded[request.volume] += request.info.units;
+            units += request.units();
+            if (request.needsTokens()) tokensNeeded[&request.volume()] += request.units();
         }
         void remove(std::vector<PendingRequest*>::iterator position) {
             const PendingRequest& request = **position;
-            units -= request.info.units;
-            if (request.needsTokens()) tokensNeeded[request.volume] -= request.info.units;
+            units -= request.units();
+            if (request.needsTokens()) tokensNeeded[&request.volume()] -= request.units();
             requests.erase(position);
         }
     };
--- a/src/policy/node.h
+++ b/src/policy/node.h
@@ -1,65 +1,117 @@
 /// \file
-/// One storage node as this host sees it, and a cell of nodes that hold the same objects.
+/// One storage node as this host sees it.
 #pragma once
 
-#include <cstddef>
-#include <cstdint>
-#include <vector>
+#include <utility>
 
 #include "policy/concurrency_limit.h"
 #include "policy/outlier_detector.h"
 #include "policy/slow_start.h"
-#include "policy/usage_table.h"
 
 namespace wingproxy {
 
-/// A node's position in the `NodeTable`; another node may have it once that one was forgotten.
-using NodeIndex = Index<struct NodeKind>;
+/// A node, listed or remembered: its entry of the endpoint list, the attempts that are outstanding there, and
+/// the three limits that follow from what its answers show. Owned by `NodeTable`.
+class Node {
+public:
+    /// All that it knows but for the outstanding attempts, which belong to one process; for the snapshot.
+    struct State {
+        NodeInfo info;
+        bool listed = false;
+        Micros listedAt = kNever;
+        Micros servesDrainUntil = kNever;
+        ConcurrencyLimit::State concurrency;
+        OutlierDetector::State outliers;
+        SlowStartLimiter::State slowStart;
+    };
+    Node() = default;
+    /// Takes over what a predecessor process knew.
+    explicit Node(State state)
+        : info_(std::move(state.info)),
+          listed_(state.listed),
+          listedAt_(state.listedAt),
+          servesDrainUntil_(state.servesDrainUntil),
+          concurrency_(state.concurrency),
+          outliers_(state.outliers),
+          slowStart_(std::move(state.slowStart)) {}
 
-/// A node, listed or remembered. Its index stays the same until it is forgotten.
-struct Node {
-    explicit Node(int attempts = 0) : outstanding(attempts) {}
-
-    NodeInfo info;
-    bool listed = false;
-    int outstanding = 0;       ///< attempts of this host whose bodies are complete and that have no answer
-    Micros listedAt = kNever;  ///< last time that it was seen on the list
-    Micros servesDrainUntil = kNever;  ///< while draining it may get new requests until then
-    ConcurrencyLimit concurrency;
-    OutlierDetector outliers;
-    SlowStartLimiter slowStart;
-
-    /// Its process is new: nothing that was learnt of the one before holds.
+    // -- endpoint list
+    /// Its last entry of the endpoint list.
+    [[nodiscard]] const NodeInfo& info() const { return info_; }
+    /// Whether the endpoint list has it now.
+    [[nodiscard]] bool isListed() const { return listed_; }
+    /// Whether it is listed and accepts requests without reserve.
+    [[nodiscard]] bool isReady() const { return listed_ && info_.state == NodeState::Ready; }
+    /// Takes over its entry of the endpoint list.
+    void update(const NodeInfo& info) {
+        info_ = info;
+        listed_ = info.state != NodeState::Removed;
+    }
+    /// A complete endpoint list begins, on which it may be missing.
+    void unlist() { listed_ = false; }
+    /// Its process is new: nothing that was learnt of the one before holds, but for the attempts that are
+    /// still outstanding.
     /// \param turnRounding see `SlowStartLimiter::withRounding`
     void restart(Micros now, double turnRounding) {
-        *this = Node(outstanding);
-        concurrency = ConcurrencyLimit::startingAt(now);
-        outliers = OutlierDetector::startingAt(now);
-        slowStart = SlowStartLimiter::withRounding(turnRounding);
+        const int outstanding = outstanding_;
+        *this = Node();
+        outstanding_ = outstanding;
+        concurrency_ = ConcurrencyLimit::startingAt(now);
+        outliers_ = OutlierDetector::startingAt(now);
+        slowStart_ = SlowStartLimiter::withRounding(turnRounding);
     }
-    [[nodiscard]] bool isReady() const { return listed && info.state == NodeState::Ready; }
-};
+    /// Its drain was announced; it may still get requests until then, where its cell has no other node.
+    void startDrain(Micros servesUntil) { servesDrainUntil_ = servesUntil; }
+    /// Until when a draining node may get new requests; `kNever` if it may not.
+    [[nodiscard]] Micros servesDrainUntil() const { return servesDrainUntil_; }
+    /// Notes that it is still listed, if it is; to be called before each `isForgettable`.
+    void refreshListedAt(Micros now) {
+        if (listed_) listedAt_ = now;
+    }
+    /// Whether it was not seen on the list for `period` and has no attempts outstanding.
+    [[nodiscard]] bool isForgettable(Micros period, Micros now) const {
+        return now - listedAt_ >= period && outstanding_ == 0;
+    }
+
+    // -- attempts of this host
+    /// Attempts that hold a slot at the node: the body of the request is complete and there is no answer yet.
+    [[nodiscard]] int outstanding() const { return outstanding_; }
+    /// An attempt was sent, or the body of its request is complete.
+    /// \param holdsSlot false while the body is incomplete: the node cannot answer yet
+    void onAttemptSent(bool holdsSlot, Micros now) {
+        if (outstanding_ == 0) outliers_.onWorkBegan(now);
+        if (holdsSlot) ++outstanding_;
+    }
+    /// An attempt that held a slot ended, or the node has done its work.
+    void onSlotFreed() { --outstanding_; }
+
+    // -- limits, each of which owns its state
+    [[nodiscard]] ConcurrencyLimit& concurrency() { return concurrency_; }
+    [[nodiscard]] const ConcurrencyLimit& concurrency() const { return concurrency_; }
+    [[nodiscard]] OutlierDetector& outliers() { return outliers_; }
+    [[nodiscard]] const OutlierDetector& outliers() const { return outliers_; }
+    [[nodiscard]] SlowStartLimiter& slowStart() { return slowStart_; }
 
-/// Whether two nodes lie in the same scope of an idempotency key.
-inline bool isInScope(KeyScope scope, const NodeInfo& one, const NodeInfo& other) {
-    switch (scope) {
-        case KeyScope::Global:
-            return true;
-        case KeyScope::Zone:
-            return one.zone == other.zone;
-        case KeyScope::Cell:
-            return one.cell == other.cell;
+    /// For the snapshot.
+    [[nodiscard]] State state() const {
+        return {info_,
+                listed_,
+                listedAt_,
+                servesDrainUntil_,
+                concurrency_.state(),
+                outliers_.state(),
+                slowStart_.state()};
     }
-    return false;
-}
 
-/// Nodes that hold the same objects.
-struct Cell {
-    std::vector<NodeIndex> nodes;
-    std::ptrdiff_t ready = 0;  ///< how many of them are ready
-    std::uint32_t key = 0;     ///< of its use; 0: not in use yet
-    KeyUsage* usage =
-        nullptr;  ///< units due that are asked of it; owned by `UsageTable`; null: not in use yet
+private:
+    NodeInfo info_;
+    bool listed_ = false;
+    int outstanding_ = 0;
+    Micros listedAt_ = kNever;  // last time that it was seen on the list
+    Micros servesDrainUntil_ = kNever;
+    ConcurrencyLimit concurrency_;
+    OutlierDetector outliers_;
+    SlowStartLimiter slowStart_;
 };
 
 }  // namespace wingproxy
--- a/src/policy/node_table.cpp
+++ b/src/policy/node_table.cpp
@@ -13,7 +13,7 @@
     const auto [entry, isNew] = indexById_.try_emplace(info.id, unusedNodes_.back());
     if (isNew) {
         unusedNodes_.pop_back();
-        if (info.cell.isSet()) cell(info.cell).nodes.push_back(entry->second);
+        if (info.cell.isSet()) useCell(info.cell).nodes.push_back(entry->second);
     }
     return {node(entry->second), isNew};
 }
@@ -25,15 +25,15 @@
 
 void NodeTable::unlistAll() {
     for (Node& node : nodes_)
-        node.listed = false;
+        node.unlist();
 }
 
 void NodeTable::forgetUnlisted(Micros period, const std::set<NodeIndex>& pinned, Micros now) {
     for (auto entry = indexById_.begin(); entry != indexById_.end();) {
         const NodeIndex index = entry->second;
         Node& known = node(index);
-        if (known.listed) known.listedAt = now;
-        if (now - known.listedAt < period || known.outstanding > 0 || pinned.contains(index)) {
+        known.refreshListedAt(now);
+        if (!known.isForgettable(period, now) || pinned.contains(index)) {
             ++entry;
             continue;
         }
@@ -45,13 +45,13 @@
     }
 }
 
-Cell& NodeTable::cell(CellIndex number) {
+Cell& NodeTable::useCell(CellIndex number) {
     if (number.position() >= cells_.size()) cells_.resize(number.position() + 1);
     Cell& cell = cells_[number.position()];
     if (!cell.usage) {
         cell.key = UsageTable::keyOf(std::to_string(number.value()));
         cell.usage = &usage_.entry(cell.key);
-        cell.usage->cell = number;
+        cell.usage->assignCell(number);
     }
     return cell;
 }
@@ -65,7 +65,7 @@
 int NodeTable::outstandingIn(const Cell& cell) const {
     int sum = 0;
     for (const NodeIndex index : cell.nodes)
-        sum += node(index).outstanding;
+        sum += node(index).outstanding();
     return sum;
 }
 
--- a/src/policy/node_table.h
+++ b/src/policy/node_table.h
@@ -7,7 +7,9 @@
 #include <string>
 #include <vector>
 
+#include "policy/cell.h"
 #include "policy/node.h"
+#include "policy/usage_table.h"
 
 namespace wingproxy {
 
@@ -36,9 +38,10 @@
     void forgetUnlisted(Micros period, const std::set<NodeIndex>& pinned, Micros now);
 
     /// The cell of this number, in use from now on.
-    Cell& cell(CellIndex number);
+    const Cell& cell(CellIndex number) { return useCell(number); }
     [[nodiscard]] const std::vector<Cell>& cells() const { return cells_; }
-    [[nodiscard]] std::vector<Cell>& cells() { return cells_; }
+    /// Makes room for cells that the settings announce; they are not in use yet.
+    void addCells(int count) { cells_.resize(std::size_t(count)); }
     /// Counts the ready nodes of each cell anew.
     void countReady();
     /// Attempts of this host that are outstanding in a cell.
@@ -56,6 +59,8 @@
     void restore(State state);
 
 private:
+    Cell& useCell(CellIndex number);
+
     UsageTable& usage_;
     std::vector<Node> nodes_;
     std::vector<NodeIndex> unusedNodes_;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -40,52 +40,50 @@
     const Request& info = event.request;
     PendingRequest* const request = requests_.open(info);
     if (!request) return;
-    if (info.classIndex.isSet())
-        request->classInfo = &context_.settings.classes.at(info.classIndex.position());
-    request->volume = &volumeOf(info);
+    const auto& classes = context_.settings.classes;
+    const ClassInfo* classInfo = info.classIndex.isSet() ? &classes.at(info.classIndex.position()) : nullptr;
+    request->onReceived(classInfo, volumeOf(info), dispatcher_.nextSequence());
     const Micros untilDeadline = info.deadlineUs - context_.now;
-    request->due = std::min(context_.now + request->latencyObjective(untilDeadline), info.deadlineUs);
-    request->sequence = dispatcher_.nextSequence();
-    request->cell = info.cell.isSet() ? info.cell : dispatcher_.cellForNewObject(info.units);
-    const Cell& cell = cluster_.cell(request->cell);
+    request->setDue(std::min(context_.now + request->latencyObjective(untilDeadline), info.deadlineUs));
+    request->setCell(info.cell.isSet() ? info.cell : dispatcher_.cellForNewObject(info.units));
+    const Cell& cell = cluster_.cell(request->cell());
     retries_.onReceived(*request);
     leases_.earnRequestBytes();
     admit(*request);
     dispatcher_.enqueue(*request);
-    dispatcher_.dispatch(request->cell);
+    dispatcher_.dispatch(request->cell());
     gossip_.reportCell(cell);
-    if (request->queued) leases_.rebalance(*request->volume);
+    if (request->isQueued()) leases_.rebalance(request->volume());
 }
 
 void Policy::Impl::admit(PendingRequest& request) {
-    Volume& volume = *request.volume;
-    volume.demand.add(context_.now, kRateMemory, request.info.units);
-    if (volume.plan.isNone()) return;
-    volume.neededAt = context_.now;
-    if (volume.hosts > 1) usage_.record(*volume.usage, request.info.units);
+    Volume& volume = request.volume();
+    volume.recordDemand(request.units(), context_.now);
+    if (volume.plan().isNone()) return;
+    volume.onNeeded(context_.now);
+    if (volume.hosts() > 1) usage_.record(volume.usage(), request.units());
     const double dueUnits = admission_.classify(request);
-    const Cell& cell = cluster_.cell(request.cell);
+    const Cell& cell = cluster_.cell(request.cell());
     usage_.record(*cell.usage, dueUnits);
     cluster_.earnSlowStartTurns(cell, dueUnits);
-    if (volume.hosts > 1)
-        gossip_.reportUsage(std::uint32_t(volume.hash), *volume.usage, {volume.limit.limited, 0, 0});
+    if (volume.hosts() > 1) gossip_.reportUsage(volume.key(), volume.usage(), {volume.limit().limited, 0, 0});
 }
 
 void Policy::Impl::handle(const AttemptOutcome& event) {
     PendingRequest* const request = requests_.findAttempt(event.id, event.attempt);
     if (!request) return;
-    Node& node = cluster_.node(request->nodeByAttempt.at(event.attempt));
-    const bool heldPlace = request->onAttemptEnded(event.attempt);
-    if (heldPlace) --node.outstanding;
-    if (attempts_.isNodeEvidence(event, heldPlace))
-        attempts_.onOutcome(node, request->info.units, event.elapsedUs, event.outcome);
-    dispatcher_.queues().markChanged(node.info.cell);
+    Node& node = cluster_.node(request->nodeByAttempt().at(event.attempt));
+    const bool heldSlot = request->onAttemptEnded(event.attempt);
+    if (heldSlot) node.onSlotFreed();
+    if (attempts_.isNodeEvidence(event, heldSlot))
+        attempts_.onOutcome(node, request->units(), event.elapsedUs, event.outcome);
+    dispatcher_.queues().markChanged(node.info().cell);
     retries_.onAttemptEnded(*request, event.outcome);
-    if (request->finished) {
-        if (request->outstanding == 0) requests_.erase(event.id);
+    if (request->isFinished()) {
+        if (request->outstanding() == 0) requests_.erase(event.id);
         return;
     }
-    request->onEnded(event.outcome);
+    request->onOutcome(event.outcome);
     if (event.requestClosed || event.outcome == Outcome::Ok)
         finish(*request);
     else if (event.requestSpent)
@@ -97,8 +95,9 @@
 // Another attempt where the class, the budget and the time left allow one; else the final answer, now.
 void Policy::Impl::retryOrGiveUp(PendingRequest& request) {
     if (!retries_.mayRetry(request)) return giveUp(request, 0, kMinRetryAfter);
-    const bool mayMove = request.info.cell.isNone() && !request.mayHaveRun;  // a new object that never ran
-    if (mayMove) request.cell = CellIndex();
+    const bool mayMove =
+        request.info().cell.isNone() && !request.mayHaveRun();  // a new object that never ran
+    if (mayMove) request.setCell(CellIndex());
     dispatcher_.enqueue(request);
 }
 
@@ -106,9 +105,9 @@
     const Settings& settings = context_.settings;
     const Micros advice = std::min(std::max(retryAfter, minRetryAfter), settings.maxRetryAfterUs);
     if (RetryPolicy::mayReject(request))
-        context_.emit(RejectRequest{request.info.id, settings.sendsRetryAfter ? advice : 0});
+        context_.emit(RejectRequest{request.id(), settings.sendsRetryAfter ? advice : 0});
     else
-        context_.emit(FailRequest{request.info.id});
+        context_.emit(FailRequest{request.id()});
     finish(request);
 }
 
--- a/src/policy/policy_events.cpp
+++ b/src/policy/policy_events.cpp
@@ -18,36 +18,34 @@
 void Policy::Impl::handle(const ResponseStarted& event) {
     PendingRequest* const request = requests_.findAttempt(event.id, event.attempt);
     if (!request) return;
-    request->streaming = request->streaming || event.forwarding;
-    if (!event.nodeDone || request->bodyIncomplete || std::exchange(request->nodeDone, true)) return;
-    Node& node = cluster_.node(request->nodeByAttempt.at(event.attempt));
-    attempts_.onOutcome(node, request->info.units, event.elapsedUs, Outcome::Ok);
-    --node.outstanding;
-    dispatcher_.queues().markChanged(node.info.cell);
+    request->onResponseStarted(event.forwarding);
+    if (!event.nodeDone || !request->onNodeDone()) return;
+    Node& node = cluster_.node(request->nodeByAttempt().at(event.attempt));
+    attempts_.onOutcome(node, request->units(), event.elapsedUs, Outcome::Ok);
+    node.onSlotFreed();
+    dispatcher_.queues().markChanged(node.info().cell);
 }
 
 void Policy::Impl::handle(const RequestBodyCompleted& event) {
     PendingRequest* const request = requests_.find(event.id);
-    if (!request || !request->bodyIncomplete) return;
-    const bool wasQueued = request->queued;
+    if (!request || !request->isBodyIncomplete()) return;
+    const bool wasQueued = request->isQueued();
     dispatcher_.dequeue(*request);
-    request->info.deadlineUs = event.deadlineUs;
-    request->due =
-        std::min(context_.now + request->latencyObjective(defaultLatencyObjective()), event.deadlineUs);
-    request->bodyIncomplete = false;
-    request->sentAt = context_.now;
+    const Micros objective = request->latencyObjective(defaultLatencyObjective());
+    request->onBodyCompleted(event.deadlineUs, context_.now);
+    request->setDue(std::min(context_.now + objective, event.deadlineUs));
     if (wasQueued) dispatcher_.enqueue(*request);
     attempts_.onBodyCompleted(*request);
 }
 
 // The request may be gone afterwards.
 void Policy::Impl::finish(PendingRequest& request) {
-    if (request.finished) return;
+    if (request.isFinished()) return;
     dispatcher_.dequeue(request);
-    request.finished = true;
-    if (request.isUntouched()) admission_.giveBack(request);
+    request.onFinished();
+    if (request.neverRan()) admission_.giveBack(request);
     retries_.onFinished(request);
-    if (request.outstanding == 0) requests_.erase(request.info.id);
+    if (request.outstanding() == 0) requests_.erase(request.id());
 }
 
 void Policy::Impl::handle(const EndpointListReceived& event) {
@@ -93,7 +91,7 @@
     state.nodeIndexById = std::move(table.indexById);
     for (Cell& cell : table.cells) {
         const auto number = CellIndex::ofPosition(state.cells.size());
-        state.cells.push_back({std::move(cell), admission_.levelOf(number)});
+        state.cells.push_back({cell, admission_.levelOf(number)});
     }
     state.volumes = volumes_.all();
     state.usage = usage_.entries();
--- a/src/policy/policy_impl.h
+++ b/src/policy/policy_impl.h
@@ -35,7 +35,7 @@
     void handle(const HealthCheckCompleted& event) {
         Node* const node = cluster_.findNode(event.node);
         if (node && event.outcome == Outcome::Ok)
-            node->outliers.onHealthCheckAnswered(context_.now - event.elapsedUs);
+            node->outliers().onHealthCheckAnswered(context_.now - event.elapsedUs);
     }
     /// Sends what may leave, sheds load, and returns the batch's actions.
     std::vector<Action> finishBatch();
--- a/src/policy/request_table.h
+++ b/src/policy/request_table.h
@@ -14,11 +14,8 @@
 public:
     /// A new request; null where one of that id is open.
     PendingRequest* open(const Request& info) {
-        const auto [entry, isNew] = requests_.try_emplace(info.id);
-        if (!isNew) return nullptr;
-        entry->second.info = info;
-        entry->second.bodyIncomplete = info.bodyIncomplete;
-        return &entry->second;
+        const auto [entry, isNew] = requests_.try_emplace(info.id, info);
+        return isNew ? &entry->second : nullptr;
     }
     /// The request of this id, or null.
     [[nodiscard]] PendingRequest* find(RequestId id) {
@@ -28,7 +25,7 @@
     /// The request of this id, if it has this attempt outstanding, or null.
     [[nodiscard]] PendingRequest* findAttempt(RequestId id, AttemptIndex attempt) {
         PendingRequest* const request = find(id);
-        return request && request->nodeByAttempt.contains(attempt) ? request : nullptr;
+        return request && request->nodeByAttempt().contains(attempt) ? request : nullptr;
     }
     void erase(RequestId id) { requests_.erase(id); }
     [[nodiscard]] const std::unordered_map<RequestId, PendingRequest>& all() const { return requests_; }
@@ -37,14 +34,14 @@
     [[nodiscard]] std::set<const Volume*> volumes() const {
         std::set<const Volume*> volumes;
         for (const auto& [id, request] : requests_)
-            volumes.insert(request.volume);
+            volumes.insert(&request.volume());
         return volumes;
     }
     /// Indices of the nodes near which a request may have to be repeated.
     [[nodiscard]] std::set<NodeIndex> pinnedNodes() const {
         std::set<NodeIndex> nodes;
         for (const auto& [id, request] : requests_)
-            nodes.insert(request.pinnedNode);
+            nodes.insert(request.pinnedNode());
         return nodes;
     }
 
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -1,30 +1,33 @@
 #include "policy/retry_policy.h"
 
+#include "policy/key_scope.h"
+
 namespace wingproxy {
 
 bool RetryPolicy::maySend(const PendingRequest& request, NodeIndex index) {
     Node& node = cluster_.node(index);
-    if (request.finished || request.outstanding > 0 || context_.now >= request.info.deadlineUs) return false;
-    if (request.attempts >= context_.settings.maxAttempts) return false;
-    if (!isRepeatable(request) || (request.mayHaveRun && !knowsKey(request, node.info))) return false;
+    if (request.isFinished() || request.outstanding() > 0 || context_.now >= request.info().deadlineUs)
+        return false;
+    if (request.attempts() >= context_.settings.maxAttempts) return false;
+    if (!isRepeatable(request) || (request.mayHaveRun() && !knowsKey(request, node.info()))) return false;
     if (!cluster_.acceptsRequests(node)) return false;
-    if (request.info.cell.isSet() && request.info.cell != node.info.cell) return false;
-    if (!cluster_.slowStartAdmits(node, request.info.units)) return false;
-    if (request.needsTokens() && !leases_.hasTokens(*request.volume, request.info.units)) return false;
-    if (isOrdered(request) && !keys_.isNext(request.info.key, request.info.id, context_.now)) return false;
-    return request.attempts == 0 || isInRetryBudget();
+    if (request.info().cell.isSet() && request.info().cell != node.info().cell) return false;
+    if (!cluster_.slowStartAdmits(node, request.units())) return false;
+    if (request.needsTokens() && !leases_.hasTokens(request.volume(), request.units())) return false;
+    if (isOrdered(request) && !keys_.isNext(request.info().key, request.id(), context_.now)) return false;
+    return request.attempts() == 0 || isInRetryBudget();
 }
 
 bool RetryPolicy::isRepeatable(const PendingRequest& request) const {
-    if (!request.mayHaveRun || request.retrySafety() == RetrySafety::Idempotent) return true;
+    if (!request.mayHaveRun() || request.retrySafety() == RetrySafety::Idempotent) return true;
     return request.retrySafety() == RetrySafety::IdempotentWithKey &&
            context_.now < request.repeatableUntil();
 }
 
 // Whether the node recognises the idempotency key of an attempt that the pinned node got.
 bool RetryPolicy::knowsKey(const PendingRequest& request, const NodeInfo& node) const {
-    if (request.retrySafety() != RetrySafety::IdempotentWithKey || request.pinnedNode.isNone()) return true;
-    return isInScope(request.classInfo->keyScope, cluster_.node(request.pinnedNode).info, node);
+    if (request.retrySafety() != RetrySafety::IdempotentWithKey || request.pinnedNode().isNone()) return true;
+    return isInScope(request.classInfo()->keyScope, cluster_.node(request.pinnedNode()).info(), node);
 }
 
 // A request that is exactly one window old counts no more, a retry still does: the client's side errs on
@@ -40,20 +43,20 @@
 }
 
 bool RetryPolicy::mayRetry(const PendingRequest& request) const {
-    if (request.streaming || request.attempts >= context_.settings.maxAttempts) return false;
-    return isRepeatable(request) && request.info.deadlineUs - context_.now >= 2 * kTickInterval;
+    if (request.isStreaming() || request.attempts() >= context_.settings.maxAttempts) return false;
+    return isRepeatable(request) && request.info().deadlineUs - context_.now >= 2 * kTickInterval;
 }
 
 bool RetryPolicy::mayRepeatLost(const PendingRequest& request) const {
-    return request.attempts < context_.settings.maxAttempts &&
+    return request.attempts() < context_.settings.maxAttempts &&
            request.retrySafety() != RetrySafety::NotIdempotent;
 }
 
 bool RetryPolicy::mayReject(const PendingRequest& request) {
-    if (!request.classInfo) return request.attempts == 0;
-    if (request.retrySafety() == RetrySafety::Idempotent || request.isUntouched()) return true;
+    if (!request.classInfo()) return request.attempts() == 0;
+    if (request.retrySafety() == RetrySafety::Idempotent || request.neverRan()) return true;
     return request.retrySafety() == RetrySafety::IdempotentWithKey &&
-           request.classInfo->keyScope == KeyScope::Global;
+           request.classInfo()->keyScope == KeyScope::Global;
 }
 
 }  // namespace wingproxy
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -29,23 +29,24 @@
     // -- what happened
     void onReceived(const PendingRequest& request) {
         if (context_.settings.retryWindowUs > 0) budget_.requests.record(context_.now);
-        if (isOrdered(request)) keys_.add(request.info.key, request.info.id);
+        if (isOrdered(request)) keys_.add(request.info().key, request.id());
     }
     void onSent(const PendingRequest& request) {
-        if (request.attempts > 0 && context_.settings.retryWindowUs > 0) budget_.retries.record(context_.now);
+        if (request.attempts() > 0 && context_.settings.retryWindowUs > 0)
+            budget_.retries.record(context_.now);
     }
     /// An attempt ended; the request's own counts are up to date.
     void onAttemptEnded(const PendingRequest& request, Outcome outcome) {
         if (!isOrdered(request)) return;
-        const std::string& key = request.info.key;
+        const std::string& key = request.info().key;
         if (outcome == Outcome::Timeout || outcome == Outcome::Reset || outcome == Outcome::Cancelled)
             keys_.pause(key, context_.now + context_.settings.keyCooldownUs,
-                        request.finished ? 0 : request.info.id);
-        if (request.finished) keys_.onAbandonedAttemptEnded(key);
+                        request.isFinished() ? 0 : request.id());
+        if (request.isFinished()) keys_.onAbandonedAttemptEnded(key);
     }
     void onFinished(const PendingRequest& request) {
         if (isOrdered(request))
-            keys_.remove(request.info.key, request.info.id, request.outstanding, context_.now);
+            keys_.remove(request.info().key, request.id(), request.outstanding(), context_.now);
     }
     void forgetIdleKeys() { keys_.forgetIdle(context_.now); }
 
@@ -60,7 +61,7 @@
 
 private:
     [[nodiscard]] static bool isOrdered(const PendingRequest& request) {
-        return request.classInfo && request.classInfo->fifoByKey && !request.info.key.empty();
+        return request.classInfo() && request.classInfo()->fifoByKey && !request.info().key.empty();
     }
     [[nodiscard]] bool isRepeatable(const PendingRequest& request) const;
     [[nodiscard]] bool knowsKey(const PendingRequest& request, const NodeInfo& node) const;
--- a/src/policy/snapshot_archive.cpp
+++ b/src/policy/snapshot_archive.cpp
@@ -45,8 +45,10 @@
 }
 template <typename Archive>
 void serialize(Archive& archive, KeyUsage& usage) {
-    archive(usage.demand, usage.reported, usage.others, usage.slowStartUnits, usage.peers, usage.cell,
-            usage.reportedOutstanding, usage.volumes);
+    KeyUsage::State state = usage.state();
+    archive(state.demand, state.reported, state.others, state.slowStartUnits, state.peers, state.cell,
+            state.reportedOutstanding, state.volumes);
+    usage = KeyUsage(std::move(state));
 }
 template <typename Archive>
 void serialize(Archive& archive, HostUsage& usage) {
@@ -60,11 +62,13 @@
 }
 template <typename Archive>
 void serialize(Archive& archive, Volume& volume) {
-    VolumeLimit& limit = volume.limit;
-    archive(volume.hash, volume.plan, volume.hosts, volume.demand, volume.quota.byCell,
-            volume.quota.demandByClass, limit.lastPeerAsked, volume.quota.guaranteed, limit.lastRequestAt,
-            limit.bucket.at, volume.neededAt, limit.limited, limit.bucket.tokens, limit.baseRate,
-            limit.baseBurst, limit.chunkRate, limit.chunkBurst, limit.homeChunks, limit.granted, limit.held);
+    Volume::State state = volume.state();
+    VolumeLimit& limit = state.limit;
+    archive(state.hash, state.plan, state.hosts, state.demand, state.quota.byCell, state.quota.demandByClass,
+            limit.lastPeerAsked, state.quota.guaranteed, limit.lastRequestAt, limit.bucket.at, state.neededAt,
+            limit.limited, limit.bucket.tokens, limit.baseRate, limit.baseBurst, limit.chunkRate,
+            limit.chunkBurst, limit.homeChunks, limit.granted, limit.held);
+    volume = Volume(std::move(state));
 }
 template <typename Archive>
 void serialize(Archive& archive, SlowStartWindow::Sample& sample) {
@@ -72,19 +76,18 @@
 }
 template <typename Archive>
 void serialize(Archive& archive, Node& node) {
-    ConcurrencyLimit::State concurrency = node.concurrency.state();
-    OutlierDetector::State outliers = node.outliers.state();
-    SlowStartLimiter::State slowStart = node.slowStart.state();
+    Node::State state = node.state();
+    ConcurrencyLimit::State& concurrency = state.concurrency;
+    OutlierDetector::State& outliers = state.outliers;
+    SlowStartLimiter::State& slowStart = state.slowStart;
     LatencyEstimate& estimate = concurrency.estimate;
-    archive(node.listed, node.info, concurrency.limit, estimate.latency, estimate.units, estimate.perUnit,
+    archive(state.listed, state.info, concurrency.limit, estimate.latency, estimate.units, estimate.perUnit,
             outliers.errorShare, estimate.floor.current, estimate.floor.previous, estimate.floor.spanStart,
             outliers.progressAt, concurrency.loweredAt, outliers.lastTrialAt, estimate.heardAt,
-            outliers.newestAnswered, outliers.lastHealthCheckAt, outliers.ejectedUntil, node.listedAt,
-            node.servesDrainUntil, outliers.failures, slowStart.window.samples, slowStart.turnUnits,
+            outliers.newestAnswered, outliers.lastHealthCheckAt, outliers.ejectedUntil, state.listedAt,
+            state.servesDrainUntil, outliers.failures, slowStart.window.samples, slowStart.turnUnits,
             slowStart.turnRounding);
-    node.concurrency = ConcurrencyLimit(concurrency);
-    node.outliers = OutlierDetector(outliers);
-    node.slowStart = SlowStartLimiter(std::move(slowStart));
+    node = Node(std::move(state));
 }
 template <typename Archive>
 void serialize(Archive& archive, CellState& state) {
@@ -121,7 +124,7 @@
         return std::all_of(indices.begin(), indices.end(), isNode);
     };
     const auto isSound = [&](const Volume& volume) {
-        return volume.plan.value() < int(settings.plans.size()) && volume.hosts >= 1;
+        return volume.plan().value() < int(settings.plans.size()) && volume.hosts() >= 1;
     };
     return areNodes(state.unusedNodes) &&
            std::ranges::all_of(state.nodeIndexById,
@@ -129,7 +132,7 @@
            std::ranges::all_of(state.cells, [&](const auto& entry) { return areNodes(entry.cell.nodes); }) &&
            std::ranges::all_of(state.volumes, [&](const auto& entry) { return isSound(entry.second); }) &&
            std::ranges::all_of(state.usage, [&](const auto& entry) {
-               return entry.second.cell.value() < int(state.cells.size());
+               return entry.second.cell().value() < int(state.cells.size());
            });
 }
 
--- a/src/policy/usage_table.h
+++ b/src/policy/usage_table.h
@@ -1,49 +1,34 @@
 /// \file
-/// What each volume and each cell is asked for: through this host, and through the others as gossip says.
+/// The use of all volumes and cells that this host knows, by the key that gossip gives them.
 #pragma once
 
 #include <cstdint>
 #include <map>
-#include <set>
+#include <string>
+#include <utility>
 
 #include "policy/context.h"
-#include "policy/decaying_rate.h"
+#include "policy/key_usage.h"
 #include "policy/peer_message.h"
 
 namespace wingproxy {
 
-/// What the other hosts are asked for, as their rendezvous host last said.
-struct PeerUsage {
-    double rate = 0;  ///< units a second
-    Micros at = kNever;
-    double slowStartRate = 0;  ///< units a second that starting nodes completed for all hosts
-};
-
-/// The use of one key, that is of a volume or a cell.
-struct KeyUsage {
-    DecayingRate demand;    ///< through this host
-    DecayingRate reported;  ///< of that, what the rendezvous host was last sent
-    PeerUsage others;
-    double slowStartUnits = 0;  ///< completed by starting nodes since the last report
-    std::set<HostIndex> peers;  ///< other hosts with this key
-    CellIndex cell;             ///< none: a volume's key
-    int reportedOutstanding = 0;
-    int volumes = 0;  ///< known here with this key
-};
-
+/// A key is the low half of the hash of a volume's name, or of a cell's number in decimal.
 using UsageByKey = std::map<std::uint32_t, KeyUsage>;
 
 /// How long what is known of a key's use counts, in microseconds.
 struct UsageMemory {
     Micros ownRate = 0;  ///< time in which a sample of this host's rate loses its weight
-    Micros others = 0;   ///< since the others' use was heard of
+    Micros others = 0;   ///< since the others' use was last reported
 };
 
 /// Owns the use of every key. References to entries stay valid until the entry is released.
 class UsageTable {
 public:
+    /// \param context gives the time; must outlive the table
     UsageTable(const Context& context, const UsageMemory& memory) : context_(context), memory_(memory) {}
 
+    /// The key of a volume's name or a cell's number: the same on every host.
     static std::uint32_t keyOf(const std::string& name) { return std::uint32_t(peer::hashOf(name)); }
     /// The entry of a key, made if there is none.
     KeyUsage& entry(std::uint32_t key) { return entries_[key]; }
@@ -54,25 +39,22 @@
     }
     /// Takes one volume from the key and forgets the key with the last one.
     void releaseVolume(std::uint32_t key) {
-        KeyUsage& usage = entries_.at(key);
-        if (--usage.volumes == 0 && usage.cell.isNone()) entries_.erase(key);
+        if (entries_.at(key).removeVolume()) entries_.erase(key);
     }
 
     /// Counts units that this host is asked for.
-    void record(KeyUsage& usage, double units) const {
-        usage.demand.add(context_.now, memory_.ownRate, units);
-    }
+    void record(KeyUsage& usage, double units) const { usage.record(units, context_.now, memory_.ownRate); }
     /// Units a second that this host is asked for.
     [[nodiscard]] double ownRate(const KeyUsage& usage) const {
-        return usage.demand.rate(context_.now, memory_.ownRate);
+        return usage.ownRate(context_.now, memory_.ownRate);
     }
     /// Units a second that the other hosts are asked for; 0 where that is not known.
     [[nodiscard]] double othersRate(const KeyUsage& usage) const {
-        return knowsOthers(usage) ? usage.others.rate : 0;
+        return knowsOthers(usage) ? usage.others().rate : 0;
     }
     /// What the others are asked for; where that is not known, each of them as much as this host.
     [[nodiscard]] PeerUsage othersOrAssumed(const KeyUsage& usage) const {
-        if (knowsOthers(usage)) return usage.others;
+        if (knowsOthers(usage)) return usage.others();
         return PeerUsage{ownRate(usage) * (context_.settings.hostCount - 1)};
     }
     /// This host's part of all that the key is asked for, from 0 to 1; 1 where it is asked for nothing.
@@ -82,13 +64,16 @@
         return all > kNegligibleRate ? own / all : 1;
     }
 
+    /// Number of keys, for `Policy::tableEntries`.
     [[nodiscard]] std::size_t size() const { return entries_.size(); }
+    /// All entries, for the snapshot.
     [[nodiscard]] const UsageByKey& entries() const { return entries_; }
+    /// Takes over a predecessor's entries, before any table that refers to them is restored.
     void restore(UsageByKey entries) { entries_ = std::move(entries); }
 
 private:
     [[nodiscard]] bool knowsOthers(const KeyUsage& usage) const {
-        return context_.now - usage.others.at < memory_.others;
+        return context_.now - usage.others().at < memory_.others;
     }
 
     const Context& context_;
--- a/src/policy/volume.h
+++ b/src/policy/volume.h
@@ -5,11 +5,13 @@
 #include <algorithm>
 #include <cstdint>
 #include <map>
+#include <utility>
 #include <vector>
 
+#include "policy/context.h"
 #include "policy/decaying_rate.h"
+#include "policy/key_usage.h"
 #include "policy/token_bucket.h"
-#include "policy/usage_table.h"
 
 namespace wingproxy {
 
@@ -147,16 +149,76 @@
     TokenBucket guaranteed;
 };
 
-/// A volume that was asked for here, or by a peer, not long ago.
-struct Volume {
-    std::uint64_t hash = 0;
-    PlanIndex plan;             ///< none: unknown
-    int hosts = 1;              ///< that serve it
-    Micros neededAt = 0;        ///< asked for last, here or by a peer
-    DecayingRate demand;        ///< through this host
-    KeyUsage* usage = nullptr;  ///< owned by `UsageTable`
-    VolumeLimit limit;
-    VolumeQuota quota;
+/// A volume that was asked for here, or by a peer, not long ago. Owned by `VolumeTable`.
+class Volume {
+public:
+    /// All that it knows but for its entry in the usage table; for the snapshot.
+    struct State {
+        std::uint64_t hash = 0;
+        PlanIndex plan;
+        int hosts = 1;
+        Micros neededAt = 0;
+        DecayingRate demand;
+        VolumeLimit limit;
+        VolumeQuota quota;
+    };
+    Volume() = default;
+    /// A volume that is asked for the first time.
+    /// \param hash of its name; the low half is its key in gossip
+    /// \param plan none: its name is unknown, and requests for it have neither limit nor quota
+    /// \param hosts that serve it, this one included
+    Volume(std::uint64_t hash, PlanIndex plan, int hosts, KeyUsage& usage)
+        : hash_(hash), plan_(plan), hosts_(hosts), usage_(&usage) {}
+    /// Takes over what a predecessor process knew; `attach` must follow.
+    explicit Volume(State state)
+        : hash_(state.hash),
+          plan_(state.plan),
+          hosts_(state.hosts),
+          neededAt_(state.neededAt),
+          demand_(state.demand),
+          limit_(std::move(state.limit)),
+          quota_(std::move(state.quota)) {}
+    /// Sets its entry in the usage table, which must outlive it.
+    void attach(KeyUsage& usage) { usage_ = &usage; }
+
+    /// Hash of its name, by which leases name it.
+    [[nodiscard]] std::uint64_t hash() const { return hash_; }
+    /// Its key in gossip and in `UsageTable`.
+    [[nodiscard]] std::uint32_t key() const { return static_cast<std::uint32_t>(hash_); }
+    /// None: unknown.
+    [[nodiscard]] PlanIndex plan() const { return plan_; }
+    /// Hosts that serve it, at least 1.
+    [[nodiscard]] int hosts() const { return hosts_; }
+    /// What it is asked for, here and at the other hosts.
+    [[nodiscard]] KeyUsage& usage() const { return *usage_; }
+
+    /// Counts units that this host is asked for.
+    void recordDemand(double units, Micros now) { demand_.add(now, kRateMemory, units); }
+    /// Units a second that this host is asked for.
+    [[nodiscard]] double demandRate(Micros now) const { return demand_.rate(now, kRateMemory); }
+    /// A request or a peer needs it: it is kept for a while from now on.
+    void onNeeded(Micros now) { neededAt_ = now; }
+    /// When it was needed last.
+    [[nodiscard]] Micros neededAt() const { return neededAt_; }
+
+    /// This host's part of its limit, which `LeaseAllocator` alone changes.
+    [[nodiscard]] VolumeLimit& limit() { return limit_; }
+    [[nodiscard]] const VolumeLimit& limit() const { return limit_; }
+    /// What is left of its guaranteed rate and shares, which `Admission` alone changes.
+    [[nodiscard]] VolumeQuota& quota() { return quota_; }
+
+    /// For the snapshot.
+    [[nodiscard]] State state() const { return {hash_, plan_, hosts_, neededAt_, demand_, limit_, quota_}; }
+
+private:
+    std::uint64_t hash_ = 0;
+    PlanIndex plan_;
+    int hosts_ = 1;
+    Micros neededAt_ = 0;
+    DecayingRate demand_;
+    KeyUsage* usage_ = nullptr;  // owned by UsageTable
+    VolumeLimit limit_;
+    VolumeQuota quota_;
 };
 
 }  // namespace wingproxy
--- a/src/policy/volume_table.cpp
+++ b/src/policy/volume_table.cpp
@@ -7,15 +7,14 @@
 namespace wingproxy {
 
 VolumeTable::Opened VolumeTable::open(const Request& request) {
-    const auto [entry, isNew] = volumes_.try_emplace(request.volume);
-    Volume& volume = entry->second;
-    if (!isNew) return {volume, false};
-    volume.hash = peer::hashOf(request.volume);
-    byHash_.emplace(volume.hash, &volume);
-    volume.plan = request.planIndex;
-    volume.hosts = std::max(1, request.volumeHosts);
-    volume.usage = &usage_.entry(std::uint32_t(volume.hash));
-    ++volume.usage->volumes;
+    if (const auto known = volumes_.find(request.volume); known != volumes_.end())
+        return {known->second, false};
+    const std::uint64_t hash = peer::hashOf(request.volume);
+    KeyUsage& usage = usage_.entry(UsageTable::keyOf(request.volume));
+    usage.addVolume();
+    Volume opened(hash, request.planIndex, std::max(1, request.volumeHosts), usage);
+    Volume& volume = volumes_.emplace(request.volume, std::move(opened)).first->second;
+    byHash_.emplace(hash, &volume);
     return {volume, true};
 }
 
@@ -29,17 +28,17 @@
     for (auto entry = volumes_.begin(); entry != volumes_.end();) {
         const Volume& volume = entry->second;
         double secondsToFill = 0;
-        if (volume.limit.limited) {
-            const PlanInfo& plan = context_.settings.plans.at(volume.plan.position());
+        if (volume.limit().limited) {
+            const PlanInfo& plan = context_.settings.plans.at(volume.plan().position());
             secondsToFill = plan.limitBurst / plan.limit;
         }
         const Micros keptFor = period + Micros(secondsToFill * 1e6);
-        if (context_.now - volume.neededAt < keptFor || inUse.contains(&volume)) {
+        if (context_.now - volume.neededAt() < keptFor || inUse.contains(&volume)) {
             ++entry;
             continue;
         }
-        usage_.releaseVolume(std::uint32_t(volume.hash));
-        byHash_.erase(volume.hash);
+        usage_.releaseVolume(volume.key());
+        byHash_.erase(volume.hash());
         entry = volumes_.erase(entry);
     }
 }
@@ -48,8 +47,8 @@
     volumes_ = std::move(volumes);
     byHash_.clear();
     for (auto& [name, volume] : volumes_) {
-        byHash_.emplace(volume.hash, &volume);
-        volume.usage = &usage_.entry(std::uint32_t(volume.hash));
+        byHash_.emplace(volume.hash(), &volume);
+        volume.attach(usage_.entry(volume.key()));
     }
 }
 
--- a/src/policy/volume_table.h
+++ b/src/policy/volume_table.h
@@ -7,6 +7,7 @@
 #include <string>
 
 #include "policy/context.h"
+#include "policy/usage_table.h"
 #include "policy/volume.h"
 
 namespace wingproxy {
--- a/tests/policy/value_types_test.cpp
+++ b/tests/policy/value_types_test.cpp
@@ -15,6 +15,12 @@
 
 constexpr Micros kSecond = 1'000'000;
 
+PendingRequest requestOf(double units) {
+    Request info;
+    info.units = units;
+    return PendingRequest(info);
+}
+
 TEST(DecayingRate, FallsToOneEthInItsMemory) {
     DecayingRate rate;
     rate.add(kSecond, kSecond, 10);
@@ -109,23 +115,22 @@
 
 TEST(CellQueues, KeepEarliestDueFirstAndFindTheLeastValuable) {
     CellQueues queues;
-    PendingRequest late;
-    PendingRequest early;
-    late.due = 20;
-    early.due = 10;
-    late.cell = early.cell = CellIndex(1);
-    late.info.units = 2;
-    early.info.units = 3;
+    PendingRequest late = requestOf(2);
+    PendingRequest early = requestOf(3);
+    late.setDue(20);
+    early.setDue(10);
+    late.setCell(CellIndex(1));
+    early.setCell(CellIndex(1));
     queues.add(late);
     queues.add(early);
     EXPECT_EQ(queues.of(CellIndex(1)).entries().begin()->second, &early);
     EXPECT_EQ(queues.of(CellIndex(1)).units(), 5);
-    EXPECT_EQ(queues.least([](const PendingRequest& request) { return request.info.units; }), &late);
+    EXPECT_EQ(queues.least([](const PendingRequest& request) { return request.units(); }), &late);
     EXPECT_TRUE(queues.hasChanged());
     EXPECT_EQ(queues.takeChanged(), CellIndex(1));
     EXPECT_FALSE(queues.hasChanged());
     queues.remove(late);
-    EXPECT_FALSE(late.queued);
+    EXPECT_FALSE(late.isQueued());
     queues.markWaiting();
     EXPECT_EQ(queues.takeChanged(), CellIndex(1));
 }
