--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -4,7 +4,7 @@
 #include <cstdio>
 #include <iostream>
 
-#include "instances.h"
+#include "simulated_hosts.h"
 
 namespace {
 
@@ -13,9 +13,9 @@
 constexpr int kExitMalformedInput = 2;
 
 int serve(std::istream& in, std::ostream& out) {
-    wingproxy::wire::Instances instances;
+    wingproxy::wire::SimulatedHosts hosts;
     std::string response;
-    while (instances.serveBatch(in, response)) {
+    while (hosts.serveBatch(in, response)) {
         out.write(response.data(), static_cast<std::streamsize>(response.size()));
         out.flush();
         if (!out) return kExitOutputClosed;
--- a/adapter/instances.h
+++ b/adapter/simulated_hosts.h
@@ -13,42 +13,48 @@
 #include <string_view>
 #include <vector>
 
-#include "base64.h"  // for the users of this header
 #include "wingproxy/policy.h"
 #include "wire_events.h"
 #include "wire_line.h"
 
 namespace wingproxy::wire {
 
-class Instances {
+/// All hosts that the input names; they share one thread. A host comes into being with its first message and
+/// is kept until this object is destroyed, also while it is stopped.
+class SimulatedHosts {
 public:
     /// Reads one batch and appends the response to it: the actions of each host that got a message, in the
-    /// order of their first messages, and the line that ends the batch. \return false at the end of the input
-    /// \throws WireError on malformed input
+    /// order of their first messages, and the line that ends the batch.
+    ///
+    /// Where a policy has thrown, its host's actions are replaced by one EXCEPTION line a batch, until the
+    /// host is started again.
+    ///
+    /// \return false at the end of the input
+    /// \throws WireError on malformed input; this object must not be used after that
     bool serveBatch(std::istream& in, std::string& out);
 
 private:
-    /// One host. It has settings and a policy from its start to its end.
-    struct Instance {
+    /// One host. It has settings and a policy from its start to its stop.
+    struct Host {
         std::string name;
         std::optional<Settings> settings;
         std::optional<Policy> policy;
-        std::string exception;      ///< text of one that left the policy; it gets no further events
-        std::size_t lastBatch = 0;  ///< in which a message was for it
+        std::string exception;      ///< text of one that the policy threw; it gets no further events
+        std::size_t lastBatch = 0;  ///< the number of the last batch with a message for it
     };
 
     bool readLine(std::istream& in);
     void readMessages(std::istream& in, const WireLine& header, Micros now);
     void readEndpointList(std::istream& in, const WireLine& header, const WireLine& line);
     void handleMessage(const WireLine& line, Micros now);
-    void start(Instance& instance, const WireLine& line, Micros now);
-    static void stop(Instance& instance);
-    static void catchExceptions(Instance& instance, const std::function<void()>& call);
-    static void appendActions(Instance& instance, Micros now, std::string& out);
-    Instance& instanceOf(const WireLine& line);
-
-    std::map<std::string, Instance, std::less<>> instances_;
-    std::vector<Instance*> inBatch_;  ///< those with a message in this batch
+    void start(Host& host, const WireLine& line, Micros now);
+    static void stop(Host& host);
+    static void catchExceptions(Host& host, const std::function<void()>& call);
+    static void appendActions(Host& host, Micros now, std::string& out);
+    Host& hostOf(const WireLine& line);
+
+    std::map<std::string, Host, std::less<>> hosts_;
+    std::vector<Host*> hostsInBatch_;  ///< those with a message in this batch
     EndpointListTable endpointLists_;
     std::string line_;  ///< the one that was read last
     std::size_t lineNumber_ = 0;
--- a/tests/adapter/instances_test.cpp
+++ b/tests/adapter/simulated_hosts_test.cpp
@@ -1,5 +1,5 @@
 // The adapter as the simulator sees it: batches of messages in, batches of messages out.
-#include "instances.h"
+#include "simulated_hosts.h"
 
 #include <gtest/gtest.h>
 
@@ -27,10 +27,10 @@
 
 /// The response to all batches of the input.
 std::string serve(const std::string& input) {
-    Instances instances;
+    SimulatedHosts hosts;
     std::istringstream in(input);
     std::string out;
-    while (instances.serveBatch(in, out)) {}
+    while (hosts.serveBatch(in, out)) {}
     return out;
 }
 
@@ -53,54 +53,54 @@
     return text.find(part) != std::string::npos;
 }
 
-TEST(Instances, AnEmptyBatchIsAcknowledged) { EXPECT_EQ(serve(batch(1, "")), "OK batch=1\n"); }
+TEST(SimulatedHosts, AnEmptyBatchIsAcknowledged) { EXPECT_EQ(serve(batch(1, "")), "OK batch=1\n"); }
 
-TEST(Instances, EmptyLinesBetweenBatchesAreIgnored) {
+TEST(SimulatedHosts, EmptyLinesBetweenBatchesAreIgnored) {
     EXPECT_EQ(serve(std::string("\n") + batch(1, "") + "\n\n" + batch(2, "")), "OK batch=1\nOK batch=2\n");
 }
 
-TEST(Instances, ARequestIsForwarded) {
+TEST(SimulatedHosts, ARequestIsForwarded) {
     const auto out = serve(batch(1, kStart + kEndpointList) + batch(2, kRequest));
     EXPECT_TRUE(contains(out, "DISPATCH who=head/3 corr=42 shelf=10.0.0.1:8001\n")) << out;
     EXPECT_TRUE(contains(out, "OK batch=2\n"));
 }
 
-TEST(Instances, UnknownMessagesAndKeysAreIgnored) {
+TEST(SimulatedHosts, UnknownMessagesAndKeysAreIgnored) {
     EXPECT_EQ(serve(batch(1, "NOVELTY who=head/3 x=1\n")), "OK batch=1\n");
 }
 
-TEST(Instances, AStoppedHostLosesItsState) {
+TEST(SimulatedHosts, AStoppedHostLosesItsState) {
     const auto stopped = batch(1, kStart + kEndpointList) + batch(2, "POWER_OFF who=head/3\n");
     EXPECT_TRUE(contains(serve(stopped), "OK batch=2\n"));
     EXPECT_NE(errorOf(batch(1, kStart + kEndpointList) + batch(2, "POWER_OFF who=head/3\n" + kRequest)), "");
 }
 
-TEST(Instances, AnEventOfAHostThatHasNotStartedIsAnError) {
+TEST(SimulatedHosts, AnEventOfAHostThatHasNotStartedIsAnError) {
     EXPECT_EQ(errorOf(batch(1, kRequest)), "line 2 (INCOMING), field who: instance has not started");
 }
 
-TEST(Instances, AnErrorNamesLineAndField) {
+TEST(SimulatedHosts, AnErrorNamesLineAndField) {
     const auto error =
         errorOf(batch(1, kStart + kEndpointList) + batch(2, "INCOMING who=head/3 corr=x validUntilUs=9\n"));
     EXPECT_TRUE(contains(error, "line 8")) << error;
     EXPECT_TRUE(contains(error, "corr")) << error;
 }
 
-TEST(Instances, MalformedInputIsAnError) {
+TEST(SimulatedHosts, MalformedInputIsAnError) {
     EXPECT_NE(errorOf("HELLO\n"), "");
     EXPECT_NE(errorOf("BEGIN_BATCH tsUs=1 batch=1\n"), "");
     EXPECT_NE(errorOf(batch(1, kStart + kEndpointList + "ENDED who=head/3 corr=1 shot=0 code=odd\n")), "");
     EXPECT_NE(errorOf(batch(1, "ROSTER setId=16 rowsIn=0\n")), "");
 }
 
-TEST(Instances, AnEndpointListThatIsCutShortIsAnError) {
+TEST(SimulatedHosts, AnEndpointListThatIsCutShortIsAnError) {
     EXPECT_EQ(errorOf("BEGIN_BATCH tsUs=1 batch=1\nROSTER setId=0 rowsIn=1\n"),
               "line 1 (BEGIN_BATCH), field batch: input ends inside a list");
 }
 
 // The seed is fixed, so a failure repeats. Most mutations leave a line malformed, which must be the only
 // effect.
-TEST(Instances, MutatedInputCausesNoOtherFailureThanAnError) {
+TEST(SimulatedHosts, MutatedInputCausesNoOtherFailureThanAnError) {
     std::mt19937_64 random(11);
     const std::string valid = batch(1, kStart + kEndpointList) + batch(2, kRequest);
     int errors = 0;
--- a/tests/golden/wire_simulation.cpp
+++ b/tests/golden/wire_simulation.cpp
@@ -4,6 +4,8 @@
 #include <sstream>
 #include <stdexcept>
 
+#include "base64.h"
+
 namespace wingproxy::test {
 namespace {
 
@@ -120,7 +122,7 @@
         std::istringstream input("BEGIN_BATCH tsUs=" + std::to_string(now_) +
                                  " batch=" + std::to_string(batches_) + "\n" + batch_ + "OVER_TO_YOU\n");
         std::string reply;
-        instances_.serveBatch(input, reply);
+        simulatedHosts_.serveBatch(input, reply);
         onBatch(reply);
         std::istringstream lines(reply);
         for (std::string line; std::getline(lines, line);)
--- a/tests/golden/wire_simulation.h
+++ b/tests/golden/wire_simulation.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "golden/golden_file.h"
-#include "instances.h"
+#include "simulated_hosts.h"
 
 namespace wingproxy::test {
 
@@ -139,7 +139,7 @@
 
     SimulationSettings settings_;
     SeededRandom random_;
-    wire::Instances instances_;
+    wire::SimulatedHosts simulatedHosts_;
     std::multimap<Micros, std::function<void()>> agenda_;
     std::vector<Host> hosts_;
     std::vector<Node> nodes_;
