--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -24,48 +24,49 @@
 /// As `config::applyEnvironment` takes what is not set.
 const char* nullIfEmpty(const std::string& text) { return text.empty() ? nullptr : text.c_str(); }
 
-config::Config readProxyConfig(const cli::CommandFiles& files) {
-    if (files.configPath.empty()) throw config::ConfigError("PROXY_CONFIG", "not set, and no --config");
-    auto config = config::parseConfig(config::readFile(files.configPath));
-    config::applyEnvironment(config, nullIfEmpty(files.adminAddress), nullIfEmpty(files.listenerDescriptor));
+config::Config readProxyConfig(const cli::CommandOptions& options) {
+    if (options.configPath.empty()) throw config::ConfigError("PROXY_CONFIG", "not set, and no --config");
+    auto config = config::parseConfig(config::readFile(options.configPath));
+    config::applyEnvironment(config, nullIfEmpty(options.adminAddress),
+                             nullIfEmpty(options.listenerDescriptor));
     return config;
 }
 
-Configuration readConfiguration(const cli::CommandFiles& files) {
-    Configuration configuration{readProxyConfig(files), {}};
-    if (!files.operatorConfigPath.empty()) {
-        configuration.operatorConfig = config::parseOperatorConfig(config::readFile(files.operatorConfigPath),
-                                                                   configuration.proxy.settings);
+Configuration readConfiguration(const cli::CommandOptions& options) {
+    Configuration configuration{readProxyConfig(options), {}};
+    if (!options.operatorConfigPath.empty()) {
+        configuration.operatorConfig = config::parseOperatorConfig(
+            config::readFile(options.operatorConfigPath), configuration.proxy.settings);
     }
     return configuration;
 }
 
 /// Where the running gateway takes admin requests. What --mgmt or the environment says needs no configuration
 /// file.
-config::Endpoint adminEndpoint(const cli::CommandFiles& files) {
-    if (!files.adminAddress.empty()) return config::parseEndpoint(files.adminAddress, "mgmt");
-    config::Endpoint endpoint = readProxyConfig(files).adminListen;
+config::Endpoint adminEndpoint(const cli::CommandOptions& options) {
+    if (!options.adminAddress.empty()) return config::parseEndpoint(options.adminAddress, "mgmt");
+    config::Endpoint endpoint = readProxyConfig(options).adminListen;
     if (endpoint.port == 0)
         throw config::ConfigError("mgmt", "neither in the configuration nor told by --mgmt");
     return endpoint;
 }
 
 int executeCommand(const cli::RunCommand& command, log::Logger& logger) {
-    const auto configuration = readConfiguration(command.files);
-    Proxy(command.files.configPath, configuration.proxy, configuration.operatorConfig, logger).run();
+    const auto configuration = readConfiguration(command.options);
+    Proxy(command.options.configPath, configuration.proxy, configuration.operatorConfig, logger).run();
     return cli::kExitOk;
 }
 
 int executeCommand(const cli::CheckCommand& command, log::Logger&) {
-    const config::Config config = readConfiguration(command.files).proxy;
+    const config::Config config = readConfiguration(command.options).proxy;
     fmt::print("good: {} at {}:{}, {} peers, {} known nodes{}\n", config.name, config.listen.host,
                config.listen.port, config.peers.size(), config.cachedEndpoints.list.nodes.size(),
-               command.files.operatorConfigPath.empty() ? ", no operator's file" : "");
+               command.options.operatorConfigPath.empty() ? ", no operator's file" : "");
     return cli::kExitOk;
 }
 
 int executeCommand(const cli::AdminCommand& command, log::Logger& logger) {
-    const config::Endpoint endpoint = adminEndpoint(command.files);
+    const config::Endpoint endpoint = adminEndpoint(command.options);
     const admin::AdminResult result = admin::sendAdminRequest(endpoint, command.request);
     if (!result.response) {
         logger.error("no response from a front at {}:{}: {}", endpoint.host, endpoint.port, result.error);
@@ -73,14 +74,14 @@
     }
     const bool succeeded = result.response->status / 100 == kSuccessStatusClass;
     fmt::print(succeeded ? stdout : stderr, "{}", result.response->body);
-    return succeeded ? cli::kExitOk : cli::kExitDenied;
+    return succeeded ? cli::kExitOk : cli::kExitRejected;
 }
 
 int executeCommand(const cli::ExitCommand& command, log::Logger&) { return command.code; }
 
 template <typename Command>
 std::string logLevelName(const Command& command) {
-    return command.files.logLevel;
+    return command.options.logLevel;
 }
 std::string logLevelName(const cli::ExitCommand&) { return {}; }
 
--- a/src/cli/command.cpp
+++ b/src/cli/command.cpp
@@ -20,15 +20,15 @@
      {Kind::DrainNode, "detach", "drain a chunk server until it is attached again"},
      {Kind::UndrainNode, "attach", "end the drain of a chunk server"}}};
 
-void addOptions(CLI::App& app, CommandFiles& files) {
+void addOptions(CLI::App& app, CommandOptions& options) {
     app.set_version_flag("--version", "wingproxy " WINGPROXY_VERSION);
-    app.add_option("--config", files.configPath, "configuration file, JSON")->envname("PROXY_CONFIG");
-    app.add_option("--operator", files.operatorConfigPath, "operator's configuration file, JSON")
+    app.add_option("--config", options.configPath, "configuration file, JSON")->envname("PROXY_CONFIG");
+    app.add_option("--operator", options.operatorConfigPath, "operator's configuration file, JSON")
         ->envname("WINGPROXY_OPERATOR");
-    app.add_option("--mgmt", files.adminAddress,
+    app.add_option("--mgmt", options.adminAddress,
                    "ADDRESS:PORT of the operators' interface, if the configuration has none")
         ->envname("PROXY_MGMT");
-    app.add_option("--log", files.logLevel, "lowest level that is logged: debug, info, warn or error")
+    app.add_option("--log", options.logLevel, "lowest level that is logged: debug, info, warn or error")
         ->envname("WINGPROXY_LOG")
         ->default_str("info");
 }
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-Command parse(int argc, const char* const* argv) {
+Command parseCommandLine(int argc, const char* const* argv) {
     CLI::App app{
         "wingproxy, a gateway to storage nodes. Without a command it serves until SIGTERM.\n"
         "Exit codes: 0 success, 1 the front rejected the request, 2 wrong command line or file, "
@@ -51,9 +51,9 @@
         "wingproxy"};
     app.require_subcommand(0, 1);
     app.fallthrough();  // options may stand before or after the command
-    CommandFiles files;
+    CommandOptions options;
     std::string nodeId;
-    addOptions(app, files);
+    addOptions(app, options);
     const auto* const check = app.add_subcommand("check", "read both files without starting anything");
     addAdminCommands(app, nodeId);
     try {
@@ -61,11 +61,11 @@
     } catch (const CLI::ParseError& error) {
         return ExitCommand{app.exit(error) == 0 ? kExitOk : kExitUsage};
     }
-    if (const char* const inherited = std::getenv("PROXY_FD")) files.listenerDescriptor = inherited;
-    if (check->parsed()) return CheckCommand{files};
+    if (const char* const inherited = std::getenv("PROXY_FD")) options.listenerDescriptor = inherited;
+    if (check->parsed()) return CheckCommand{options};
     for (const auto& spec : kAdminCommands)
-        if (app.get_subcommand(spec.name)->parsed()) return AdminCommand{files, {spec.kind, nodeId}};
-    return RunCommand{files};
+        if (app.get_subcommand(spec.name)->parsed()) return AdminCommand{options, {spec.kind, nodeId}};
+    return RunCommand{options};
 }
 
 }  // namespace wingproxy::cli
--- a/src/cli/command.h
+++ b/src/cli/command.h
@@ -12,12 +12,12 @@
 
 /// Exit codes of the program, which scripts rely on.
 inline constexpr int kExitOk = 0;           ///< done; a front that served ends with it after SIGTERM
-inline constexpr int kExitDenied = 1;       ///< a running front rejected the request
+inline constexpr int kExitRejected = 1;     ///< a running front rejected the request
 inline constexpr int kExitUsage = 2;        ///< wrong command line or configuration
 inline constexpr int kExitUnreachable = 3;  ///< no front responded
 
 /// What the options say, with the environment's values where an option is missing. Empty: neither has it.
-struct CommandFiles {
+struct CommandOptions {
     std::string configPath;
     std::string operatorConfigPath;
     std::string adminAddress;        ///< ADDRESS:PORT
@@ -27,15 +27,15 @@
 
 /// No command: serve, as the platform starts the program.
 struct RunCommand {
-    CommandFiles files;
+    CommandOptions options;
 };
 /// Read both files and start nothing.
 struct CheckCommand {
-    CommandFiles files;
+    CommandOptions options;
 };
 /// A request to a running front.
 struct AdminCommand {
-    CommandFiles files;
+    CommandOptions options;
     admin::AdminRequest request;
 };
 /// Nothing more to do: --help or --version, or a usage error that is printed already.
@@ -44,6 +44,6 @@
 };
 using Command = std::variant<RunCommand, CheckCommand, AdminCommand, ExitCommand>;
 
-Command parse(int argc, const char* const* argv);
+Command parseCommandLine(int argc, const char* const* argv);
 
 }  // namespace wingproxy::cli
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,7 +9,7 @@
 
 int main(int argc, char** argv) {
     using namespace wingproxy;
-    const cli::Command command = cli::parse(argc, argv);
+    const cli::Command command = cli::parseCommandLine(argc, argv);
     log::Logger logger(app::logLevelOf(command));
     // A write to a connection that its peer has closed is an error of that write, not of the process.
     std::signal(SIGPIPE, SIG_IGN);
--- a/tests/cli/command_test.cpp
+++ b/tests/cli/command_test.cpp
@@ -41,7 +41,7 @@
 
 cli::Command parse(std::vector<const char*> arguments) {
     arguments.insert(arguments.begin(), "wingproxy");
-    return cli::parse(static_cast<int>(arguments.size()), arguments.data());
+    return cli::parseCommandLine(static_cast<int>(arguments.size()), arguments.data());
 }
 
 }  // namespace
@@ -49,15 +49,15 @@
 TEST_CASE("command: without a command the program serves") {
     const CleanEnvironment environment;
     const auto command = std::get<cli::RunCommand>(parse({"--config", "a.json", "--log", "warn"}));
-    CHECK(command.files.configPath == "a.json");
-    CHECK(command.files.logLevel == "warn");
-    CHECK(command.files.operatorConfigPath.empty());
+    CHECK(command.options.configPath == "a.json");
+    CHECK(command.options.logLevel == "warn");
+    CHECK(command.options.operatorConfigPath.empty());
 }
 
 TEST_CASE("command: options may stand before or after the command") {
     const CleanEnvironment environment;
-    CHECK(std::get<cli::CheckCommand>(parse({"--config", "a.json", "check"})).files.configPath == "a.json");
-    CHECK(std::get<cli::CheckCommand>(parse({"check", "--config", "a.json"})).files.configPath == "a.json");
+    CHECK(std::get<cli::CheckCommand>(parse({"--config", "a.json", "check"})).options.configPath == "a.json");
+    CHECK(std::get<cli::CheckCommand>(parse({"check", "--config", "a.json"})).options.configPath == "a.json");
 }
 
 TEST_CASE("command: the environment has the values of missing options") {
@@ -68,11 +68,11 @@
     setenv("WINGPROXY_LOG", "debug", 1);
     setenv("PROXY_FD", "7", 1);
     const auto command = std::get<cli::RunCommand>(parse({"--config", "option.json"}));
-    CHECK(command.files.configPath == "option.json");
-    CHECK(command.files.operatorConfigPath == "operator.json");
-    CHECK(command.files.adminAddress == "127.0.0.1:9");
-    CHECK(command.files.logLevel == "debug");
-    CHECK(command.files.listenerDescriptor == "7");
+    CHECK(command.options.configPath == "option.json");
+    CHECK(command.options.operatorConfigPath == "operator.json");
+    CHECK(command.options.adminAddress == "127.0.0.1:9");
+    CHECK(command.options.logLevel == "debug");
+    CHECK(command.options.listenerDescriptor == "7");
 }
 
 TEST_CASE("command: each admin command is its request") {
