--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -110,7 +110,8 @@
 
 void Proxy::openHealthHttp(const config::OperatorConfig& operatorConfig) {
     if (!operatorConfig.health) return;
-    healthHttp_ = health::httpServer(io_, *operatorConfig.health, [this] { return healthReport(); });
+    healthHttp_ =
+        health::makeHttpCheckListener(io_, *operatorConfig.health, [this] { return gatewayStatus(); });
     logListening("health", healthHttp_->address());
 }
 
@@ -122,7 +123,8 @@
 
 void Proxy::openHealthAgent(const config::OperatorConfig& operatorConfig) {
     if (!operatorConfig.agent) return;
-    healthAgent_ = health::agentServer(io_, *operatorConfig.agent, [this] { return healthReport(); });
+    healthAgent_ =
+        health::makeAgentCheckListener(io_, *operatorConfig.agent, [this] { return gatewayStatus(); });
     logListening("agent", healthAgent_->address());
 }
 
@@ -240,7 +242,7 @@
 
 // ---- what health checks and operators ask
 
-health::Report Proxy::healthReport() {
+health::GatewayStatus Proxy::gatewayStatus() {
     const auto& sessions = front_.sessionManager();
     const double usedCapacity =
         static_cast<double>(sessions.connections()) / static_cast<double>(sessions.capacity());
--- a/src/app/proxy.h
+++ b/src/app/proxy.h
@@ -19,7 +19,7 @@
 #include "app/shutdown_sequence.h"
 #include "config/config.h"
 #include "config/operator_config.h"
-#include "health/health.h"
+#include "health/check_listeners.h"
 #include "hot_restart/hot_restart.h"
 #include "http/front.h"
 #include "log/log.h"
@@ -72,7 +72,7 @@
     void pollOtherProcess();
 
     // What health checks and operators ask.
-    [[nodiscard]] health::Report healthReport();
+    [[nodiscard]] health::GatewayStatus gatewayStatus();
     [[nodiscard]] admin::AdminHandler adminHandler();
     [[nodiscard]] admin::AdminMetrics adminMetrics() const;
     bool setAdminDrain(const std::string& node, bool drained);
--- a/src/health/agent_check.cpp
+++ b/src/health/agent_check.cpp
@@ -14,10 +14,10 @@
 
 }  // namespace
 
-std::string renderAgentLine(const Report& report) {
-    if (report.draining) return "drain\n";
-    if (!report.ready) return "down #no node is known\n";
-    const double freePart = std::clamp(1 - report.utilization, 0.0, 1.0);
+std::string renderAgentLine(const GatewayStatus& status) {
+    if (status.draining) return "drain\n";
+    if (!status.ready) return "down #no node is known\n";
+    const double freePart = std::clamp(1 - status.utilization, 0.0, 1.0);
     return fmt::format("ready up {}%\n", std::max(kMinWeightPercent, std::lround(freePart * kPercent)));
 }
 
--- a/src/health/agent_check.h
+++ b/src/health/agent_check.h
@@ -5,7 +5,7 @@
 
 #include <string>
 
-#include "health/report.h"
+#include "health/gateway_status.h"
 
 namespace wingproxy::health {
 
@@ -13,6 +13,6 @@
 /// - "drain": a graceful shutdown has started
 /// - "down": not ready
 /// - "ready up 80%": ends an earlier drain, and sets the weight to the free part of the capacity, at least 1%
-std::string renderAgentLine(const Report& report);
+std::string renderAgentLine(const GatewayStatus& status);
 
 }  // namespace wingproxy::health
--- a/src/health/health.cpp
+++ b/src/health/check_listeners.cpp
@@ -1,4 +1,4 @@
-#include "health/health.h"
+#include "health/check_listeners.h"
 
 #include <cstddef>
 #include <string>
@@ -18,7 +18,7 @@
 /// The agent check: the server speaks first, one line, and closes.
 class AgentSession : public net::Session {
 public:
-    AgentSession(net::SessionManager& sessionManager, tcp::socket socket, ReportSource source)
+    AgentSession(net::SessionManager& sessionManager, tcp::socket socket, StatusSource source)
         : Session(sessionManager, std::move(socket)), source_(std::move(source)) {}
     void start() override { send(renderAgentLine(source_())); }
     bool idle() const override { return false; }
@@ -28,13 +28,13 @@
     void sent() override { linger(); }
 
 private:
-    ReportSource source_;
+    StatusSource source_;
 };
 
 /// The HTTP health check: one request a connection, answered at the end of its header.
 class HttpSession : public net::Session {
 public:
-    HttpSession(net::SessionManager& sessionManager, tcp::socket socket, ReportSource source)
+    HttpSession(net::SessionManager& sessionManager, tcp::socket socket, StatusSource source)
         : Session(sessionManager, std::move(socket)), source_(std::move(source)) {}
     bool idle() const override { return !responded_; }
 
@@ -56,14 +56,14 @@
         send(renderHttpResponse(requestLine_, source_()));
     }
 
-    ReportSource source_;
+    StatusSource source_;
     std::string requestLine_;
     bool responded_ = false;
 };
 
 template <typename SessionType>
-std::unique_ptr<net::SessionManager> makeServer(boost::asio::io_context& io, const config::Endpoint& address,
-                                                ReportSource source) {
+std::unique_ptr<net::SessionManager> makeListener(boost::asio::io_context& io,
+                                                  const config::Endpoint& address, StatusSource source) {
     return std::make_unique<net::SessionManager>(
         io, address, kMaxClients,
         [source = std::move(source)](net::SessionManager& sessionManager, tcp::socket socket) {
@@ -73,14 +73,16 @@
 
 }  // namespace
 
-std::unique_ptr<net::SessionManager> agentServer(boost::asio::io_context& io, const config::Endpoint& address,
-                                                 ReportSource source) {
-    return makeServer<AgentSession>(io, address, std::move(source));
+std::unique_ptr<net::SessionManager> makeAgentCheckListener(boost::asio::io_context& io,
+                                                            const config::Endpoint& address,
+                                                            StatusSource source) {
+    return makeListener<AgentSession>(io, address, std::move(source));
 }
 
-std::unique_ptr<net::SessionManager> httpServer(boost::asio::io_context& io, const config::Endpoint& address,
-                                                ReportSource source) {
-    return makeServer<HttpSession>(io, address, std::move(source));
+std::unique_ptr<net::SessionManager> makeHttpCheckListener(boost::asio::io_context& io,
+                                                           const config::Endpoint& address,
+                                                           StatusSource source) {
+    return makeListener<HttpSession>(io, address, std::move(source));
 }
 
 }  // namespace wingproxy::health
--- a/src/health/health.h
+++ b/src/health/check_listeners.h
@@ -6,22 +6,24 @@
 #include <functional>
 #include <memory>
 
-#include "health/report.h"
+#include "health/gateway_status.h"
 #include "net/session.h"
 
 namespace wingproxy::health {
 
 /// Called for each check, on the thread of the `io_context`; returns the current state.
-using ReportSource = std::function<Report()>;
+using StatusSource = std::function<GatewayStatus()>;
 
 /// Binds the listener of the agent check: each connection gets one line and is closed. See agent_check.h.
 /// \param source has to be callable as long as the session manager lives
-std::unique_ptr<net::SessionManager> agentServer(boost::asio::io_context& io, const config::Endpoint& address,
-                                                 ReportSource source);
+std::unique_ptr<net::SessionManager> makeAgentCheckListener(boost::asio::io_context& io,
+                                                            const config::Endpoint& address,
+                                                            StatusSource source);
 
 /// Binds the listener of the HTTP health checks: each connection gets one response and is closed. See
 /// http_check.h. \param source has to be callable as long as the session manager lives
-std::unique_ptr<net::SessionManager> httpServer(boost::asio::io_context& io, const config::Endpoint& address,
-                                                ReportSource source);
+std::unique_ptr<net::SessionManager> makeHttpCheckListener(boost::asio::io_context& io,
+                                                           const config::Endpoint& address,
+                                                           StatusSource source);
 
 }  // namespace wingproxy::health
--- a/src/health/report.h
+++ b/src/health/gateway_status.h
@@ -5,7 +5,7 @@
 namespace wingproxy::health {
 
 /// What a load balancer needs to know to route traffic to this gateway.
-struct Report {
+struct GatewayStatus {
     bool ready = false;     ///< the endpoint list names at least one node, and requests are admitted
     bool draining = false;  ///< a graceful shutdown has started: no new traffic should come
     double utilization =
--- a/src/health/http_check.cpp
+++ b/src/health/http_check.cpp
@@ -28,18 +28,18 @@
     return request;
 }
 
-Response readiness(const Report& report) {
-    if (report.draining) return {503, "Service Unavailable", "draining"};
-    if (!report.ready) return {503, "Service Unavailable", "no node is known"};
+Response readiness(const GatewayStatus& status) {
+    if (status.draining) return {503, "Service Unavailable", "draining"};
+    if (!status.ready) return {503, "Service Unavailable", "no node is known"};
     return {200, "OK", "ready"};
 }
 
-Response respond(const RequestLine& request, const Report& report) {
+Response respond(const RequestLine& request, const GatewayStatus& status) {
     if (!request.isHttp1) return {400, "Bad Request", "not HTTP/1"};
     if (request.method != "GET" && request.method != "HEAD")
         return {405, "Method Not Allowed", "GET or HEAD only"};
     if (request.path == "/live") return {200, "OK", "live"};
-    if (request.path == "/ready") return readiness(report);
+    if (request.path == "/ready") return readiness(status);
     return {404, "Not Found", "/live or /ready"};
 }
 
@@ -52,9 +52,9 @@
 
 }  // namespace
 
-std::string renderHttpResponse(std::string_view requestLine, const Report& report) {
+std::string renderHttpResponse(std::string_view requestLine, const GatewayStatus& status) {
     const auto request = parseRequestLine(requestLine);
-    const auto response = respond(request, report);
+    const auto response = respond(request, status);
     const bool omitsBody = request.isHttp1 && request.method == "HEAD";
     if (omitsBody) return renderHeader(response);
     return fmt::format("{}{}\n", renderHeader(response), response.body);
--- a/src/health/http_check.h
+++ b/src/health/http_check.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "health/report.h"
+#include "health/gateway_status.h"
 
 namespace wingproxy::health {
 
@@ -22,6 +22,6 @@
 ///
 /// \param requestLine without its end of line
 /// \return the complete response; the one to HEAD has the same header fields and no body
-std::string renderHttpResponse(std::string_view requestLine, const Report& report);
+std::string renderHttpResponse(std::string_view requestLine, const GatewayStatus& status);
 
 }  // namespace wingproxy::health
--- a/tests/health/agent_check_test.cpp
+++ b/tests/health/agent_check_test.cpp
@@ -3,7 +3,7 @@
 #include <doctest/doctest.h>
 
 using namespace wingproxy;
-using health::Report;
+using health::GatewayStatus;
 
 TEST_CASE("health agent check: a ready gateway reports the free part of its capacity as its weight") {
     CHECK(health::renderAgentLine({.ready = true, .utilization = 0.25}) == "ready up 75%\n");
@@ -21,5 +21,5 @@
 }
 
 TEST_CASE("health agent check: without a node the gateway is down") {
-    CHECK(health::renderAgentLine(Report{}) == "down #no node is known\n");
+    CHECK(health::renderAgentLine(GatewayStatus{}) == "down #no node is known\n");
 }
--- a/tests/health/health_test.cpp
+++ b/tests/health/check_listeners_test.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// The listeners for health checks, on sockets.
-#include "health/health.h"
+#include "health/check_listeners.h"
 
 #include <string>
 
@@ -14,7 +14,7 @@
 const config::Endpoint kAnyPort{"127.0.0.1", 0};
 
 /// A gateway that is ready and whose capacity is half used.
-health::Report halfUsed() { return {.ready = true, .utilization = 0.5}; }
+health::GatewayStatus halfUsed() { return {.ready = true, .utilization = 0.5}; }
 
 WirePtr connectTo(asio::io_context& io, const net::SessionManager& server) {
     tcp::socket socket(io);
@@ -33,7 +33,7 @@
 
 TEST_CASE("health listeners: the agent speaks first and closes") {
     asio::io_context io;
-    const auto agent = health::agentServer(io, kAnyPort, halfUsed);
+    const auto agent = health::makeAgentCheckListener(io, kAnyPort, halfUsed);
     const auto client = connectTo(io, *agent);
     runUntil(io, [&] { return client->ended; });
     CHECK(client->got == "ready up 50%\n");
@@ -43,7 +43,7 @@
 TEST_CASE(
     "health listeners: the HTTP check is answered at the end of its header, and the connection closed") {
     asio::io_context io;
-    const auto http = health::httpServer(io, kAnyPort, halfUsed);
+    const auto http = health::makeHttpCheckListener(io, kAnyPort, halfUsed);
     const auto client = connectTo(io, *http);
     client->say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
     runUntil(io, [&] { return client->ended; });
@@ -53,7 +53,7 @@
 
 TEST_CASE("health listeners: of several requests on a connection only the first is answered") {
     asio::io_context io;
-    const auto http = health::httpServer(io, kAnyPort, halfUsed);
+    const auto http = health::makeHttpCheckListener(io, kAnyPort, halfUsed);
     const auto client = connectTo(io, *http);
     client->say("GET /live HTTP/1.1\r\n\r\nGET /ready HTTP/1.1\r\n\r\n");
     runUntil(io, [&] { return client->ended; });
@@ -64,7 +64,7 @@
 
 TEST_CASE("health listeners: a header line that does not fit the buffer closes the connection") {
     asio::io_context io;
-    const auto http = health::httpServer(io, kAnyPort, halfUsed);
+    const auto http = health::makeHttpCheckListener(io, kAnyPort, halfUsed);
     const auto client = connectTo(io, *http);
     client->say("GET /" + std::string(net::kMostRing, 'x'));
     runUntil(io, [&] { return client->ended; });
--- a/tests/health/http_check_test.cpp
+++ b/tests/health/http_check_test.cpp
@@ -6,18 +6,18 @@
 #include <string_view>
 
 using namespace wingproxy;
-using health::Report;
+using health::GatewayStatus;
 
 namespace {
 
-constexpr Report kReady{.ready = true};
-constexpr Report kDraining{.ready = true, .draining = true};
-constexpr Report kNoNodes{};
+constexpr GatewayStatus kReady{.ready = true};
+constexpr GatewayStatus kDraining{.ready = true, .draining = true};
+constexpr GatewayStatus kNoNodes{};
 
 /// \return the status code, as text
-std::string statusOf(std::string_view requestLine, const Report& report) {
+std::string statusOf(std::string_view requestLine, const GatewayStatus& status) {
     constexpr std::string_view kVersion = "HTTP/1.1 ";
-    const auto response = health::renderHttpResponse(requestLine, report);
+    const auto response = health::renderHttpResponse(requestLine, status);
     REQUIRE(response.starts_with(kVersion));
     return response.substr(kVersion.size(), 3);
 }
--- a/tests/http/health_endpoints_test.cpp
+++ b/tests/http/health_endpoints_test.cpp
@@ -1,5 +1,5 @@
 // The health checks that load balancers run against the front.
-#include "health/health.h"
+#include "health/check_listeners.h"
 #include "support/net_support.h"
 
 using namespace wingproxy;
@@ -16,8 +16,8 @@
 
 TEST_CASE("agent check: the front sends its state and closes") {
     Rig rig;
-    health::Report report{true, false, 0.5};
-    const auto agent = health::agentServer(rig.io, {"127.0.0.1", 0}, [&] { return report; });
+    health::GatewayStatus report{true, false, 0.5};
+    const auto agent = health::makeAgentCheckListener(rig.io, {"127.0.0.1", 0}, [&] { return report; });
     const auto up = rig.connect(agent->address());
     rig.until([&] { return up->ended; });
     CHECK(up->got == "ready up 50%\n");
@@ -30,8 +30,8 @@
 
 TEST_CASE("HTTP check: the front answers with its readiness and closes") {
     Rig rig;
-    health::Report report{true, false, 0.5};
-    const auto http = health::httpServer(rig.io, {"127.0.0.1", 0}, [&] { return report; });
+    health::GatewayStatus report{true, false, 0.5};
+    const auto http = health::makeHttpCheckListener(rig.io, {"127.0.0.1", 0}, [&] { return report; });
     const auto ready = rig.connect(http->address());
     ready->say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
     rig.until([&] { return ready->ended; });
