--- a/adapter/wire_events.cpp
+++ b/adapter/wire_events.cpp
@@ -51,16 +51,13 @@
     return {};
 }
 
-/// Numbers separated by commas, one for each of Settings::reportColumns.
+/// A list of numbers, one for each of Settings::reportColumns; empty if it is missing.
 std::vector<double> parseLoadReport(const WireLine& line) {
     std::vector<double> report;
-    std::string_view rest = line.text("metrics", "");
-    while (!rest.empty()) {
-        const auto comma = rest.find(',');
-        const auto value = config::parseNumber<double>(rest.substr(0, comma));
+    for (const auto column : splitList(line.text("metrics", ""))) {
+        const auto value = config::parseNumber<double>(column);
         if (!value) line.fail("metrics", "not a number");
         report.push_back(*value);
-        rest = comma == std::string_view::npos ? std::string_view() : rest.substr(comma + 1);
     }
     return report;
 }
--- a/adapter/wire_events.h
+++ b/adapter/wire_events.h
@@ -40,19 +40,24 @@
     /// \param line names the message in the error
     /// \throws WireError if there is no list of this number
     std::vector<NodeInfo>& at(std::int64_t listNumber, const WireLine& line);
+    /// As above, for reading.
     const std::vector<NodeInfo>& at(std::int64_t listNumber, const WireLine& line) const;
 
 private:
     std::size_t indexOf(std::int64_t listNumber, const WireLine& line) const;
 
-    std::array<std::vector<NodeInfo>, 16> lists_;  // the wire numbers lists from 0 to 15
+    static constexpr std::size_t kListCount = 16;  // the wire numbers lists from 0 to 15
+
+    std::array<std::vector<NodeInfo>, kListCount> lists_;
 };
 
 /// Reads one entry of an endpoint list.
+/// \throws WireError if the line is no entry, names no node or state, or a field is malformed
 NodeInfo parseNode(const WireLine& line);
 
 /// Reads the event of a message.
 /// \param kind the line's message kind; not HostStarted or HostStopped, which are no events
+/// \param settings of the host; a request's class and plan become indices into them, -1 if they are unknown
 /// \throws WireError if a field is missing or malformed
 Event parseEvent(MessageKind kind, const WireLine& line, const Settings& settings,
                  const EndpointListTable& endpointLists);
--- a/adapter/wire_line.cpp
+++ b/adapter/wire_line.cpp
@@ -1,5 +1,6 @@
 #include "wire_line.h"
 
+#include <algorithm>
 #include <utility>
 
 #include "config/parse_number.h"
@@ -82,4 +83,14 @@
     return value == "1";
 }
 
+std::vector<std::string_view> splitList(std::string_view list) {
+    std::vector<std::string_view> items;
+    while (!list.empty()) {
+        const auto comma = std::min(list.find(','), list.size());
+        items.push_back(list.substr(0, comma));
+        list.remove_prefix(std::min(comma + 1, list.size()));
+    }
+    return items;
+}
+
 }  // namespace wingproxy::wire
--- a/adapter/wire_settings.cpp
+++ b/adapter/wire_settings.cpp
@@ -1,6 +1,5 @@
 #include "wire_settings.h"
 
-#include <algorithm>
 #include <cstddef>
 #include <map>
 #include <string>
@@ -67,17 +66,12 @@
         if (!value) fail(key, "unknown " + std::string(values.kind));
         into = *value;
     }
-    /// The items of a list that is separated by commas; empty if it is missing.
+    /// The items of a list; empty if it is missing.
     std::vector<std::string> list(std::string_view key) const {
-        std::vector<std::string> items;
-        std::string joined;
-        text(key, joined);
-        for (std::size_t begin = 0; begin < joined.size();) {
-            const auto comma = std::min(joined.find(',', begin), joined.size());
-            items.push_back(joined.substr(begin, comma - begin));
-            begin = comma + 1;
-        }
-        return items;
+        const auto* const value = find(key);
+        if (!value) return {};
+        const auto items = splitList(*value);
+        return {items.begin(), items.end()};
     }
     /// Readers of the entries "KEY.0" to "KEY.(n-1)" of a list of objects, where "KEY.count" is n.
     std::vector<FieldReader> objects(const std::string& key) const {
