--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -10,9 +10,8 @@
 /// A configuration, an endpoint list or an environment variable cannot be used. `what()` is one line,
 /// "FIELD: reason".
 struct ConfigError : std::runtime_error {
-    /// \param fieldPath the field as in the file, e.g. "limits.sockets"; an environment variable's name; or
-    /// the
-    ///                  name of the whole document or file where no field of it is at fault
+    /// \param fieldPath the field as in the file, e.g. "limits.sockets", or an environment variable's name;
+    ///     where no single field is at fault, the name of the document or file
     /// \param reason what is wrong with it
     ConfigError(std::string fieldPath, std::string reason);
 
--- a/src/config/endpoint.h
+++ b/src/config/endpoint.h
@@ -13,6 +13,7 @@
 struct Endpoint {
     std::string host;
     std::uint16_t port = 0;
+    /// Orders by the address as text, then by port; made for equality and for ordered containers.
     // clang-tidy 14 takes the 0 of the defaulted comparison for a null pointer.
     auto operator<=>(const Endpoint&) const = default;  // NOLINT(modernize-use-nullptr)
 };
--- a/src/config/endpoint_listing.cpp
+++ b/src/config/endpoint_listing.cpp
@@ -16,7 +16,6 @@
 constexpr int kMaxCell = 100'000;
 
 NodeInfo readNode(const JsonObject& object) {
-    constexpr Micros kMicrosPerMilli = 1000;
     NodeInfo node;
     node.id = object.text("instanceId");
     if (node.id.empty()) object.fail("instanceId", "empty");
@@ -27,9 +26,7 @@
     node.cell = CellIndex(cell);
     object.number("weight", node.rating);
     object.choice("lifecycle", node.state, kNodeStateNames);
-    Micros startedMs = 0;
-    object.number("startedAtMs", startedMs);
-    node.startedUs = startedMs * kMicrosPerMilli;
+    object.milliseconds("startedAtMs", node.startedUs);
     return node;
 }
 
--- a/src/config/json_object.cpp
+++ b/src/config/json_object.cpp
@@ -36,6 +36,14 @@
     return value;
 }
 
+void JsonObject::milliseconds(std::string_view key, Micros& into) const {
+    constexpr Micros kMicrosPerMilli = 1000;
+    if (!has(key)) return;
+    Micros value = 0;
+    number(key, value);
+    into = value * kMicrosPerMilli;
+}
+
 void JsonObject::flag(std::string_view key, bool& into) const {
     if (has(key) && required(key).get(into)) fail(key, "not true or false");
 }
--- a/src/config/json_object.h
+++ b/src/config/json_object.h
@@ -14,11 +14,12 @@
 
 #include "config/config_error.h"
 #include "config/named_values.h"
+#include "wingproxy/policy.h"
 
 namespace wingproxy::config {
 
-/// One object of a JSON document and its path from the root. Valid as long as the parser that read the
-/// document.
+/// One object of a JSON document and its path from the root. Valid until the parser that read the document is
+/// destroyed or reads another one.
 ///
 /// Functions that return a value need the field: they throw ConfigError if it is missing. Functions with a
 /// target leave it as it is if the field is missing. A field that is null counts as missing; one of another
@@ -28,14 +29,17 @@
     /// \param path prefix of the fields' names in errors: empty, or ending in "."
     JsonObject(simdjson::dom::object object, std::string path);
 
+    /// Whether the field is there and not null, of whatever type.
     bool has(std::string_view key) const;
 
+    /// A required string, maybe empty.
     std::string text(std::string_view key) const;
+    /// An optional string.
     void text(std::string_view key, std::string& into) const;
 
-    /// A finite number.
+    /// A required number, finite.
     double real(std::string_view key) const;
-    /// A finite number up to 9e15 either way; an integral target drops the fraction.
+    /// An optional number of at most 9e15 either way; an integral target drops the fraction.
     template <typename T>
     void number(std::string_view key, T& into) const {
         // Doubles hold all integers up to 2^53, about 9e15, and a greater one may not fit in 64 bits.
@@ -45,8 +49,11 @@
         if (std::abs(value) > kLargest) fail(key, "out of range");
         into = static_cast<T>(value);
     }
+    /// An optional duration or time, in milliseconds in the file and in microseconds in the target.
+    void milliseconds(std::string_view key, Micros& into) const;
+    /// An optional true or false; numbers and strings are errors.
     void flag(std::string_view key, bool& into) const;
-    /// A text that is one of the names in `values`.
+    /// An optional string that is one of the names in `values`.
     template <typename T, std::size_t Count>
     void choice(std::string_view key, T& into, const NamedValues<T, Count>& values) const {
         if (!has(key)) return;
@@ -56,14 +63,16 @@
         into = *value;
     }
 
-    /// The object of this name.
+    /// A required object. Its errors name fields by their path from the root.
     JsonObject child(std::string_view key) const;
-    /// The elements of a list, of whatever type.
+    /// The elements of a required list, of whatever type.
     std::vector<simdjson::dom::element> list(std::string_view key) const;
+    /// A required list of objects; an element of another type is an error that names its index.
     std::vector<JsonObject> objects(std::string_view key) const;
+    /// A required list of strings; an element of another type is an error that names its index.
     std::vector<std::string> texts(std::string_view key) const;
 
-    /// Throws a ConfigError about a field of this object.
+    /// Throws a ConfigError about a field of this object, which need not exist.
     [[noreturn]] void fail(std::string_view key, std::string_view reason) const;
     /// The field's path from the root, e.g. "settings.classes.0.effect".
     std::string pathOf(std::string_view key) const;
@@ -77,7 +86,8 @@
 
 /// Parses a document whose root is an object.
 /// \param parser owns the document's memory and must outlive the result
-/// \param documentName names the document in the error if it is no JSON object
+/// \param documentName names the document in the error
+/// \throws ConfigError if the document is no JSON object
 JsonObject parseJsonObject(simdjson::dom::parser& parser, std::string_view json,
                            std::string_view documentName);
 
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -45,11 +45,10 @@
 }
 
 Micros readDeadline(const JsonObject& object) {
-    constexpr Micros kMicrosPerMilli = 1000;
-    Micros deadlineMs = 60'000;
-    object.number("deadline_ms", deadlineMs);
-    if (deadlineMs <= 0) object.fail("deadline_ms", "not above 0");
-    return deadlineMs * kMicrosPerMilli;
+    Micros deadlineUs = 60'000'000;
+    object.milliseconds("deadline_ms", deadlineUs);
+    if (deadlineUs <= 0) object.fail("deadline_ms", "not above 0");
+    return deadlineUs;
 }
 
 void readNames(const JsonObject& object, RsyncModule& module) {
--- a/src/config/operator_config.h
+++ b/src/config/operator_config.h
@@ -29,6 +29,7 @@
     Micros deadlineUs = 0;  ///< duration of a transfer at the most
 };
 
+/// The front for rsync clients: where it listens and the modules that it offers.
 struct RsyncFront {
     Endpoint listen;
     std::uint16_t nodePort = 0;  ///< rsync port of the nodes; 0: the port that discovery gives
