--- a/src/admin/admin_client.cpp
+++ b/src/admin/admin_client.cpp
@@ -9,6 +9,7 @@
 #include <boost/beast/http/string_body.hpp>
 #include <boost/beast/http/write.hpp>
 #include <cstdint>
+#include <string_view>
 #include <utility>
 
 namespace wingproxy::admin {
@@ -23,10 +24,29 @@
 constexpr std::uint64_t kMaxResponseBytes = 1024UL * 1024UL;
 constexpr unsigned kHttp11 = 11;
 
+using Step = AdminClientError::Step;
+
+std::string_view nameOf(Step step) {
+    switch (step) {
+        case Step::Connect:
+            return "connect";
+        case Step::Write:
+            return "write";
+        case Step::Read:
+            return "read";
+        case Step::TimedOut:
+            break;
+    }
+    return "timeout";
+}
+
 /// One connection with one request and its response. Each step starts the next one.
 class Exchange {
 public:
-    Exchange(asio::io_context& io, const config::Endpoint& front, const AdminRequest& request) : stream_(io) {
+    /// \param timeout only for the error
+    Exchange(asio::io_context& io, const config::Endpoint& front, const AdminRequest& request,
+             std::chrono::milliseconds timeout)
+        : stream_(io), error_{Step::TimedOut, {}, timeout} {
         auto parts = encodeAdminRequest(request);
         request_ = {http::string_to_verb(parts.method), parts.target, kHttp11};
         request_.set(http::field::host, fmt::format("{}:{}", front.host, front.port));
@@ -45,8 +65,8 @@
         stream_.socket().close(ignored);
     }
     bool completed() const { return completed_; }
-    /// The step that failed and its error; empty: none did.
-    const std::string& error() const { return error_; }
+    /// Until it is completed: the step that failed, or TimedOut if none did.
+    const AdminClientError& error() const { return error_; }
     /// Once it is completed.
     AdminResponse takeResponse() {
         auto& response = parser_.get();
@@ -55,48 +75,54 @@
 
 private:
     void onConnected(const error_code& error) {
-        if (error) return fail("connect", error);
+        if (error) return fail(Step::Connect, error);
         http::async_write(stream_, request_,
                           [this](const error_code& writeError, std::size_t) { onWritten(writeError); });
     }
     void onWritten(const error_code& error) {
-        if (error) return fail("write", error);
+        if (error) return fail(Step::Write, error);
         http::async_read(stream_, buffer_, parser_,
                          [this](const error_code& readError, std::size_t) { onRead(readError); });
     }
     void onRead(const error_code& error) {
-        if (error) return fail("read", error);
+        if (error) return fail(Step::Read, error);
         completed_ = true;
     }
-    void fail(const char* step, const error_code& error) {
-        error_ = fmt::format("{}: {}", step, error.message());
+    void fail(Step step, const error_code& cause) {
+        error_.step = step;
+        error_.cause = cause;
     }
 
     beast::tcp_stream stream_;
     http::request<http::string_body> request_;
     beast::flat_buffer buffer_;
     http::response_parser<http::string_body> parser_;
-    std::string error_;
+    AdminClientError error_;
     bool completed_ = false;
 };
 
 }  // namespace
 
-AdminResult sendAdminRequest(const config::Endpoint& front, const AdminRequest& request,
-                             std::chrono::milliseconds timeout) {
+std::string describe(const AdminClientError& error) {
+    if (error.step == Step::TimedOut) return fmt::format("no answer in {} ms", error.timeout.count());
+    return fmt::format("{}: {}", nameOf(error.step), error.cause.message());
+}
+
+std::variant<AdminResponse, AdminClientError> sendAdminRequest(const config::Endpoint& front,
+                                                               const AdminRequest& request,
+                                                               std::chrono::milliseconds timeout) {
     asio::io_context io;
-    Exchange exchange(io, front, request);
+    Exchange exchange(io, front, request, timeout);
     exchange.start({asio::ip::make_address_v4(front.host), front.port});
     io.run_for(timeout);
-    if (exchange.completed()) return {exchange.takeResponse(), ""};
+    if (exchange.completed()) return exchange.takeResponse();
 
-    const auto error =
-        exchange.error().empty() ? fmt::format("no answer in {} ms", timeout.count()) : exchange.error();
+    const auto error = exchange.error();  // before the cancelled handlers report theirs
     exchange.cancel();
     // Runs the handlers of what was cancelled while the objects that they refer to exist.
     io.restart();
     io.run();
-    return {std::nullopt, error};
+    return error;
 }
 
 }  // namespace wingproxy::admin
--- a/src/admin/admin_request.h
+++ b/src/admin/admin_request.h
@@ -17,7 +17,9 @@
 /// The longest accepted body. Bodies are node ids, which are shorter.
 inline constexpr std::size_t kMaxBodyBytes = 256;
 
+/// An operator's request, whatever way it came.
 struct AdminRequest {
+    /// What is asked for, with its form on the HTTP interface.
     enum class Kind {
         CheckReadiness,  ///< GET /_ready
         ReadMetrics,     ///< GET /_vars
@@ -25,7 +27,7 @@
         UndrainNode,     ///< POST /_chunk-servers/attach
     };
     Kind kind = Kind::CheckReadiness;
-    std::string nodeId;  ///< of DrainNode and UndrainNode; otherwise empty
+    std::string nodeId;  ///< as discovery names the node; empty unless namesNode(kind)
 };
 
 /// Whether requests of this kind concern one node.
@@ -45,13 +47,13 @@
     std::string body;
 };
 
-/// The HTTP request that `parseAdminRequest` reads as `request`.
+/// The HTTP request that `parseAdminRequest` reads as `request`. The two use one table of routes.
 HttpRequestParts encodeAdminRequest(const AdminRequest& request);
 
 /// Reads an HTTP request.
-/// \return the request, or the response that rejects it: 400 without a node id, 404 for an unknown path, 405
-/// for
-///         another method, 413 for a body beyond kMaxBodyBytes
+/// \param target path and query; the query is ignored
+/// \return the request, or the response that rejects it: 400 without a node id, 404 for an unknown path,
+///     405 for another method, 413 for a body beyond kMaxBodyBytes
 std::variant<AdminRequest, AdminResponse> parseAdminRequest(std::string_view method, std::string_view target,
                                                             std::string_view body);
 
@@ -77,6 +79,7 @@
 };
 
 /// Executes a request.
+/// \return 200, or 503 if the program is not ready, or 404 if no list ever had the node
 AdminResponse handleAdminRequest(const AdminRequest& request, const AdminHandler& handler);
 
 }  // namespace wingproxy::admin
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -17,7 +17,7 @@
 namespace http = boost::beast::http;
 using Clock = std::chrono::steady_clock;
 
-/// Clients give up after about 1 s (kResponseTimeout): a connection without a request by then is stuck.
+/// Clients give up much sooner (kResponseTimeout): a connection without a request by then is stuck.
 constexpr std::chrono::seconds kRequestTimeout{8};
 /// From the response until its client has taken it and closed.
 constexpr std::chrono::seconds kCloseTimeout{2};
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -16,21 +16,26 @@
 /// oldest connection without a complete request is closed, so that stuck operators do not lock out others.
 inline constexpr std::size_t kMaxConnections = 24;
 
+/// Serves operators' requests. Its connections call the handler on the thread of the `io_context` and refer
+/// to this object, so `sessionManager().stop()` must be called before it is destroyed.
 class AdminServer {
 public:
     /// How requests ended.
     struct Counters {
-        std::uint64_t executed = 0;   ///< executed
+        std::uint64_t executed = 0;   ///< status 200
         std::uint64_t rejected = 0;   ///< understood, but the response is an error
         std::uint64_t malformed = 0;  ///< not HTTP, or not a request of the interface
         std::uint64_t timedOut = 0;   ///< no complete request in time
     };
 
-    /// Listens from the session manager's `open()` on.
+    /// Binds the listener and accepts at once.
+    /// \throws boost::system::system_error if the address cannot be bound
     /// \param address port 0: one that the system chooses, which `sessionManager().address()` has
     AdminServer(boost::asio::io_context& io, const config::Endpoint& address, AdminHandler handler);
 
+    /// The listener and its connections, for opening, closing and the budget of connections.
     net::SessionManager& sessionManager() { return sessionManager_; }
+    /// Counted since this object was made.
     const Counters& counters() const { return counters_; }
 
 private:
--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -67,13 +67,15 @@
 
 int executeCommand(const cli::AdminCommand& command, log::Logger& logger) {
     const config::Endpoint endpoint = adminEndpoint(command.options);
-    const admin::AdminResult result = admin::sendAdminRequest(endpoint, command.request);
-    if (!result.response) {
-        logger.error("no response from a front at {}:{}: {}", endpoint.host, endpoint.port, result.error);
+    const auto result = admin::sendAdminRequest(endpoint, command.request);
+    if (const auto* const error = std::get_if<admin::AdminClientError>(&result)) {
+        logger.error("no response from a front at {}:{}: {}", endpoint.host, endpoint.port,
+                     admin::describe(*error));
         return cli::kExitUnreachable;
     }
-    const bool succeeded = result.response->status / 100 == kSuccessStatusClass;
-    fmt::print(succeeded ? stdout : stderr, "{}", result.response->body);
+    const auto& response = std::get<admin::AdminResponse>(result);
+    const bool succeeded = response.status / 100 == kSuccessStatusClass;
+    fmt::print(succeeded ? stdout : stderr, "{}", response.body);
     return succeeded ? cli::kExitOk : cli::kExitRejected;
 }
 
--- a/tests/admin/admin_client_test.cpp
+++ b/tests/admin/admin_client_test.cpp
@@ -25,8 +25,10 @@
     const Listener silent;
     const auto result = admin::sendAdminRequest(
         silent.address(), {admin::AdminRequest::Kind::CheckReadiness, ""}, std::chrono::milliseconds(50));
-    CHECK(!result.response);
-    CHECK(result.error == "no answer in 50 ms");
+    REQUIRE(std::holds_alternative<admin::AdminClientError>(result));
+    const auto& error = std::get<admin::AdminClientError>(result);
+    CHECK(error.step == admin::AdminClientError::Step::TimedOut);
+    CHECK(admin::describe(error) == "no answer in 50 ms");
 }
 
 TEST_CASE("admin client: a response that is not HTTP is an error of reading") {
@@ -38,6 +40,8 @@
     const auto result =
         admin::sendAdminRequest(listener.address(), {admin::AdminRequest::Kind::ReadMetrics, ""});
     server.join();
-    CHECK(!result.response);
-    CHECK(result.error.starts_with("read: "));
+    REQUIRE(std::holds_alternative<admin::AdminClientError>(result));
+    const auto& error = std::get<admin::AdminClientError>(result);
+    CHECK(error.step == admin::AdminClientError::Step::Read);
+    CHECK(admin::describe(error).starts_with("read: "));
 }
