--- a/src/cli/command.h
+++ b/src/cli/command.h
@@ -42,8 +42,13 @@
 struct ExitCommand {
     int code = kExitOk;
 };
+/// What the command line orders: exactly one of these.
 using Command = std::variant<RunCommand, CheckCommand, AdminCommand, ExitCommand>;
 
+/// Reads the command line and the environment: PROXY_CONFIG, WINGPROXY_OPERATOR, PROXY_MGMT, WINGPROXY_LOG
+/// and PROXY_FD. A usage error is no exception: its text is written to standard error, and the result is an
+/// ExitCommand.
+/// \param argv as `main` gets it, with the program's name first
 Command parseCommandLine(int argc, const char* const* argv);
 
 }  // namespace wingproxy::cli
--- a/src/health/gateway_status.h
+++ b/src/health/gateway_status.h
@@ -8,8 +8,8 @@
 struct GatewayStatus {
     bool ready = false;     ///< the endpoint list names at least one node, and requests are admitted
     bool draining = false;  ///< a graceful shutdown has started: no new traffic should come
-    double utilization =
-        0;  ///< client connections in use, as a part of their capacity; 1 is full, above 1 overfull
+    /// Client connections in use, as a part of their capacity: 1 is full, above 1 overfull.
+    double utilization = 0;
 };
 
 }  // namespace wingproxy::health
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -10,6 +10,7 @@
 
 namespace wingproxy::log {
 
+/// How serious a message is, from the least to the most.
 enum class Level { Debug, Info, Warn, Error };
 
 /// Writes the messages of one level and above; each is one line, "LEVEL: message".
@@ -23,22 +24,27 @@
     explicit Logger(Level threshold = Level::Info, std::FILE* stream = stderr)
         : threshold_(threshold), stream_(stream) {}
 
+    /// Writes one message if `level` reaches the threshold; otherwise the arguments are not formatted.
     template <typename... Args>
     void log(Level level, fmt::format_string<Args...> format, Args&&... args) {
         if (level >= threshold_) writeLine(level, fmt::vformat(format, fmt::make_format_args(args...)));
     }
+    /// For those who look for a fault: too much for everyday operation.
     template <typename... Args>
     void debug(fmt::format_string<Args...> format, Args&&... args) {
         log(Level::Debug, format, std::forward<Args>(args)...);
     }
+    /// What an operator may want to know afterwards, e.g. a start, a reload or a shutdown.
     template <typename... Args>
     void info(fmt::format_string<Args...> format, Args&&... args) {
         log(Level::Info, format, std::forward<Args>(args)...);
     }
+    /// Something failed and the program works around it.
     template <typename... Args>
     void warn(fmt::format_string<Args...> format, Args&&... args) {
         log(Level::Warn, format, std::forward<Args>(args)...);
     }
+    /// What was to be done is not done, and an operator has to act.
     template <typename... Args>
     void error(fmt::format_string<Args...> format, Args&&... args) {
         log(Level::Error, format, std::forward<Args>(args)...);
