--- a/src/hot_restart/checked_file.cpp
+++ b/src/hot_restart/checked_file.cpp
@@ -31,14 +31,14 @@
 
 std::variant<std::string_view, SnapshotError> decodeCheckedFile(std::string_view magic,
                                                                 std::string_view bytes) {
-    if (bytes.size() < kHeaderBytes) return SnapshotError::Truncated;
-    if (!bytes.starts_with(magic)) return SnapshotError::UnsupportedFormat;
+    if (bytes.size() < kHeaderBytes) return SnapshotError{SnapshotErrorCode::Truncated};
+    if (!bytes.starts_with(magic)) return SnapshotError{SnapshotErrorCode::UnsupportedFormat};
     const auto* const header = reinterpret_cast<const unsigned char*>(bytes.data());
     const std::string_view payload = bytes.substr(kHeaderBytes);
     if (boost::endian::load_little_u64(header + kLengthOffset) != payload.size())
-        return SnapshotError::Truncated;
+        return SnapshotError{SnapshotErrorCode::Truncated};
     if (boost::endian::load_little_u32(header + kChecksumOffset) != crc32(payload))
-        return SnapshotError::ChecksumMismatch;
+        return SnapshotError{SnapshotErrorCode::ChecksumMismatch};
     return payload;
 }
 
--- a/src/hot_restart/snapshot.cpp
+++ b/src/hot_restart/snapshot.cpp
@@ -63,8 +63,8 @@
         cereal::PortableBinaryInputArchive archive(in);
         archive(value);
         return value;
-    } catch (const std::exception&) {
-        return SnapshotError::Unreadable;
+    } catch (const std::exception& error) {
+        return SnapshotError{SnapshotErrorCode::Unreadable, error.what()};
     }
 }
 
@@ -76,10 +76,10 @@
     auto decoded = decodeValue<Snapshot>(kSnapshotMagic, bytes);
     const auto* snapshot = std::get_if<Snapshot>(&decoded);
     if (!snapshot) return decoded;
-    if (snapshot->front != front) return SnapshotError::OtherInstance;
-    if (now - snapshot->takenAt > kMaxSnapshotAge) return SnapshotError::Expired;
+    if (snapshot->front != front) return SnapshotError{SnapshotErrorCode::OtherInstance, snapshot->front};
+    if (now - snapshot->takenAt > kMaxSnapshotAge) return SnapshotError{SnapshotErrorCode::Expired};
     if (snapshot->engine.addresses.size() != snapshot->engine.core.endpoints.size())
-        return SnapshotError::InconsistentAddresses;
+        return SnapshotError{SnapshotErrorCode::InconsistentAddresses};
     return decoded;
 }
 
--- a/src/hot_restart/snapshot_error.h
+++ b/src/hot_restart/snapshot_error.h
@@ -2,12 +2,13 @@
 /// Why a stored file is rejected.
 #pragma once
 
+#include <string>
 #include <string_view>
 
 namespace wingproxy::hot_restart {
 
 /// Why the bytes of a snapshot or overrides file are rejected. They are used completely or not at all.
-enum class SnapshotError {
+enum class SnapshotErrorCode {
     Truncated,              ///< shorter than the header, or not as long as the header says
     UnsupportedFormat,      ///< another kind of file, or another version of it
     ChecksumMismatch,       ///< the payload was changed
@@ -17,7 +18,18 @@
     InconsistentAddresses,  ///< not one address for each listed node
 };
 
-/// The error in words, for a log line.
-[[nodiscard]] std::string_view describe(SnapshotError error);
+/// A rejection, with what helps to find out where the file comes from.
+struct SnapshotError {
+    SnapshotErrorCode code = SnapshotErrorCode::Truncated;
+    /// Of `Unreadable` the message of the archive's exception, of `OtherInstance` the name of the gateway
+    /// that wrote the file. Empty for any other code.
+    std::string detail{};
+};
+
+/// The code in words, without the detail.
+[[nodiscard]] std::string_view describe(SnapshotErrorCode code);
+
+/// The error in words for a log line: "CODE, DETAIL", or "CODE" where it has no detail.
+[[nodiscard]] std::string describe(const SnapshotError& error);
 
 }  // namespace wingproxy::hot_restart
--- a/tests/app/config_reload_test.cpp
+++ b/tests/app/config_reload_test.cpp
@@ -3,14 +3,13 @@
 
 #include <doctest/doctest.h>
 
-#include <cstdio>
 #include <filesystem>
 #include <fstream>
-#include <memory>
 #include <stdexcept>
 #include <vector>
 
 #include "hot_restart/temporary_folder.h"
+#include "support/captured_log.h"
 
 using namespace wingproxy;
 
@@ -18,7 +17,7 @@
 
 /// A configuration file in a folder of its own, and the log of the reloads.
 struct Reloading {
-    Reloading() : log(std::tmpfile(), &std::fclose), logger(log::Level::Info, log.get()) {
+    Reloading() {
         write(text);
         atStart = config::parseConfig(text);
     }
@@ -31,19 +30,13 @@
         write(text);
     }
     void reload() { reloader.reload(); }
-    [[nodiscard]] std::string logged() const {
-        std::rewind(log.get());
-        std::string lines;
-        for (int c = std::fgetc(log.get()); c != EOF; c = std::fgetc(log.get()))
-            lines += static_cast<char>(c);
-        return lines;
-    }
+    [[nodiscard]] std::string logged() const { return log.text(); }
 
     test::TemporaryFolder folder;
     std::string text = config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json");
     config::Config atStart;
-    std::unique_ptr<std::FILE, int (*)(std::FILE*)> log;
-    log::Logger logger;
+    test::CapturedLog log;
+    log::Logger logger{log::Level::Info, log.stream()};
     std::vector<config::Config> applied;
     std::string applyFailure;  ///< thrown by the next application, unless empty
     app::ConfigReload reloader{path(), atStart,
--- a/tests/hot_restart/checked_file_test.cpp
+++ b/tests/hot_restart/checked_file_test.cpp
@@ -9,10 +9,10 @@
 
 constexpr std::string_view kMagic = "TST1";
 
-SnapshotError errorOf(std::string_view bytes) {
+SnapshotErrorCode errorOf(std::string_view bytes) {
     const auto decoded = decodeCheckedFile(kMagic, bytes);
     REQUIRE(std::holds_alternative<SnapshotError>(decoded));
-    return std::get<SnapshotError>(decoded);
+    return std::get<SnapshotError>(decoded).code;
 }
 
 }  // namespace
@@ -36,31 +36,36 @@
 TEST_CASE("checked file: one that is shorter or longer than its header says is truncated") {
     const std::string bytes = encodeCheckedFile(kMagic, "payload");
     for (std::size_t length = 0; length < bytes.size(); ++length)
-        CHECK(errorOf(std::string_view(bytes).substr(0, length)) == SnapshotError::Truncated);
-    CHECK(errorOf(bytes + "x") == SnapshotError::Truncated);
+        CHECK(errorOf(std::string_view(bytes).substr(0, length)) == SnapshotErrorCode::Truncated);
+    CHECK(errorOf(bytes + "x") == SnapshotErrorCode::Truncated);
 }
 
 TEST_CASE("checked file: one of another kind or version is of an unsupported format") {
-    CHECK(errorOf(encodeCheckedFile("TST2", "payload")) == SnapshotError::UnsupportedFormat);
+    CHECK(errorOf(encodeCheckedFile("TST2", "payload")) == SnapshotErrorCode::UnsupportedFormat);
 }
 
 TEST_CASE("checked file: a changed payload does not match its checksum") {
     std::string bytes = encodeCheckedFile(kMagic, "payload");
     bytes.back() = 'D';
-    CHECK(errorOf(bytes) == SnapshotError::ChecksumMismatch);
+    CHECK(errorOf(bytes) == SnapshotErrorCode::ChecksumMismatch);
 }
 
 TEST_CASE("checked file: each error has a description of its own") {
-    const SnapshotError all[] = {SnapshotError::Truncated,
-                                 SnapshotError::UnsupportedFormat,
-                                 SnapshotError::ChecksumMismatch,
-                                 SnapshotError::Unreadable,
-                                 SnapshotError::OtherInstance,
-                                 SnapshotError::Expired,
-                                 SnapshotError::InconsistentAddresses};
+    const SnapshotErrorCode all[] = {SnapshotErrorCode::Truncated,
+                                     SnapshotErrorCode::UnsupportedFormat,
+                                     SnapshotErrorCode::ChecksumMismatch,
+                                     SnapshotErrorCode::Unreadable,
+                                     SnapshotErrorCode::OtherInstance,
+                                     SnapshotErrorCode::Expired,
+                                     SnapshotErrorCode::InconsistentAddresses};
     for (const auto a : all) {
         CHECK(!describe(a).empty());
         for (const auto b : all)
             CHECK((describe(a) == describe(b)) == (a == b));
     }
 }
+
+TEST_CASE("checked file: a detail follows its error's description after a comma") {
+    CHECK(describe(SnapshotError{SnapshotErrorCode::OtherInstance, "n7"}) == "of another gateway, n7");
+    CHECK(describe(SnapshotError{SnapshotErrorCode::Truncated}) == "truncated");
+}
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -11,8 +11,10 @@
 #include <memory>
 
 #include "hot_restart/atomic_file.h"
+#include "hot_restart/checked_file.h"
 #include "hot_restart/temporary_folder.h"
 #include "net/clock.h"
+#include "support/captured_log.h"
 
 using namespace wingproxy;
 using namespace wingproxy::hot_restart;
@@ -62,7 +64,8 @@
 
     test::TemporaryFolder folder;
     boost::asio::io_context io;
-    log::Logger logger{log::Level::Error};
+    test::CapturedLog log;
+    log::Logger logger{log::Level::Warn, log.stream()};
     Instance first{io, folder, logger};
     Instance second{io, folder, logger};
 };
@@ -149,6 +152,30 @@
     CHECK(!std::filesystem::exists(both.folder.file("wingproxy.snapshot")));
 }
 
+TEST_CASE("hot restart: the log names the other gateway whose snapshot is rejected") {
+    TwoInstances both;
+    both.startBoth();
+    Snapshot foreign = TwoInstances::snapshot();
+    foreign.front = "n1";
+    both.first.hotRestart->transfer(foreign);
+    both.untilTakenOver();
+    CHECK(!both.second.received);
+    CHECK(both.second.hotRestart->counters().rejected == 1);
+    CHECK(both.log.text() ==
+          "warn: hot restart: snapshot rejected, of another gateway, n1; starting as after a crash\n");
+}
+
+TEST_CASE("hot restart: the log has the archive's error where a snapshot's payload is not readable") {
+    TwoInstances both;
+    both.startBoth();
+    REQUIRE(writeFileAtomically(both.folder.file("wingproxy.snapshot"), encodeCheckedFile("WPS1", "short")));
+    both.first.die();
+    both.untilTakenOver();
+    CHECK(both.second.hotRestart->counters().rejected == 1);
+    CHECK(both.log.text().starts_with(
+        "warn: hot restart: snapshot rejected, payload not readable, Failed to read "));
+}
+
 TEST_CASE("hot restart: of two successors the second waits for the first") {
     TwoInstances both;
     Instance third(both.io, both.folder, both.logger);
@@ -228,3 +255,12 @@
     CHECK(both.first.hotRestart->exchangeOverrides(kDrained) == kDrained);
     CHECK(both.first.hotRestart->counters().writeFailures == 1);
 }
+
+TEST_CASE("overrides exchange: the log has the archive's error where the file's payload is not readable") {
+    TwoInstances both;
+    REQUIRE(writeFileAtomically(both.folder.file("wingproxy.words"), encodeCheckedFile("WPW1", "short")));
+    CHECK(both.first.hotRestart->exchangeOverrides(kDrained) == kDrained);
+    CHECK(both.first.hotRestart->counters().rejected == 1);
+    CHECK(both.log.text().starts_with(
+        "warn: hot restart: overrides file rejected, payload not readable, Failed to read "));
+}
--- a/tests/hot_restart/snapshot_test.cpp
+++ b/tests/hot_restart/snapshot_test.cpp
@@ -70,13 +70,14 @@
 
 TEST_CASE("snapshot: one with bytes behind its end is rejected") {
     SnapshotOfThreeNodes taken;
-    CHECK(std::get<SnapshotError>(taken.decodeOwn(taken.bytes + "x")) == SnapshotError::Truncated);
+    CHECK(std::get<SnapshotError>(taken.decodeOwn(taken.bytes + "x")).code == SnapshotErrorCode::Truncated);
 }
 
-TEST_CASE("snapshot: one of another gateway is rejected") {
+TEST_CASE("snapshot: one of another gateway is rejected, and the error names that gateway") {
     SnapshotOfThreeNodes taken;
     const auto decoded = decode(taken.bytes, "n1", taken.snapshot.takenAt);
-    CHECK(std::get<SnapshotError>(decoded) == SnapshotError::OtherInstance);
+    CHECK(std::get<SnapshotError>(decoded).code == SnapshotErrorCode::OtherInstance);
+    CHECK(describe(std::get<SnapshotError>(decoded)) == "of another gateway, n0");
 }
 
 TEST_CASE("snapshot: one that is older than 10 s is rejected") {
@@ -84,20 +85,25 @@
     const Micros oldest = taken.snapshot.takenAt + kMaxSnapshotAge;
     CHECK(kMaxSnapshotAge == 10 * kSecond);
     CHECK(!isRejected(decode(taken.bytes, "n0", oldest)));
-    CHECK(std::get<SnapshotError>(decode(taken.bytes, "n0", oldest + 1)) == SnapshotError::Expired);
+    CHECK(std::get<SnapshotError>(decode(taken.bytes, "n0", oldest + 1)).code == SnapshotErrorCode::Expired);
 }
 
 TEST_CASE("snapshot: one that has not an address for each node is rejected") {
     SnapshotOfThreeNodes taken;
     taken.snapshot.engine.addresses.pop_back();
     const auto decoded = taken.decodeOwn(encode(taken.snapshot));
-    CHECK(std::get<SnapshotError>(decoded) == SnapshotError::InconsistentAddresses);
+    CHECK(std::get<SnapshotError>(decoded).code == SnapshotErrorCode::InconsistentAddresses);
 }
 
-TEST_CASE("snapshot: a payload that does not decode is rejected though its checksum is right") {
+TEST_CASE(
+    "snapshot: a payload that does not decode is rejected though its checksum is right, with the archive's "
+    "error") {
     SnapshotOfThreeNodes taken;
     const auto decoded = taken.decodeOwn(encodeCheckedFile("WPS1", "short"));
-    CHECK(std::get<SnapshotError>(decoded) == SnapshotError::Unreadable);
+    const auto& error = std::get<SnapshotError>(decoded);
+    CHECK(error.code == SnapshotErrorCode::Unreadable);
+    CHECK(error.detail.starts_with("Failed to read "));  // cereal's own words
+    CHECK(describe(error) == "payload not readable, " + error.detail);
 }
 
 TEST_CASE("snapshot: the policy's state is restored by a host of the same settings only") {
@@ -160,5 +166,5 @@
 
 TEST_CASE("overrides: a snapshot is no overrides file") {
     SnapshotOfThreeNodes taken;
-    CHECK(std::get<SnapshotError>(decodeOverrides(taken.bytes)) == SnapshotError::UnsupportedFormat);
+    CHECK(std::get<SnapshotError>(decodeOverrides(taken.bytes)).code == SnapshotErrorCode::UnsupportedFormat);
 }
