--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -14,7 +14,7 @@
 constexpr double kLevelDecrease = 0.92;
 constexpr double kLevelIncrease = 1.02;
 constexpr double kIdleLevelIncrease = 1.08;
-constexpr double kMostAskedDecay = 0.97;
+constexpr double kPeakDemandDecay = 0.97;
 
 }  // namespace
 
@@ -36,8 +36,8 @@
     CellQuota& cell = volume.quota().byCell[request.cell()];
     WaterLevel& level = levelAt(request.cell());
     cell.demand.add(context_.now, kRateMemory, units);
-    const double asked = cell.demand.rate(context_.now, kRateMemory);
-    level.mostAsked = std::max(level.mostAsked, asked / std::max(plan.shares * ownShare, kNegligibleRate));
+    const double demand = cell.demand.rate(context_.now, kRateMemory);
+    level.peakDemand = std::max(level.peakDemand, demand / std::max(plan.shares * ownShare, kNegligibleRate));
     const double shareRate = level.level * plan.shares * ownShare;
     const double shareCapacity = shareRate + settings.maxUnits;
     cell.share.refill(shareRate, shareCapacity, context_.now);
@@ -70,11 +70,11 @@
         latency = cluster_.expectedLatency(node);
         unqueued = node.concurrency().unqueuedLatency();
     }
-    level.mostAsked *= kMostAskedDecay;
+    level.peakDemand *= kPeakDemandDecay;
     if (latency == kUnlimited) return;  // the successor of a drained node is not overloaded: the level stays
     const double increase = latency <= unqueued ? kIdleLevelIncrease : kLevelIncrease;
     if (latency > kShareLatencyPart * context_.latencyObjective)
-        level.level = std::min(level.level, level.mostAsked) * kLevelDecrease;
+        level.level = std::min(level.level, level.peakDemand) * kLevelDecrease;
     if (latency < kSpareLatencyPart * context_.latencyObjective)
         level.level = std::min(kUnlimited, level.level * increase);
 }
@@ -89,13 +89,13 @@
     return request.priorityWeight() * factor * part;
 }
 
-double Admission::longestLatency(const PendingRequest& request) const {
-    const double left = double(request.due() - context_.now);
-    if (request.quota() == QuotaClass::Guaranteed) return left;
+double Admission::maxLatency(const PendingRequest& request) const {
+    const double timeLeft = double(request.due() - context_.now);
+    if (request.quota() == QuotaClass::Guaranteed) return timeLeft;
     if (request.quota() == QuotaClass::Share)
-        return std::min(left, kShareLatencyPart * context_.latencyObjective);
+        return std::min(timeLeft, kShareLatencyPart * context_.latencyObjective);
     const WaterLevel level = levelOf(request.cell());
-    if (level.level < level.mostAsked) return 0;  // spare: only where the shares are not contended
+    if (level.level < level.peakDemand) return 0;  // spare: only where the shares are not contended
     return kSpareLatencyPart * context_.latencyObjective;
 }
 
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -22,7 +22,7 @@
 
     /// Of one cell, in units a second and weight.
     struct WaterLevel {
-        double mostAsked = 0;  ///< by any volume, lately
+        double peakDemand = 0;  ///< by any volume, lately
         double level = kUnlimited;
     };
     Admission(const Context& context, UsageTable& usage, ClusterView& cluster)
@@ -40,7 +40,7 @@
     /// spare ones count for less
     double classify(PendingRequest& request);
     /// A request is over of which nothing ran: its units go back to the quota.
-    void giveBack(const PendingRequest& request) const {
+    void refund(const PendingRequest& request) const {
         VolumeQuota& quota = request.volume().quota();
         if (request.quota() == QuotaClass::Guaranteed) quota.guaranteed.tokens += request.units();
         if (request.quota() == QuotaClass::Share)
@@ -57,7 +57,7 @@
     [[nodiscard]] double value(const PendingRequest& request) const;
     /// The longest latency at which a request is still sent to a node, in microseconds. Beyond it the node is
     /// kept for requests of higher value.
-    [[nodiscard]] double longestLatency(const PendingRequest& request) const;
+    [[nodiscard]] double maxLatency(const PendingRequest& request) const;
 
     /// The level of a cell.
     [[nodiscard]] WaterLevel levelOf(CellIndex cell) const {
--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -18,9 +18,9 @@
 
 }  // namespace
 
-bool AttemptTracker::isNodeEvidence(const AttemptOutcome& event, bool heldPlace) {
+bool AttemptTracker::isNodeEvidence(const AttemptOutcome& event, bool heldSlot) {
     if (event.outcome == Outcome::NotStarted) return false;
-    if (heldPlace) return !event.requestSpent || event.outcome != Outcome::Rejected;
+    if (heldSlot) return !event.requestSpent || event.outcome != Outcome::Rejected;
     return event.outcome != Outcome::Ok && event.outcome != Outcome::Error;
 }
 
@@ -51,10 +51,10 @@
     }
     // The report may come back at once as an aggregate, which counts as heard too.
     const LatencyEstimate& estimate = node.concurrency().estimate();
-    const Micros heardBefore = estimate.heardAt;
+    const Micros updatedBefore = estimate.updatedAt;
     const double wait = double(elapsed) - estimate.floor.value() * units;
     gossip_.reportCell(cell, std::max(wait, kMinReportedTicks * double(kTickInterval)));
-    node.concurrency().onAnswer({double(elapsed), units, node.outstanding(), heardBefore},
+    node.concurrency().onAnswer({double(elapsed), units, node.outstanding(), updatedBefore},
                                 cluster_.conditionsOf(node));
 }
 
--- a/src/policy/attempt_tracker.h
+++ b/src/policy/attempt_tracker.h
@@ -30,9 +30,9 @@
         context_.emit(ForwardRequest{request.id(), node.info().id, 0, lastByteBy});
     }
     /// Whether an outcome says anything of its node.
-    /// \param heldPlace whether the attempt was complete and unanswered: else a rejection or an answer says
+    /// \param heldSlot whether the attempt was complete and unanswered: else a rejection or an answer says
     /// nothing
-    [[nodiscard]] static bool isNodeEvidence(const AttemptOutcome& event, bool heldPlace);
+    [[nodiscard]] static bool isNodeEvidence(const AttemptOutcome& event, bool heldSlot);
     /// An attempt ended, or its node has done its work.
     /// \param units of its request
     /// \param elapsed since it was sent, in microseconds
--- a/src/policy/cluster_view.h
+++ b/src/policy/cluster_view.h
@@ -93,14 +93,15 @@
 
     // -- what happened
     /// Units that a cell is asked for: each of its starting nodes earns a turn's part of them.
-    void earnSlowStartTurns(const Cell& cell, double units) {
+    void earnSlowStartCredit(const Cell& cell, double units) {
         if (context_.settings.slowStartWindowUs <= 0) return;
         for (const NodeIndex index : cell.nodes) {
             Node& member = node(index);
             if (!isWarmingUp(member)) continue;
             const KeyUsage& usage = *this->cell(member.info().cell).usage;
-            member.slowStart().earnTurn(context_.settings, units, usage_.ownRate(usage),
-                                        usage_.othersOrAssumed(usage), member.info().startedUs, context_.now);
+            member.slowStart().earnCredit(context_.settings, units, usage_.ownRate(usage),
+                                          usage_.othersOrAssumed(usage), member.info().startedUs,
+                                          context_.now);
         }
     }
     /// A peer says how long requests wait in a cell.
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -37,7 +37,7 @@
 double ConcurrencyLimit::expectedLatency(Micros now, double objective) const {
     const LatencyEstimate& estimate = state_.estimate;
     if (estimate.latency <= 0) return objective * kUnknownLatencyPart;
-    const double left = estimate.latency - kDrainRate * double(now - estimate.heardAt);
+    const double left = estimate.latency - kDrainRate * double(now - estimate.updatedAt);
     return std::max(std::min(estimate.latency, estimate.unqueued()), left);
 }
 
@@ -65,9 +65,9 @@
 void ConcurrencyLimit::record(const Answer& answer, Micros now) {
     LatencyEstimate& estimate = state_.estimate;
     // The older what is known, the more the newest answer counts.
-    const double age = double(now - answer.heardBefore) / double(kRateMemory);
+    const double age = double(now - answer.updatedBefore) / double(kRateMemory);
     const double weight = estimate.latency > 0 ? std::max(kSmoothing, 1 - std::exp2(-age)) : 1;
-    estimate.heardAt = now;
+    estimate.updatedAt = now;
     estimate.record(answer.latency, answer.units, weight, kSmoothing);
     estimate.floor.record(estimate.perUnit, now, kFloorSpan);
 }
--- a/src/policy/concurrency_limit.h
+++ b/src/policy/concurrency_limit.h
@@ -29,9 +29,9 @@
     /// An answer of the node.
     struct Answer {
         double latency = 0;
-        double units = 0;             ///< of its request
-        int outstanding = 0;          ///< attempts of this host
-        Micros heardBefore = kNever;  ///< `estimate().heardAt` before the answer was reported to peers
+        double units = 0;               ///< of its request
+        int outstanding = 0;            ///< attempts of this host
+        Micros updatedBefore = kNever;  ///< `estimate().updatedAt` before the answer was reported to peers
     };
     ConcurrencyLimit() = default;
     explicit ConcurrencyLimit(const State& state) : state_(state) {}
--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -28,8 +28,8 @@
 
 UsageMemory Gossip::usageMemory() { return {kUsageMemory, kPeerUsageLifetime}; }
 Micros Gossip::reportInterval() { return kReportInterval; }
-double Gossip::notableWait() const { return kLongLatencyPart * context_.latencyObjective; }
-double Gossip::notableRate() const { return context_.settings.meanUnits * kChangedAggregateRequests; }
+double Gossip::significantWait() const { return kLongLatencyPart * context_.latencyObjective; }
+double Gossip::significantRate() const { return context_.settings.meanUnits * kChangedAggregateRequests; }
 
 bool Gossip::isDue(const KeyUsage& usage, const Observation& observation) const {
     const Micros age = context_.now - usage.reported().at;
@@ -38,7 +38,7 @@
     const double reported = usage.reported().rate(context_.now, kUsageMemory);
     const double step = kChangedRequests * context_.settings.meanUnits * 1e6 / double(kUsageMemory);
     return std::abs(usage_.ownRate(usage) - reported) >= changeThreshold(reported, step) ||
-           observation.waitUs > notableWait();
+           observation.waitUs > significantWait();
 }
 
 void Gossip::reportUsage(std::uint32_t key, KeyUsage& usage, const Observation& observation) {
@@ -72,17 +72,17 @@
 bool Gossip::isDue(const KeyAggregate& aggregate, const UsageTotals& totals) const {
     if (context_.now - aggregate.sentWait.at >= kAggregateRefresh) return true;
     const double rateChange = std::abs(totals.rate - aggregate.sentRate);
-    if (rateChange >= changeThreshold(aggregate.sentRate, notableRate())) return true;
+    if (rateChange >= changeThreshold(aggregate.sentRate, significantRate())) return true;
     const double slowStartChange = std::abs(totals.slowStartRate - aggregate.sentSlowStartRate);
-    if (slowStartChange > changeThreshold(aggregate.sentSlowStartRate, notableRate())) return true;
-    const double wait = std::max(totals.wait, notableWait());
-    const double sentWait = std::max(aggregate.sentWaitLeft(context_.now, kWaitDrainRate), notableWait());
+    if (slowStartChange > changeThreshold(aggregate.sentSlowStartRate, significantRate())) return true;
+    const double wait = std::max(totals.wait, significantWait());
+    const double sentWait = std::max(aggregate.sentWaitLeft(context_.now, kWaitDrainRate), significantWait());
     return std::abs(wait / sentWait - 1) >= kChangedPart;
 }
 
 void Gossip::sendChangedAggregates() {
     for (auto& [key, aggregate] : aggregates_) {
-        aggregate.dropIdle(notableRate() * kIdlePart, context_.now, kUsageMemory);
+        aggregate.dropIdle(significantRate() * kIdlePart, context_.now, kUsageMemory);
         const UsageTotals totals = totalsOf(aggregate);
         if (!isDue(aggregate, totals)) continue;
         aggregate.onSent(totals, context_.now);
--- a/src/policy/gossip.h
+++ b/src/policy/gossip.h
@@ -95,8 +95,8 @@
     }
     [[nodiscard]] bool isDue(const KeyUsage& usage, const Observation& observation) const;
     [[nodiscard]] bool isDue(const KeyAggregate& aggregate, const UsageTotals& totals) const;
-    [[nodiscard]] double notableWait() const;
-    [[nodiscard]] double notableRate() const;
+    [[nodiscard]] double significantWait() const;
+    [[nodiscard]] double significantRate() const;
 
     const Context& context_;
     UsageTable& usage_;
--- a/src/policy/latency_estimate.h
+++ b/src/policy/latency_estimate.h
@@ -10,11 +10,11 @@
 
 /// What the answers of one node say of its latency. Latencies are microseconds.
 struct LatencyEstimate {
-    double latency = 0;       ///< smoothed; 0: unknown
-    double units = 1;         ///< of a request, smoothed
-    double perUnit = 0;       ///< latency / units
-    LatencyFloor floor;       ///< of `perUnit`
-    Micros heardAt = kNever;  ///< last answer, or last report of a peer on the wait there
+    double latency = 0;         ///< smoothed; 0: unknown
+    double units = 1;           ///< of a request, smoothed
+    double perUnit = 0;         ///< latency / units
+    LatencyFloor floor;         ///< of `perUnit`
+    Micros updatedAt = kNever;  ///< last answer, or last report of a peer on the wait there
 
     /// Latency of a request of mean size without a queue.
     [[nodiscard]] double unqueued() const { return floor.value() * units; }
@@ -33,7 +33,7 @@
     /// A peer says how long requests wait there.
     void setWait(double wait, Micros now) {
         latency = unqueued() + wait;
-        heardAt = now;
+        updatedAt = now;
     }
 };
 
--- a/src/policy/lease_allocator.cpp
+++ b/src/policy/lease_allocator.cpp
@@ -9,16 +9,16 @@
 // The design's cut of a limit, rounded for each host. Where hosts are many a home still has a few chunks: a
 // host with little demand would else need all of its home for it, and the busy one could borrow nothing.
 constexpr int kChunksOfLimit = 20;
-constexpr int kMinHomeChunks = 4;
+constexpr int kMinOwnedChunks = 4;
 constexpr Micros kLeaseDuration = 2'000'000;  // long against a message, short against a surge of demand
 constexpr Micros kRenewBefore = kLeaseDuration / 2;
 constexpr Micros kRequestInterval = 50'000;  // for a volume: two crossings of the network
 constexpr Micros kRequestTimeout = 2 * kRequestInterval;
-constexpr double kDemandMargin = 1.25;     // claims follow demand with a margin for chance
-constexpr double kBacklogSeconds = 0.5;    // a backlog requests chunks that would clear it in this time
-constexpr int kIdleChunksKept = 1;         // against chance
-constexpr double kBytesPerRequest = 64;    // each client's request pays so many bytes of requests for chunks
-constexpr double kMaxRequestBytes = 1024;  // and so many are saved at the most
+constexpr double kDemandMargin = 1.25;      // claims follow demand with a margin for chance
+constexpr double kBacklogSeconds = 0.5;     // a backlog requests chunks that would clear it in this time
+constexpr int kIdleChunksKept = 1;          // against chance
+constexpr double kBudgetPerRequest = 64;    // each client's request pays so many bytes of requests for chunks
+constexpr double kMaxRequestBudget = 1024;  // and so many are saved at the most
 constexpr double kReservePart = 0.25;  // of a bucket, for one more request of each client that is connected
 constexpr double kMinFillRate = 1e-3;  // units a second; no division by less
 
@@ -27,21 +27,21 @@
 LeaseAllocator::LeaseAllocator(const Context& context, const fleet::RestartRecovery& recovery,
                                UsageTable& usage, VolumeTable& volumes, PeerOutbox& outbox)
     : context_(context), recovery_(recovery), usage_(usage), volumes_(volumes), outbox_(outbox) {
-    state_.requestBytes = kMaxRequestBytes;
+    state_.requestBudget = kMaxRequestBudget;
 }
 
 Micros LeaseAllocator::leaseDuration() { return kLeaseDuration; }
 
 // ---- limits
 
-void LeaseAllocator::cut(VolumeLimit& limit, const PlanInfo& plan, int hosts) {
+void LeaseAllocator::splitIntoChunks(VolumeLimit& limit, const PlanInfo& plan, int hosts) {
     const double hostRate = plan.limit / hosts;
     const double hostBurst = plan.limitBurst / hosts;
-    limit.homeChunks = std::max(kMinHomeChunks, int(std::lround(double(kChunksOfLimit) / hosts)));
+    limit.ownedChunks = std::max(kMinOwnedChunks, int(std::lround(double(kChunksOfLimit) / hosts)));
     limit.baseRate = std::min(plan.guaranteedRate / hosts, hostRate);
     limit.baseBurst = hostBurst * limit.baseRate / hostRate;
-    limit.chunkRate = (hostRate - limit.baseRate) / limit.homeChunks;
-    limit.chunkBurst = (hostBurst - limit.baseBurst) / limit.homeChunks;
+    limit.chunkRate = (hostRate - limit.baseRate) / limit.ownedChunks;
+    limit.chunkBurst = (hostBurst - limit.baseBurst) / limit.ownedChunks;
 }
 
 void LeaseAllocator::open(Volume& volume) {
@@ -51,7 +51,7 @@
     const PlanInfo& plan = context_.settings.plans.at(volume.plan().position());
     limit.limited = plan.limit > 0;
     if (!limit.limited) return;
-    cut(limit, plan, volume.hosts());
+    splitIntoChunks(limit, plan, volume.hosts());
     // A bucket starts empty, as an earlier process of this host may have spent it, and fills from there.
     limit.bucket.at = volume.hosts() == 1 ? context_.startedAt : std::min(state_.recoveredAt, context_.now);
     refill(volume);
@@ -100,7 +100,7 @@
 void LeaseAllocator::requestChunks(Volume& volume, int missing) {
     const std::set<HostIndex>& peers = volume.usage().peers();
     auto peer = peers.upper_bound(volume.limit().lastPeerAsked);
-    for (std::size_t i = 0; i < peers.size() && state_.requestBytes > 0; ++i, ++peer) {
+    for (std::size_t i = 0; i < peers.size() && state_.requestBudget > 0; ++i, ++peer) {
         if (peer == peers.end()) peer = peers.begin();
         missing -= requestFrom(volume, *peer, missing);
     }
@@ -113,19 +113,19 @@
     const bool running = lease.isRunning(now);
     const bool renews = running && lease.until - now < kRenewBefore;
     if ((missing == 0 && !renews) || lease.isAwaited(now, kRequestTimeout)) return 0;
-    if (!renews && running && lease.chunks >= limit.homeChunks) return 0;
+    if (!renews && running && lease.chunks >= limit.ownedChunks) return 0;
     const int held = running ? lease.chunks : 0;
-    const int wanted = std::min(limit.homeChunks, held + missing);
+    const int wanted = std::min(limit.ownedChunks, held + missing);
     lease.onRequested(newStamp(), now);
     limit.lastRequestAt = now;
     limit.lastPeerAsked = peer;
-    state_.requestBytes -= double(peer::LeaseRequest::kEncodedBytes);
+    state_.requestBudget -= double(peer::LeaseRequest::kEncodedBytes);
     outbox_.send(peer, peer::LeaseRequest{volume.hash(), std::uint8_t(wanted), lease.stamp});
     return (wanted - held + 1) / 2;  // a peer may grant less: twice what lacks is requested
 }
 
-void LeaseAllocator::earnRequestBytes() {
-    state_.requestBytes = std::min(kMaxRequestBytes, state_.requestBytes + kBytesPerRequest);
+void LeaseAllocator::addRequestBudget() {
+    state_.requestBudget = std::min(kMaxRequestBudget, state_.requestBudget + kBudgetPerRequest);
 }
 
 bool LeaseAllocator::onGrant(HostIndex from, const peer::LeaseGrant& grant) {
@@ -137,7 +137,7 @@
     // The home counts what it granted before until it hears that no more than this is used.
     if (lease->until > context_.now && int(grant.chunks) < lease->chunks)
         outbox_.send(from, peer::LeaseReturn{volume->hash(), grant.chunks, grant.stamp});
-    lease->onGranted(std::min(int(grant.chunks), volume->limit().homeChunks), kLeaseDuration);
+    lease->onGranted(std::min(int(grant.chunks), volume->limit().ownedChunks), kLeaseDuration);
     if (lease->until > context_.now) volume->limit().bucket.tokens += grant.tokens.value();
     refill(*volume);
     return true;
@@ -148,13 +148,13 @@
 void LeaseAllocator::serveRequests() {
     std::stable_sort(requests_.begin(), requests_.end(),
                      [](const auto& left, const auto& right) { return left.from < right.from; });
-    for (const PendingRequest& pending : requests_)
-        serve(pending);
+    for (const ReceivedRequest& received : requests_)
+        serve(received);
     requests_.clear();
 }
 
-void LeaseAllocator::serve(const PendingRequest& pending) {
-    const auto& [peer, request] = pending;
+void LeaseAllocator::serve(const ReceivedRequest& received) {
+    const auto& [peer, request] = received;
     Volume* const volume = volumes_.find(request.volume);
     if (!volume || volume->limit().chunkRate <= 0 || !recovery_.mayLend(context_.now)) return;
     VolumeLimit& limit = volume->limit();
@@ -172,8 +172,8 @@
 int LeaseAllocator::grantable(const Volume& volume, HostIndex peer, int wanted) const {
     const VolumeLimit& limit = volume.limit();
     const double ownDemand = std::max(0.0, demandOf(volume) - limit.baseRate);
-    const int ownChunks = std::min(limit.homeChunks, int(std::ceil(ownDemand / limit.chunkRate)));
-    return std::clamp(limit.homeChunks - limit.chunksGranted(peer) - ownChunks, 0, wanted);
+    const int ownChunks = std::min(limit.ownedChunks, int(std::ceil(ownDemand / limit.chunkRate)));
+    return std::clamp(limit.ownedChunks - limit.chunksGranted(peer) - ownChunks, 0, wanted);
 }
 
 peer::FixedPoint LeaseAllocator::splitSavedTokens(Volume& volume, int newChunks) const {
@@ -189,7 +189,7 @@
     std::map<Volume*, double> reserved;
     for (auto& [name, volume] : volumes_.all()) {
         refill(volume);
-        reserved[&volume] = volume.limit().setAside(kReservePart);
+        reserved[&volume] = volume.limit().reserve(kReservePart);
     }
     return reserved;
 }
--- a/src/policy/lease_allocator.h
+++ b/src/policy/lease_allocator.h
@@ -56,7 +56,7 @@
             rebalance(volume);
     }
     /// A request came from a client: it pays for requests of chunks.
-    void earnRequestBytes();
+    void addRequestBudget();
     /// Keeps a peer's request until the batch ends.
     void onRequest(HostIndex from, const peer::LeaseRequest& request) {
         requests_.push_back({from, request});
@@ -82,7 +82,7 @@
 
     // -- restart and hot restart
     /// Uses the chunks of this host once no lease of an earlier process is out.
-    void useHomeOnceRecovered() {
+    void useOwnedChunksOnceRecovered() {
         if (state_.recoveredAt <= context_.now || !recovery_.isRecovered(context_.now)) return;
         for (auto& [name, volume] : volumes_.all())
             refill(volume);  // until now without the home
@@ -100,37 +100,37 @@
     /// What is not in the volumes; for the snapshot.
     struct State {
         Micros recoveredAt = -kNever;  ///< since then this host spends its own chunks
-        double requestBytes = 0;       ///< that requests for chunks may still cost
+        double requestBudget = 0;      ///< that requests for chunks may still cost
     };
     [[nodiscard]] const State& state() const { return state_; }
     void restore(const State& state) { state_ = state; }
 
 private:
-    struct PendingRequest {
+    struct ReceivedRequest {
         HostIndex from;
         peer::LeaseRequest request;
     };
     // Base and home together are limit / hosts at every host, in rate and burst: the sum needs no message to
     // arrive.
-    static void cut(VolumeLimit& limit, const PlanInfo& plan, int hosts);
+    static void splitIntoChunks(VolumeLimit& limit, const PlanInfo& plan, int hosts);
     void refill(Volume& volume) const {
         VolumeLimit& limit = volume.limit();
         if (!limit.limited) return;
         const int chunks = chunksInUse(volume);
         limit.bucket.refill(limit.rateOf(chunks), limit.burstOf(chunks), context_.now);
     }
-    [[nodiscard]] bool mayUseHome(const Volume& volume) const {
+    [[nodiscard]] bool mayUseOwnedChunks(const Volume& volume) const {
         return state_.recoveredAt <= context_.now || volume.hosts() == 1;
     }
     [[nodiscard]] int chunksInUse(const Volume& volume) const {
-        return volume.limit().chunksInUse(mayUseHome(volume), context_.now);
+        return volume.limit().chunksInUse(mayUseOwnedChunks(volume), context_.now);
     }
     [[nodiscard]] double demandOf(const Volume& volume) const;
     bool returnIdleChunks(Volume& volume, double surplus);
     void requestChunks(Volume& volume, int missing);
     // Returns how many chunks may be expected of the peer beyond those that it granted already.
     int requestFrom(Volume& volume, HostIndex peer, int missing);
-    void serve(const PendingRequest& pending);
+    void serve(const ReceivedRequest& received);
     [[nodiscard]] int grantable(const Volume& volume, HostIndex peer, int wanted) const;
     // What a newly granted chunk has saved up goes with it, so that the busy host can use the burst.
     peer::FixedPoint splitSavedTokens(Volume& volume, int newChunks) const;
@@ -143,7 +143,7 @@
     VolumeTable& volumes_;
     PeerOutbox& outbox_;
     State state_;
-    std::vector<PendingRequest> requests_;  // of this batch
+    std::vector<ReceivedRequest> requests_;  // of this batch
 };
 
 }  // namespace wingproxy
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -30,10 +30,10 @@
     Backlog backlog;
     for (const auto& [key, request] : queue.entries()) {
         backlog.add(*request);
-        for (bool isIn = true; isIn;) {
+        for (bool isKept = true; isKept;) {
             const Position victim = victimFor(backlog, capacity);
             if (victim == backlog.requests.end()) break;
-            isIn = *victim != request;
+            isKept = *victim != request;
             overload.requests.push_back(*victim);
             backlog.remove(victim);
         }
@@ -44,13 +44,14 @@
 
 LoadShedder::Position LoadShedder::victimFor(Backlog& backlog, const Capacity& capacity) const {
     const PendingRequest& request = *backlog.requests.back();
-    const double left = double(request.due() - context_.now) - capacity.latency;
+    const double timeLeft = double(request.due() - context_.now) - capacity.latency;
     const double unitsAhead = backlog.units - request.units();
-    if (unitsAhead * 1e6 / capacity.unitsPerSecond > left ||
-        capacity.latency > admission_.longestLatency(request))
+    if (unitsAhead * 1e6 / capacity.unitsPerSecond > timeLeft ||
+        capacity.latency > admission_.maxLatency(request))
         return leastValuable(backlog);
     if (request.needsTokens() &&
-        leases_.timeToTokens(request.volume(), backlog.tokensNeeded[&request.volume()]) > std::max(0.0, left))
+        leases_.timeToTokens(request.volume(), backlog.tokensNeeded[&request.volume()]) >
+            std::max(0.0, timeLeft))
         return lowestPriorityOfVolume(backlog);
     return backlog.requests.end();
 }
--- a/src/policy/node.h
+++ b/src/policy/node.h
@@ -51,14 +51,14 @@
     void unlist() { listed_ = false; }
     /// Its process is new: nothing that was learnt of the one before holds, but for the attempts that are
     /// still outstanding.
-    /// \param turnRounding see `SlowStartLimiter::withRounding`
-    void restart(Micros now, double turnRounding) {
+    /// \param creditDiscount see `SlowStartLimiter::withDiscount`
+    void restart(Micros now, double creditDiscount) {
         const int outstanding = outstanding_;
         *this = Node();
         outstanding_ = outstanding;
         concurrency_ = ConcurrencyLimit::startingAt(now);
         outliers_ = OutlierDetector::startingAt(now);
-        slowStart_ = SlowStartLimiter::withRounding(turnRounding);
+        slowStart_ = SlowStartLimiter::withDiscount(creditDiscount);
     }
     /// Its drain was announced; it may still get requests until then, where its cell has no other node.
     void startDrain(Micros servesUntil) { servesDrainUntil_ = servesUntil; }
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -23,7 +23,7 @@
     return now < state_.ejectedUntil || (outstanding > 0 && double(now - state_.progressAt) > patience);
 }
 
-bool OutlierDetector::mayTry(Micros now) const { return now - state_.lastTrialAt >= kTrialInterval; }
+bool OutlierDetector::admitsTrial(Micros now) const { return now - state_.lastTrialAt >= kTrialInterval; }
 Micros OutlierDetector::trialInterval() { return kTrialInterval; }
 
 double OutlierDetector::errorPenalty(double latencyObjective, Micros now) const {
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -34,7 +34,7 @@
     /// \param latency that the node usually takes; 0: unknown
     [[nodiscard]] bool isSuspect(int outstanding, double latency, Micros now) const;
     /// Whether a suspect may get one more trial request.
-    [[nodiscard]] bool mayTry(Micros now) const;
+    [[nodiscard]] bool admitsTrial(Micros now) const;
     /// Least time between two trial requests.
     static Micros trialInterval();
     /// Whether it was tried, or gave a sign of life, within `period`.
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -32,7 +32,7 @@
       outbox_(context_, recovery_, kMaxMessageBytes) {
     context_.emit(SetTimer{kTickInterval, kTickToken});
     cluster_.renewWatch();
-    leases_.useHomeOnceRecovered();
+    leases_.useOwnedChunksOnceRecovered();
     sendRecoveryDatagrams();
 }
 
@@ -48,7 +48,7 @@
     request->setCell(info.cell.isSet() ? info.cell : dispatcher_.cellForNewObject(info.units));
     const Cell& cell = cluster_.cell(request->cell());
     retries_.onReceived(*request);
-    leases_.earnRequestBytes();
+    leases_.addRequestBudget();
     admit(*request);
     dispatcher_.enqueue(*request);
     dispatcher_.dispatch(request->cell());
@@ -62,10 +62,10 @@
     if (volume.plan().isNone()) return;
     volume.onNeeded(context_.now);
     if (volume.hosts() > 1) usage_.record(volume.usage(), request.units());
-    const double dueUnits = admission_.classify(request);
+    const double weightedUnits = admission_.classify(request);
     const Cell& cell = cluster_.cell(request.cell());
-    usage_.record(*cell.usage, dueUnits);
-    cluster_.earnSlowStartTurns(cell, dueUnits);
+    usage_.record(*cell.usage, weightedUnits);
+    cluster_.earnSlowStartCredit(cell, weightedUnits);
     if (volume.hosts() > 1) gossip_.reportUsage(volume.key(), volume.usage(), {volume.limit().limited, 0, 0});
 }
 
@@ -87,21 +87,21 @@
     if (event.requestClosed || event.outcome == Outcome::Ok)
         finish(*request);
     else if (event.requestSpent)
-        giveUp(*request, 0, event.outcome == Outcome::Rejected ? kMinRetryAfterMoved : kMinRetryAfter);
+        rejectOrFail(*request, 0, event.outcome == Outcome::Rejected ? kMinRetryAfterMoved : kMinRetryAfter);
     else
-        retryOrGiveUp(*request);
+        retryOrFail(*request);
 }
 
 // Another attempt where the class, the budget and the time left allow one; else the final answer, now.
-void Policy::Impl::retryOrGiveUp(PendingRequest& request) {
-    if (!retries_.mayRetry(request)) return giveUp(request, 0, kMinRetryAfter);
+void Policy::Impl::retryOrFail(PendingRequest& request) {
+    if (!retries_.mayRetry(request)) return rejectOrFail(request, 0, kMinRetryAfter);
     const bool mayMove =
         request.info().cell.isNone() && !request.mayHaveRun();  // a new object that never ran
     if (mayMove) request.setCell(CellIndex());
     dispatcher_.enqueue(request);
 }
 
-void Policy::Impl::giveUp(PendingRequest& request, Micros retryAfter, Micros minRetryAfter) {
+void Policy::Impl::rejectOrFail(PendingRequest& request, Micros retryAfter, Micros minRetryAfter) {
     const Settings& settings = context_.settings;
     const Micros advice = std::min(std::max(retryAfter, minRetryAfter), settings.maxRetryAfterUs);
     if (RetryPolicy::mayReject(request))
@@ -113,25 +113,26 @@
 
 void Policy::Impl::handle(const CapacityNeeded& event) {
     for (int i = 0; i < event.connections; ++i)
-        if (PendingRequest* const least = dispatcher_.leastValuable()) giveUp(*least, 0, kMinRetryAfter);
+        if (PendingRequest* const least = dispatcher_.leastValuable())
+            rejectOrFail(*least, 0, kMinRetryAfter);
 }
 
 void Policy::Impl::shedLoad(CellIndex cell) {
     const RequestQueue& queue = dispatcher_.queues().of(cell);
     // In the batch in which they came: a client's last attempt may have only a few milliseconds left.
     for (PendingRequest* const request : queue.withDeadlineBefore(context_.now + 2 * kTickInterval))
-        giveUp(*request, 0, kMinRetryAfter);
+        rejectOrFail(*request, 0, kMinRetryAfter);
     if (queue.empty()) return;
     const auto overload = shedder_.overload(cluster_.cell(cell), queue);
     for (PendingRequest* const request : overload.requests)
-        giveUp(*request, overload.backlog, kMinRetryAfter);
+        rejectOrFail(*request, overload.backlog, kMinRetryAfter);
 }
 
 void Policy::Impl::handle(const TimerFired& event) {
     if (event.token != kTickToken) return;
     context_.emit(SetTimer{kTickInterval, kTickToken});
     if (context_.now - lastForgetAt_ >= kForgetInterval) forgetUnused();
-    leases_.useHomeOnceRecovered();
+    leases_.useOwnedChunksOnceRecovered();
     cluster_.renewWatch();
     sendRecoveryDatagrams();
     if (context_.settings.mayCancel) attempts_.cancelLost(requests_);
--- a/src/policy/policy_events.cpp
+++ b/src/policy/policy_events.cpp
@@ -42,7 +42,7 @@
     if (request.isFinished()) return;
     dispatcher_.dequeue(request);
     request.onFinished();
-    if (request.neverRan()) admission_.giveBack(request);
+    if (request.neverRan()) admission_.refund(request);
     retries_.onFinished(request);
     if (request.outstanding() == 0) requests_.erase(request.id());
 }
@@ -61,7 +61,7 @@
     const PeerDatagram datagram = inbox_.receive(event);
     if (!datagram.isAccepted) return;
     if (datagram.senderRestarted) leases_.onPeerRestarted(event.from);
-    leases_.useHomeOnceRecovered();
+    leases_.useOwnedChunksOnceRecovered();
     for (const peer::Record& record : datagram.records)
         std::visit([&](const auto& typed) { handleRecord(event.from, typed); }, record);
 }
--- a/src/policy/policy_impl.h
+++ b/src/policy/policy_impl.h
@@ -54,8 +54,8 @@
     [[nodiscard]] static Micros defaultLatencyObjective();
     [[nodiscard]] Volume& volumeOf(const Request& request);
     void admit(PendingRequest& request);
-    void retryOrGiveUp(PendingRequest& request);
-    void giveUp(PendingRequest& request, Micros retryAfter, Micros minRetryAfter);
+    void retryOrFail(PendingRequest& request);
+    void rejectOrFail(PendingRequest& request, Micros retryAfter, Micros minRetryAfter);
     void finish(PendingRequest& request);
     void shedLoad(CellIndex cell);
     void handleRecord(HostIndex from, const peer::LeaseRequest& request) { leases_.onRequest(from, request); }
--- a/src/policy/policy_snapshot.cpp
+++ b/src/policy/policy_snapshot.cpp
@@ -24,7 +24,7 @@
     state.volumes = volumes_.all();
     state.usage = usage_.entries();
     state.aggregates = gossip_.aggregates();
-    state.requestBytes = leases_.state().requestBytes;
+    state.requestBudget = leases_.state().requestBudget;
     state.requestTimes = retries_.state().requests.times;
     state.retryTimes = retries_.state().retries.times;
     return state;
@@ -60,7 +60,7 @@
     admission_.restore(std::move(levels));
     gossip_.restore(std::move(state->aggregates));
     volumes_.restore(std::move(state->volumes));
-    leases_.restore({state->leasesRecoveredAt, state->requestBytes});
+    leases_.restore({state->leasesRecoveredAt, state->requestBudget});
     retries_.restore({{std::move(state->requestTimes)}, {std::move(state->retryTimes)}});
     return true;
 }
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -21,12 +21,12 @@
     const double ahead =
         std::max((loadFactor(settings) - 1) * completed, std::min(completed, settings.maxUnits));
     const double allowed = std::max(settings.slowStartUnits / settings.hostCount, ahead);
-    return state_.turnUnits + state_.turnRounding * units >= units ||
+    return state_.credit + state_.creditDiscount * units >= units ||
            allowed - std::max(0.0, outstanding) >= units;
 }
 
-void SlowStartLimiter::earnTurn(const Settings& settings, double units, double own, const PeerUsage& others,
-                                Micros startedUs, Micros now) {
+void SlowStartLimiter::earnCredit(const Settings& settings, double units, double own, const PeerUsage& others,
+                                  Micros startedUs, Micros now) {
     const double fullGrowth = 1 / std::max(settings.slowStartCapacity, kMinStartCapacity);
     // A start that is announced for later counts as now.
     const double age = std::max(0.0, double(now - startedUs) / double(settings.slowStartDurationUs));
@@ -36,7 +36,7 @@
     const double capacity = std::max(guaranteed, others.slowStartRate);
     const double demand = std::max(own + others.rate, kNegligibleRate);
     const double earned = loadFactor(settings) * units * std::min(1.0, capacity / demand);
-    state_.turnUnits = std::min(state_.turnUnits + earned, settings.maxUnits);
+    state_.credit = std::min(state_.credit + earned, settings.maxUnits);
 }
 
 }  // namespace wingproxy
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -20,15 +20,15 @@
     /// All that it knows; for the snapshot.
     struct State {
         SlowStartWindow window;
-        double turnUnits = 0;     ///< earned by turns and not sent yet
-        double turnRounding = 0;  ///< part of a request that counts as earned, drawn from the seed
+        double credit = 0;          ///< earned by turns and not sent yet
+        double creditDiscount = 0;  ///< part of a request that counts as earned, drawn from the seed
     };
     SlowStartLimiter() = default;
     explicit SlowStartLimiter(State state) : state_(std::move(state)) {}
-    /// \param turnRounding from 0 to 1; differs from host to host, so that their turns do not come at once
-    static SlowStartLimiter withRounding(double turnRounding) {
+    /// \param creditDiscount from 0 to 1; differs from host to host, so that their turns do not come at once
+    static SlowStartLimiter withDiscount(double creditDiscount) {
         SlowStartLimiter fresh;
-        fresh.state_.turnRounding = turnRounding;
+        fresh.state_.creditDiscount = creditDiscount;
         return fresh;
     }
 
@@ -37,11 +37,11 @@
     /// Earns a turn's part of `units` that the cell is asked for through this host.
     /// \param startedUs when the node's process started
     /// \param own what the cell is asked for through this host, in units a second
-    void earnTurn(const Settings& settings, double units, double own, const PeerUsage& others,
-                  Micros startedUs, Micros now);
+    void earnCredit(const Settings& settings, double units, double own, const PeerUsage& others,
+                    Micros startedUs, Micros now);
     void onSent(const Settings& settings, double units, Micros now) {
         state_.window.addSent(units, now);
-        state_.turnUnits = std::max(state_.turnUnits - units, -settings.maxUnits);
+        state_.credit = std::max(state_.credit - units, -settings.maxUnits);
     }
     void onCompleted(double units, Micros now) { state_.window.addCompleted(units, now); }
 
--- a/src/policy/snapshot_archive.cpp
+++ b/src/policy/snapshot_archive.cpp
@@ -67,7 +67,7 @@
     archive(state.hash, state.plan, state.hosts, state.demand, state.quota.byCell, state.quota.demandByClass,
             limit.lastPeerAsked, state.quota.guaranteed, limit.lastRequestAt, limit.bucket.at, state.neededAt,
             limit.limited, limit.bucket.tokens, limit.baseRate, limit.baseBurst, limit.chunkRate,
-            limit.chunkBurst, limit.homeChunks, limit.granted, limit.held);
+            limit.chunkBurst, limit.ownedChunks, limit.granted, limit.held);
     volume = Volume(std::move(state));
 }
 template <typename Archive>
@@ -83,21 +83,21 @@
     LatencyEstimate& estimate = concurrency.estimate;
     archive(state.listed, state.info, concurrency.limit, estimate.latency, estimate.units, estimate.perUnit,
             outliers.errorShare, estimate.floor.current, estimate.floor.previous, estimate.floor.spanStart,
-            outliers.progressAt, concurrency.loweredAt, outliers.lastTrialAt, estimate.heardAt,
+            outliers.progressAt, concurrency.loweredAt, outliers.lastTrialAt, estimate.updatedAt,
             outliers.newestAnswered, outliers.lastHealthCheckAt, outliers.ejectedUntil, state.listedAt,
-            state.servesDrainUntil, outliers.failures, slowStart.window.samples, slowStart.turnUnits,
-            slowStart.turnRounding);
+            state.servesDrainUntil, outliers.failures, slowStart.window.samples, slowStart.credit,
+            slowStart.creditDiscount);
     node = Node(std::move(state));
 }
 template <typename Archive>
 void serialize(Archive& archive, CellState& state) {
-    archive(state.cell.nodes, state.cell.ready, state.cell.key, state.level.mostAsked, state.level.level);
+    archive(state.cell.nodes, state.cell.ready, state.cell.key, state.level.peakDemand, state.level.level);
 }
 template <typename Archive>
 void serialize(Archive& archive, PolicyState& state) {
     archive(state.startedAt, state.leasesRecoveredAt, state.lastReportAt, state.lastForgetAt, state.recovery,
             state.nextSequence, state.nodes, state.unusedNodes, state.nodeIndexById, state.cells,
-            state.volumes, state.usage, state.aggregates, state.requestBytes, state.requestTimes,
+            state.volumes, state.usage, state.aggregates, state.requestBudget, state.requestTimes,
             state.retryTimes);
 }
 
--- a/src/policy/snapshot_archive.h
+++ b/src/policy/snapshot_archive.h
@@ -39,7 +39,7 @@
     VolumeByName volumes;
     UsageByKey usage;
     AggregateByKey aggregates;
-    double requestBytes = 0;
+    double requestBudget = 0;
     std::deque<Micros> requestTimes;  ///< of the retry budget
     std::deque<Micros> retryTimes;
 };
--- a/src/policy/volume.h
+++ b/src/policy/volume.h
@@ -64,7 +64,7 @@
     double baseBurst = 0;  ///< units
     double chunkRate = 0;
     double chunkBurst = 0;  ///< units
-    int homeChunks = 0;     ///< that belong to this host
+    int ownedChunks = 0;    ///< that belong to this host
     TokenBucket bucket;
     double queuedUnits = 0;  ///< of requests that wait here without tokens
     std::vector<GrantedLease> granted;
@@ -85,9 +85,9 @@
         return sum;
     }
     /// Chunks that fill the bucket.
-    /// \param homeUsable whether this host may spend its own chunks
-    [[nodiscard]] int chunksInUse(bool homeUsable, Micros now) const {
-        int chunks = homeUsable ? std::max(0, homeChunks - chunksGranted()) : 0;
+    /// \param mayUseOwned whether this host may spend its own chunks
+    [[nodiscard]] int chunksInUse(bool mayUseOwned, Micros now) const {
+        int chunks = mayUseOwned ? std::max(0, ownedChunks - chunksGranted()) : 0;
         for (const auto& [peer, lease] : held)
             if (lease.until > now) chunks += lease.chunks;
         return chunks;
@@ -118,7 +118,7 @@
         return bucket.tokens * std::min(1.0, chunks * chunkBurst / burstOf(chunksUsed));
     }
     /// Takes the tokens of queued requests from the bucket, or a part of all if that is more.
-    double setAside(double part) {
+    double reserve(double part) {
         const double wanted = std::max(queuedUnits, part * bucket.tokens);
         const double taken = std::clamp(wanted, 0.0, std::max(0.0, bucket.tokens));
         bucket.tokens -= taken;
--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -36,7 +36,7 @@
     Micros now = kStart;
     const auto answer = [&](Micros latency) {
         now += latency;
-        limit.onAnswer({double(latency), 1, 16, limit.estimate().heardAt}, {now, double(kSecond), 1});
+        limit.onAnswer({double(latency), 1, 16, limit.estimate().updatedAt}, {now, double(kSecond), 1});
     };
     const double before = limit.attemptsAllowed({now, double(kSecond), 1});
     for (int i = 0; i < 20; ++i)
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -60,10 +60,10 @@
     EXPECT_TRUE(detector.onFailure(Outcome::Rejected, kStart, kStart));
     EXPECT_TRUE(detector.isSuspect(0, 0, kStart));
     EXPECT_GT(detector.ejectionLeft(kStart), 0);
-    EXPECT_TRUE(detector.mayTry(kStart));
+    EXPECT_TRUE(detector.admitsTrial(kStart));
     detector.onTrialSent(kStart);
-    EXPECT_FALSE(detector.mayTry(kStart + OutlierDetector::trialInterval() - 1));
-    EXPECT_TRUE(detector.mayTry(kStart + OutlierDetector::trialInterval()));
+    EXPECT_FALSE(detector.admitsTrial(kStart + OutlierDetector::trialInterval() - 1));
+    EXPECT_TRUE(detector.admitsTrial(kStart + OutlierDetector::trialInterval()));
     detector.onAnswer(false, kStart, kStart + kMs);
     EXPECT_FALSE(detector.isSuspect(0, 0, kStart + kMs));
     EXPECT_EQ(detector.ejectionLeft(kStart + kMs), 0);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -72,7 +72,7 @@
 
 TEST(SlowStartLimiter, AdmitsThisHostsPartAndThenWhatTheNodeCompletes) {
     const Settings s = settings(0, 3);  // 12 units in a window of 2 s for all hosts
-    auto limiter = SlowStartLimiter::withRounding(0);
+    auto limiter = SlowStartLimiter::withDiscount(0);
     EXPECT_TRUE(limiter.admits(s, 4, kStart));
     EXPECT_FALSE(limiter.admits(s, 5, kStart));
     limiter.onSent(s, 4, kStart);
@@ -84,13 +84,13 @@
 
 TEST(SlowStartLimiter, EarnsTurnsWhereItsPartIsSmallerThanARequest) {
     const Settings s = settings(0, 100);
-    auto limiter = SlowStartLimiter::withRounding(0);
+    auto limiter = SlowStartLimiter::withDiscount(0);
     EXPECT_FALSE(limiter.admits(s, 2, kStart));
-    limiter.earnTurn(s, 2, 1, PeerUsage{0, kStart, 0}, kStart, kStart);
+    limiter.earnCredit(s, 2, 1, PeerUsage{0, kStart, 0}, kStart, kStart);
     EXPECT_TRUE(limiter.admits(s, 2, kStart));  // the node can bear all that it is asked for
     limiter.onSent(s, 2, kStart);
     EXPECT_FALSE(limiter.admits(s, 2, kStart));
-    EXPECT_TRUE(SlowStartLimiter::withRounding(1).admits(s, 2, kStart));
+    EXPECT_TRUE(SlowStartLimiter::withDiscount(1).admits(s, 2, kStart));
 }
 
 }  // namespace
--- a/tests/policy/value_types_test.cpp
+++ b/tests/policy/value_types_test.cpp
@@ -61,7 +61,7 @@
     EXPECT_DOUBLE_EQ(estimate.usual(4), 80);
     estimate.setWait(100, kSecond);
     EXPECT_DOUBLE_EQ(estimate.latency, 140);
-    EXPECT_EQ(estimate.heardAt, kSecond);
+    EXPECT_EQ(estimate.updatedAt, kSecond);
 }
 
 TEST(EventWindow, CountsWhatIsNotTooOld) {
@@ -137,7 +137,7 @@
 
 TEST(VolumeLimit, CountsTheLargestRunningGrantOfEachPeer) {
     VolumeLimit limit;
-    limit.homeChunks = 10;
+    limit.ownedChunks = 10;
     limit.granted = {
         {HostIndex(1), 4, kSecond, 1}, {HostIndex(1), 2, kSecond, 2}, {HostIndex(2), 3, kSecond, 1}};
     EXPECT_EQ(limit.chunksGranted(), 7);
@@ -170,9 +170,9 @@
 TEST(VolumeLimit, SetsAsideWhatQueuedRequestsNeed) {
     VolumeLimit limit;
     limit.bucket.tokens = 8;
-    EXPECT_EQ(limit.setAside(0.25), 2);
+    EXPECT_EQ(limit.reserve(0.25), 2);
     limit.queuedUnits = 5;
-    EXPECT_EQ(limit.setAside(0.25), 5);
+    EXPECT_EQ(limit.reserve(0.25), 5);
     EXPECT_EQ(limit.bucket.tokens, 1);
     EXPECT_EQ(limit.backlog(), 4);
     limit.keepOnly(3);
