--- a/include/wingproxy/index.h
+++ b/include/wingproxy/index.h
@@ -30,7 +30,9 @@
         return Index(static_cast<int>(position));
     }
 
+    /// Whether it names nothing.
     [[nodiscard]] constexpr bool isNone() const { return value_ == kNoneValue; }
+    /// Whether it names something.
     [[nodiscard]] constexpr bool isSet() const { return value_ != kNoneValue; }
     /// The number, to be written where a plain integer is needed; `kNoneValue` if it names nothing.
     [[nodiscard]] constexpr int value() const { return value_; }
@@ -42,6 +44,7 @@
     /// The next number; of none it is 0.
     [[nodiscard]] constexpr Index next() const { return Index(value_ + 1); }
 
+    /// By the number; an index that names nothing comes first.
     constexpr auto operator<=>(const Index&) const = default;
 
     /// Writes to a cereal archive, or reads from one, the same bytes as those of `value()`.
--- a/include/wingproxy/policy.h
+++ b/include/wingproxy/policy.h
@@ -53,6 +53,7 @@
     bool stream = false;     ///< answers are long and forwarded as they come
     bool fifoByKey = false;  ///< requests with the same key are sent one after the other
     bool writes = false;     ///< changes data
+    /// Whether all fields are equal.
     bool operator==(const ClassInfo&) const = default;
 };
 
@@ -66,28 +67,29 @@
     double limit = 0;           ///< upper bound of the rate over all hosts; 0: none
     double limitBurst = 0;      ///< units that may be used at once, at the most
     double limitSlack = 0;      ///< units by which the limit may be passed
+    /// Whether all fields are equal.
     bool operator==(const PlanInfo&) const = default;
 };
 
 /// Everything that differs from one deployment to another.
 struct Settings {
-    std::uint64_t seed = 0;
+    std::uint64_t seed = 0;  ///< the only source of randomness; differs from host to host
     HostIndex hostIndex{0};  ///< this host, below hostCount
-    int hostCount = 1;
-    std::string zone;
+    int hostCount = 1;       ///< hosts of the tier, this one included
+    std::string zone;        ///< of this host; nodes have one too
     std::vector<ClassInfo> classes;
     std::vector<PlanInfo> plans;
     std::vector<std::string> reportColumns;  ///< names of the fields of a node's load report
     bool loadReportsOnlyByHealthCheck = false;
 
     // What the deployment allows.
-    int maxAttempts = 1;
-    bool mayCheckHealth = false;
-    bool mayGossip = false;  ///< hosts may send each other messages
-    bool mayCancel = false;  ///< attempts may be cancelled
-    bool hedging = false;    ///< a second attempt may start while the first one runs
-    bool sendsRetryAfter = false;
-    Micros maxRetryAfterUs = 0;
+    int maxAttempts = 1;             ///< of one request, the first included
+    bool mayCheckHealth = false;     ///< `StartHealthCheck` is carried out
+    bool mayGossip = false;          ///< hosts may send each other messages
+    bool mayCancel = false;          ///< attempts may be cancelled
+    bool hedging = false;            ///< a second attempt may start while the first one runs
+    bool sendsRetryAfter = false;    ///< rejections say when the client may come back
+    Micros maxRetryAfterUs = 0;      ///< and name no longer time than this
     bool pollsEndpointList = false;  ///< the endpoint list must be asked for; false: it is pushed
 
     // Obligations; 0 where one does not hold.
@@ -107,13 +109,13 @@
     Micros slowStartWindowUs = 0;        ///< over which load is counted; 0: no such rule
 
     // The size of requests, in units of work.
-    double meanUnits = 1;
-    double maxUnits = 1;
-    double shareWeight = 1;  ///< value of a unit inside the volume's weighted share
-    double spareWeight = 1;  ///< value of a unit beyond it
-    Micros meteringWindowUs = 0;
-    int cellCount = 0;  ///< cells are groups of nodes that hold the same objects
-    Micros roundUs = 0;
+    double meanUnits = 1;         ///< of one request
+    double maxUnits = 1;          ///< of one request
+    double shareWeight = 1;       ///< value of a unit inside the volume's weighted share
+    double spareWeight = 1;       ///< value of a unit beyond it
+    Micros meteringWindowUs = 0;  ///< over which the platform meters use; not used by the policy
+    int cellCount = 0;            ///< cells are groups of nodes that hold the same objects
+    Micros roundUs = 0;           ///< of the simulator; not used by the policy
 
     /// The shortest latency objective of all classes; 0 where none has one.
     Micros shortestLatencyObjective() const {
@@ -124,19 +126,25 @@
         }
         return shortest;
     }
+    /// Whether all fields are equal, so that a reload can tell that nothing changed.
     bool operator==(const Settings&) const = default;
 };
 
 // ------------------------------------------------------------------------------------------------ events
 
-enum class NodeState { Ready, Draining, Removed };
+/// What discovery says of a node.
+enum class NodeState {
+    Ready,
+    Draining,  ///< it will stop: new requests only within `Settings::drainGraceUs`
+    Removed,   ///< it is off the list
+};
 
 /// One storage node, as discovery lists it.
 struct NodeInfo {
-    std::string id;
-    std::string zone;
+    std::string id;    ///< as discovery names it; unique within a list
+    std::string zone;  ///< scope of `KeyScope::Zone`
     CellIndex cell{0};
-    double rating = 1;
+    double rating = 1;  ///< relative capacity, as discovery gives it; not used by the policy
     NodeState state = NodeState::Ready;
     Micros startedUs = 0;  ///< 0: long ago
 };
@@ -148,9 +156,10 @@
     Cached,       ///< all nodes as known before the start; may be old
     Unavailable,  ///< no list: the call to discovery failed
 };
+/// The nodes that discovery lists, or what changed since the list before.
 struct EndpointList {
     EndpointListKind kind = EndpointListKind::Full;
-    std::int64_t version = 0;
+    std::int64_t version = 0;  ///< as discovery counts them; 0: unknown
     std::vector<NodeInfo> nodes;
 };
 
@@ -160,11 +169,11 @@
     ClassIndex classIndex;  ///< none: unknown name
     PlanIndex planIndex;    ///< none: unknown name
     std::string key;        ///< idempotency key, and the key of ordered classes
-    std::string volume;
+    std::string volume;     ///< name of what its limit and quota belong to
     Micros deadlineUs = 0;  ///< the client must have its final answer by then
     double units = 1;
-    CellIndex cell;  ///< the cell that holds the object; none: a new object, any cell
-    int volumeHosts = 1;
+    CellIndex cell;               ///< the cell that holds the object; none: a new object, any cell
+    int volumeHosts = 1;          ///< hosts that serve the volume, this one included
     bool retry = false;           ///< the client tries again
     bool bodyIncomplete = false;  ///< its body is still coming
 };
@@ -175,16 +184,18 @@
     Error,          ///< an error status; it may have run
     Rejected,       ///< the node had no capacity and did nothing
     Timeout,        ///< nothing in time; it may run yet
-    ConnectFailed,  ///< no connection, or broken before the request was whole: it never ran
-    Reset,          ///< broken after the request was whole; it may have run
+    ConnectFailed,  ///< no connection, or broken before the request was complete: it never ran
+    Reset,          ///< broken after the request was complete; it may have run
     Cancelled,      ///< ended from this side
     NotStarted,     ///< ordered for a request or node that was gone by then
 };
 inline constexpr std::size_t kOutcomeCount = 8;
 
+/// Discovery answered, or failed to: `EndpointListKind::Unavailable`.
 struct EndpointListReceived {
     EndpointList list;
 };
+/// A client's request came; it gets one final answer, unless it is cancelled first.
 struct RequestReceived {
     Request request;
 };
@@ -193,16 +204,17 @@
     RequestId id = 0;
     Micros deadlineUs = 0;
 };
+/// An attempt that `ForwardRequest` ordered has ended. Each one ends once.
 struct AttemptOutcome {
     RequestId id = 0;
     AttemptIndex attempt{0};
     std::string node;
     Outcome outcome = Outcome::Ok;
-    Micros elapsedUs = 0;        ///< since the attempt started
-    bool requestClosed = false;  ///< the request has its final answer
-    double loadPercent = 0;      ///< how busy the node says it is
-    double loadElsewhere = 0;    ///< units a second that other hosts send it, by its own word
-    std::vector<double> loadReport;
+    Micros elapsedUs = 0;            ///< since the attempt started
+    bool requestClosed = false;      ///< the request has its final answer
+    double loadPercent = 0;          ///< how busy the node says it is
+    double loadElsewhere = 0;        ///< units a second that other hosts send it, as it reports
+    std::vector<double> loadReport;  ///< one value for each of `Settings::reportColumns`; empty: none came
     bool requestSpent = false;  ///< no further attempt is possible: the body is gone, or the request is over
 };
 /// The node's response began.
@@ -226,19 +238,23 @@
 struct CapacityNeeded {
     int connections = 0;
 };
+/// The time of a `SetTimer` has come.
 struct TimerFired {
-    std::uint64_t token = 0;
+    std::uint64_t token = 0;  ///< of that `SetTimer`
 };
+/// A datagram of another host. Contents may be anything: they are checked here.
 struct PeerMessageReceived {
     HostIndex from{0};
     std::string bytes;
 };
+/// A check that `StartHealthCheck` ordered has ended.
 struct HealthCheckCompleted {
     std::string node;
     Outcome outcome = Outcome::Ok;
     Micros elapsedUs = 0;
     std::vector<double> loadReport;
 };
+/// Anything that the policy is notified of.
 using Event = std::variant<EndpointListReceived, RequestReceived, RequestBodyCompleted, AttemptOutcome,
                            ResponseStarted, RequestCancelled, ShutdownStarted, CapacityNeeded, TimerFired,
                            PeerMessageReceived, HealthCheckCompleted>;
@@ -261,10 +277,12 @@
 struct FailRequest {
     RequestId id = 0;
 };
+/// Ends an attempt from this side; its outcome is `Outcome::Cancelled`.
 struct CancelAttempt {
     RequestId id = 0;
     AttemptIndex attempt{0};
 };
+/// Checks the health of a node once, to learn whether it answers at all.
 struct StartHealthCheck {
     std::string node;
 };
@@ -273,10 +291,13 @@
 public:
     /// One host. Implicit, as a host is the usual recipient.
     constexpr PeerRecipient(HostIndex host) : host_(host) {}
+    /// Every host of the tier but the sender.
     [[nodiscard]] static constexpr PeerRecipient everyPeer() { return PeerRecipient(HostIndex()); }
+    /// Whether the message goes to every peer.
     [[nodiscard]] constexpr bool isEveryPeer() const { return host_.isNone(); }
     /// The one host; none if the message goes to every peer.
     [[nodiscard]] constexpr HostIndex host() const { return host_; }
+    /// Whether both name the same host, or every peer.
     constexpr bool operator==(const PeerRecipient&) const = default;
 
 private:
@@ -287,6 +308,7 @@
     PeerRecipient to = PeerRecipient::everyPeer();
     std::string bytes;
 };
+/// Orders a `TimerFired` with this token after the delay. Timers cannot be cancelled.
 struct SetTimer {
     Micros delayUs = 0;
     std::uint64_t token = 0;
@@ -295,9 +317,11 @@
 struct WatchEndpointList {
     bool enabled = true;
 };
+/// A line for the log, without the time.
 struct LogLine {
     std::string text;
 };
+/// Anything that the policy orders; its caller carries actions out in their order.
 using Action = std::variant<ForwardRequest, RejectRequest, FailRequest, CancelAttempt, StartHealthCheck,
                             SendPeerMessage, SetTimer, WatchEndpointList, LogLine>;
 
@@ -309,7 +333,9 @@
     /// \param now the start of this process, which names its incarnation to the peers
     Policy(const Settings& settings, Micros now);
     ~Policy();
+    /// The policy that was moved from may only be destroyed or assigned to.
     Policy(Policy&&) noexcept;
+    /// As above.
     Policy& operator=(Policy&&) noexcept;
 
     /// Takes one event; events come in the order in which they happened.
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -20,11 +20,15 @@
     static constexpr double kUnlimited =
         1e9;  ///< a level with no end: whatever is asked lies inside the share
 
-    /// Of one cell, in units a second and weight.
+    /// The rate above which a cell's load counts as spare: units a second that a volume may ask the cell for,
+    /// for each share of its plan, beyond its guaranteed rate.
     struct WaterLevel {
-        double peakDemand = 0;  ///< by any volume, lately
+        double peakDemand =
+            0;  ///< the most that any volume asked for lately, in the same unit; decays slowly
         double level = kUnlimited;
     };
+    /// \param usage gives this host's part of a volume's use
+    /// \param cluster gives the latency of a cell's nodes; all three must outlive the object
     Admission(const Context& context, UsageTable& usage, ClusterView& cluster)
         : context_(context), usage_(usage), cluster_(cluster) {}
 
@@ -36,10 +40,11 @@
         volume.quota().guaranteed.tokens = plan.guaranteedRate / volume.hosts() + context_.settings.maxUnits;
     }
     /// Counts a request that arrived, and gives it its quota class. It must have a cell. This host keeps its
-    /// part of each quota, by its part of the volume's use. \return units that are due to it in its cell:
-    /// spare ones count for less
+    /// part of each quota, by its part of the volume's use.
+    /// \return its units as they count in the cell's use: spare ones by `Settings::spareWeight` over
+    ///         `Settings::shareWeight`, as that use decides which share of the nodes this host may take
     double classify(PendingRequest& request);
-    /// A request is over of which nothing ran: its units go back to the quota.
+    /// A request is over of which nothing ran: its units go back to the quota that `classify` took them from.
     void refund(const PendingRequest& request) const {
         VolumeQuota& quota = request.volume().quota();
         if (request.quota() == QuotaClass::Guaranteed) quota.guaranteed.tokens += request.units();
@@ -59,10 +64,11 @@
     /// kept for requests of higher value.
     [[nodiscard]] double maxLatency(const PendingRequest& request) const;
 
-    /// The level of a cell.
+    /// The level of a cell; unlimited for one that no request was for yet.
     [[nodiscard]] WaterLevel levelOf(CellIndex cell) const {
         return cell.position() < levels_.size() ? levels_[cell.position()] : WaterLevel();
     }
+    /// Takes over the levels of a predecessor process, by cell.
     void restore(std::vector<WaterLevel> levels) { levels_ = std::move(levels); }
 
 private:
--- a/src/policy/attempt_tracker.h
+++ b/src/policy/attempt_tracker.h
@@ -12,10 +12,11 @@
 /// Keeps the counts of attempts at nodes, and passes what they show to the node's limits and to gossip.
 class AttemptTracker {
 public:
+    /// \param retries charges retries to the retry budget; all four must outlive the object
     AttemptTracker(Context& context, ClusterView& cluster, Gossip& gossip, RetryPolicy& retries)
         : context_(context), cluster_(cluster), gossip_(gossip), retries_(retries) {}
 
-    /// Sends a request to a node; the guards were asked before.
+    /// Sends a request to a node. `RetryPolicy::maySend` must have allowed it in this batch.
     void send(PendingRequest& request, NodeIndex index) {
         Node& node = cluster_.node(index);
         const double units = request.units();
@@ -30,23 +31,26 @@
         context_.emit(ForwardRequest{request.id(), node.info().id, 0, lastByteBy});
     }
     /// Whether an outcome says anything of its node.
-    /// \param heldSlot whether the attempt was complete and unanswered: else a rejection or an answer says
-    /// nothing
+    /// \param heldSlot whether its body was complete and its node had not answered: else an answer or an
+    /// error
+    ///        was counted before, or came for a part of the body
     [[nodiscard]] static bool isNodeEvidence(const AttemptOutcome& event, bool heldSlot);
     /// An attempt ended, or its node has done its work.
     /// \param units of its request
     /// \param elapsed since it was sent, in microseconds
     void onOutcome(Node& node, double units, Micros elapsed, Outcome outcome);
-    /// A request body is complete: from now on its attempts hold places at their nodes.
+    /// A request body is complete: from now on its attempts hold slots at their nodes.
     void onBodyCompleted(const PendingRequest& request) {
         for (const auto& [attempt, index] : request.nodeByAttempt())
             cluster_.node(index).onAttemptSent(true, context_.now);
     }
-    /// Cancels attempts whose answers are lost, so that their places are free and the time that is left goes
-    /// to another attempt. Checks the health of nodes where that is not sure.
+    /// Cancels attempts whose answers are lost, so that their slots are free and the time that is left goes
+    /// to another attempt. Checks the health of nodes where that is not sure. To be called each tick, if the
+    /// deployment allows cancelling.
     void cancelLost(const RequestTable& requests);
 
 private:
+    /// What is believed of an attempt without an answer.
     enum class Verdict { Waiting, Unsure, Lost };
     void onFailure(Node& node, Micros sentAt, Outcome outcome);
     void onAnswer(Node& node, double units, Micros elapsed);
--- a/src/policy/cluster_view.h
+++ b/src/policy/cluster_view.h
@@ -17,15 +17,17 @@
 /// Owns the table of nodes and cells, and keeps it as the endpoint list says.
 class ClusterView {
 public:
+    /// Both must outlive the object. The first call to discovery is due after a part of the spread over
+    /// hosts.
     ClusterView(Context& context, UsageTable& usage);
 
     // -- endpoint list
-    /// Takes an endpoint list over.
+    /// Takes an endpoint list over. Lists but for deltas replace the one before.
     /// \return the nodes on it whose process is new: nothing that was learnt of an earlier one holds
     std::vector<NodeInfo> apply(const EndpointList& list);
     /// The call to discovery failed: it is repeated after a backoff.
     void onListUnavailable();
-    /// Calls discovery where that is due.
+    /// Calls discovery where that is due; to be called each tick.
     void renewWatch();
     /// Forgets nodes that were not listed for `period`, but for those in use.
     /// \param pinned nodes near which an open request may have to be repeated
@@ -34,15 +36,23 @@
     }
 
     // -- tables
+    /// The node of this index, which must not be forgotten yet.
     [[nodiscard]] Node& node(NodeIndex index) { return table_.node(index); }
+    /// As above, to read.
     [[nodiscard]] const Node& node(NodeIndex index) const { return table_.node(index); }
+    /// The node of this id, listed or remembered; null if there is none.
     [[nodiscard]] Node* findNode(const std::string& id) { return table_.find(id); }
+    /// Nodes that are listed or remembered.
     [[nodiscard]] std::size_t nodeCount() const { return table_.namedNodes(); }
     /// The cell of this number, in use from now on.
     const Cell& cell(CellIndex number) { return table_.cell(number); }
+    /// All cells by number; some may not be in use yet.
     [[nodiscard]] const std::vector<Cell>& cells() const { return table_.cells(); }
+    /// One more than the highest number of a cell.
     [[nodiscard]] int cellCount() const { return int(table_.cells().size()); }
+    /// Attempts of this host that hold a slot at a node of the cell.
     [[nodiscard]] int outstandingIn(const Cell& cell) const { return table_.outstandingIn(cell); }
+    /// For the snapshot.
     [[nodiscard]] NodeTable::State state() const { return table_.state(); }
     /// Takes a state over; the usage table must have been restored before. Discovery is called at once.
     void restore(NodeTable::State state) {
@@ -55,17 +65,20 @@
     /// Whether it may get new requests. A draining node serves on for a part of its grace where its cell has
     /// no other.
     [[nodiscard]] bool acceptsRequests(const Node& node) const;
+    /// Whether its process started less than `Settings::slowStartDurationUs` ago.
     [[nodiscard]] bool isWarmingUp(const Node& node) const {
         return node.info().startedUs > 0 &&
                context_.now - node.info().startedUs < context_.settings.slowStartDurationUs;
     }
-    /// Whether slow start allows one more request of `units`.
+    /// Whether slow start allows one more request of `units`; always true for a node that is warm. Not const,
+    /// as samples that are too old are dropped on the way.
     [[nodiscard]] bool slowStartAdmits(Node& node, double units) const;
+    /// Whether it was ejected or is silent, so that it gets trial requests only.
     [[nodiscard]] bool isSuspect(const Node& node) const {
         return node.outliers().isSuspect(node.outstanding(), node.concurrency().estimate().latency,
                                          context_.now);
     }
-    /// Microseconds that an answer takes, as far as is known.
+    /// Microseconds that an answer of mean size takes, as far as is known.
     [[nodiscard]] double expectedLatency(const Node& node) const {
         return node.concurrency().expectedLatency(context_.now, context_.latencyObjective);
     }
@@ -77,6 +90,7 @@
     [[nodiscard]] double unitsPerSecond(const Node& node) const {
         return node.concurrency().unitsPerSecond(conditionsOf(node));
     }
+    /// What its concurrency limit is read against now.
     [[nodiscard]] ConcurrencyLimit::Conditions conditionsOf(const Node& node) const {
         const bool hasCell = node.info().cell.isBelow(cellCount());
         const KeyUsage* usage = hasCell ? cells()[node.info().cell.position()].usage : nullptr;
@@ -92,7 +106,7 @@
     }
 
     // -- what happened
-    /// Units that a cell is asked for: each of its starting nodes earns a turn's part of them.
+    /// This host is asked for `units` in a cell: it earns credit at each node there that is warming up.
     void earnSlowStartCredit(const Cell& cell, double units) {
         if (context_.settings.slowStartWindowUs <= 0) return;
         for (const NodeIndex index : cell.nodes) {
@@ -104,7 +118,7 @@
                                           context_.now);
         }
     }
-    /// A peer says how long requests wait in a cell.
+    /// A peer reported how long requests wait in a cell.
     void onWaitReported(CellIndex cell, double waitUs) {
         for (const NodeIndex index : cells().at(cell.position()).nodes)
             node(index).concurrency().onWaitReported(waitUs, context_.now);
--- a/src/policy/concurrency_limit.h
+++ b/src/policy/concurrency_limit.h
@@ -18,7 +18,7 @@
     struct State {
         double limit = 0;  ///< attempts of all hosts together that may be outstanding
         LatencyEstimate estimate;
-        Micros loweredAt = kNever;
+        Micros loweredAt = kNever;  ///< last decrease because of slow answers
     };
     /// What the limit is read against.
     struct Conditions {
@@ -28,12 +28,13 @@
     };
     /// An answer of the node.
     struct Answer {
-        double latency = 0;
+        double latency = 0;             ///< since it was sent
         double units = 0;               ///< of its request
         int outstanding = 0;            ///< attempts of this host
         Micros updatedBefore = kNever;  ///< `estimate().updatedAt` before the answer was reported to peers
     };
     ConcurrencyLimit() = default;
+    /// Takes over what a predecessor process knew.
     explicit ConcurrencyLimit(const State& state) : state_(state) {}
     /// A node whose process began, as far as is known, at `now`.
     static ConcurrencyLimit startingAt(Micros now);
@@ -48,13 +49,17 @@
     [[nodiscard]] double unitsPerSecond(const Conditions& conditions) const;
     /// Up to this latency the node has no queue to speak of.
     [[nodiscard]] double unqueuedLatency() const;
+    /// What the answers say of the node's latency.
     [[nodiscard]] const LatencyEstimate& estimate() const { return state_.estimate; }
 
+    /// An answer came: the limit rises while it is used and answers are quick, and falls while they are slow.
     void onAnswer(const Answer& answer, const Conditions& conditions);
+    /// A failure that counts against the node: the limit is halved, to no less than 1.
     void onFailure();
-    /// A peer says how long requests wait at the node.
+    /// A peer reported how long requests wait at the node, in microseconds.
     void onWaitReported(double wait, Micros now) { state_.estimate.setWait(wait, now); }
 
+    /// For the snapshot.
     [[nodiscard]] const State& state() const { return state_; }
 
 private:
--- a/src/policy/context.h
+++ b/src/policy/context.h
@@ -26,7 +26,7 @@
     }
 
     Settings settings;
-    Micros now = 0;
+    Micros now = 0;               ///< of the batch; never falls
     Micros startedAt = 0;         ///< of this host's earliest process in a row of hot restarts
     double latencyObjective = 0;  ///< the shortest of all classes, in microseconds
     bool handedOver = false;  ///< a successor process has all rights; open requests are only finished here
--- a/src/policy/decaying_rate.h
+++ b/src/policy/decaying_rate.h
@@ -31,7 +31,7 @@
 /// A value and when it was measured.
 struct TimedValue {
     double value = 0;
-    Micros at = 0;
+    Micros at = 0;  ///< when it was measured
 };
 
 }  // namespace wingproxy
--- a/src/policy/dispatcher.h
+++ b/src/policy/dispatcher.h
@@ -12,6 +12,8 @@
 /// Owns the queues of the cells.
 class Dispatcher {
 public:
+    /// \param admission says what a request is worth and how long a latency it accepts
+    /// \param retries is asked before every send
     Dispatcher(const Context& context, ClusterView& cluster, const Admission& admission, RetryPolicy& retries,
                AttemptTracker& attempts)
         : context_(context),
@@ -20,7 +22,7 @@
           retries_(retries),
           attempts_(attempts) {}
 
-    /// The cell with the shortest wait for a new object of this size.
+    /// The cell with the shortest wait for a new object of this size, in units. Cell 0 where none is known.
     [[nodiscard]] CellIndex cellForNewObject(double units);
     /// Queues a request, in a cell of its choice where none is set.
     void enqueue(PendingRequest& request) {
@@ -43,11 +45,14 @@
     [[nodiscard]] PendingRequest* leastValuable() {
         return queues_.least([&](const PendingRequest& request) { return admission_.value(request); });
     }
+    /// The queues, to mark what changed and to see what waits.
     [[nodiscard]] CellQueues& queues() { return queues_; }
 
     /// The number of a new request in the order of arrival.
     std::uint64_t nextSequence() { return nextSequence_++; }
+    /// The number that the next request gets, for the snapshot.
     [[nodiscard]] std::uint64_t sequence() const { return nextSequence_; }
+    /// Goes on with the numbers of a predecessor process.
     void restore(std::uint64_t sequence) { nextSequence_ = sequence; }
 
 private:
--- a/src/policy/gossip.h
+++ b/src/policy/gossip.h
@@ -1,5 +1,5 @@
 /// \file
-/// Tells the hosts what the others are asked for, through one rendezvous host for each key.
+/// Reports to each host what the others are asked for, through one rendezvous host for each key.
 ///
 /// Hosts do not broadcast. What a volume or a cell is asked for through a host goes to the rendezvous host of
 /// its key, when it has changed. That host sums it up and tells each host concerned what the others are asked
@@ -14,11 +14,14 @@
 
 namespace wingproxy {
 
+/// The aggregates that one host keeps, by the key of a volume or a cell.
 using AggregateByKey = std::map<std::uint32_t, KeyAggregate>;
 
 /// Owns the aggregates of the keys whose rendezvous host this is.
 class Gossip {
 public:
+    /// \param usage gets what the others report of this host's own keys
+    /// \param cluster gets the waits that are reported for cells
     Gossip(const Context& context, UsageTable& usage, ClusterView& cluster, PeerOutbox& outbox)
         : context_(context), usage_(usage), cluster_(cluster), outbox_(outbox) {}
 
@@ -27,7 +30,7 @@
 
     /// What is new about a key, besides its rate.
     struct Observation {
-        bool joins = false;   ///< the other hosts of the key are asked for
+        bool joins = false;   ///< this host wants to know the other hosts of the key
         double waitUs = 0;    ///< of an answer; 0: none
         int outstanding = 0;  ///< attempts
     };
@@ -43,6 +46,7 @@
 
     /// \param from the host that sent it
     void handle(HostIndex from, const peer::UsageReport& report);
+    /// The rendezvous host of a key reported what the others are asked for and how long requests wait there.
     void handle(HostIndex /*from*/, const peer::UsageAggregate& aggregate) {
         KeyUsage* const usage = usage_.find(aggregate.key);
         if (!usage) return;
@@ -50,6 +54,7 @@
         if (usage->cell().isSet() && aggregate.wait.code > 0)
             cluster_.onWaitReported(usage->cell(), aggregate.wait.us());
     }
+    /// The rendezvous host of a key named another host that uses it. Numbers that are no peer are ignored.
     void handle(HostIndex /*from*/, const peer::MembershipNotice& notice) {
         KeyUsage* const usage = usage_.find(notice.key);
         const Settings& settings = context_.settings;
@@ -67,11 +72,14 @@
         std::erase_if(aggregates_, [](const auto& entry) { return entry.second.hosts.empty(); });
     }
 
-    /// Least time between two reports of a key that changed.
+    /// Least time between two reports of a key that changed, in microseconds.
     static Micros reportInterval();
 
+    /// Number of aggregates, for `Policy::tableEntries`.
     [[nodiscard]] std::size_t size() const { return aggregates_.size(); }
+    /// For the snapshot.
     [[nodiscard]] const AggregateByKey& aggregates() const { return aggregates_; }
+    /// Takes over the aggregates of a predecessor process.
     void restore(AggregateByKey aggregates) { aggregates_ = std::move(aggregates); }
 
 private:
--- a/src/policy/key_aggregate.h
+++ b/src/policy/key_aggregate.h
@@ -27,12 +27,12 @@
 /// Records of one key, and the sums that were last sent to the hosts.
 struct KeyAggregate {
     std::map<HostIndex, HostUsage> hosts;
-    std::set<HostIndex> joined;  ///< hosts that want to know each other
-    double sentRate = 0;
-    double sentSlowStartRate = 0;
-    double meanWait = 0;         ///< of answers, microseconds, smoothed
-    double meanOutstanding = 0;  ///< while these waited, smoothed
-    TimedValue sentWait;
+    std::set<HostIndex> joined;      ///< hosts that want to know each other
+    double sentRate = 0;             ///< units a second
+    double sentSlowStartRate = 0;    ///< units a second
+    double meanWait = 0;             ///< of answers, microseconds, smoothed
+    double meanOutstanding = 0;      ///< while these waited, smoothed
+    TimedValue sentWait;             ///< microseconds
     DecayingRate slowStart;          ///< units completed by starting nodes for all hosts
     Micros slowStartUntil = kNever;  ///< end of the slow start of the cell's newest node
 
@@ -68,6 +68,7 @@
         all.slowStartRate = now < slowStartUntil ? slowStart.rate(now, slowStartMemory) : 0;
         return all;
     }
+    /// These totals were sent to all hosts: the next ones are compared with them.
     void onSent(const UsageTotals& totals, Micros now) {
         sentRate = totals.rate;
         sentSlowStartRate = totals.slowStartRate;
--- a/src/policy/key_order.h
+++ b/src/policy/key_order.h
@@ -15,9 +15,10 @@
 /// pause is next.
 class KeyOrder {
 public:
+    /// A request arrived: it is served after all that have the key already.
     void add(const std::string& key, RequestId id) { keys_[key].order.push_back(id); }
-    /// Whether it is the turn of this request, the key is not paused for it, and no attempt of an earlier
-    /// request runs.
+    /// Whether this request is the first of its key, the key is not paused for it, and no attempt of an
+    /// earlier request runs. True for a key that is not known.
     [[nodiscard]] bool isNext(const std::string& key, RequestId id, Micros now) const {
         const auto entry = keys_.find(key);
         if (entry == keys_.end()) return true;
@@ -48,9 +49,11 @@
         if (entry == keys_.end()) return;
         entry->second.abandonedAttempts = std::max(0, entry->second.abandonedAttempts - 1);
     }
+    /// Forgets keys without requests, attempts and pause.
     void forgetIdle(Micros now) {
         std::erase_if(keys_, [&](const auto& entry) { return entry.second.isIdle(now); });
     }
+    /// Number of keys, for `Policy::tableEntries`.
     [[nodiscard]] std::size_t size() const { return keys_.size(); }
 
 private:
--- a/src/policy/key_usage.h
+++ b/src/policy/key_usage.h
@@ -32,6 +32,7 @@
         int reportedOutstanding = 0;
         int volumes = 0;  ///< how many volumes of this host have the key, as two names may share a hash
     };
+    /// Nothing is known of the key yet.
     KeyUsage() = default;
     /// Takes over what a predecessor process knew.
     explicit KeyUsage(State state) : state_(std::move(state)) {}
--- a/src/policy/latency_estimate.h
+++ b/src/policy/latency_estimate.h
@@ -30,7 +30,7 @@
         units += unitsWeight * (newUnits - units);
         perUnit = latency / units;
     }
-    /// A peer says how long requests wait there.
+    /// A peer reported how long requests wait there, which comes on top of the latency without a queue.
     void setWait(double wait, Micros now) {
         latency = unqueued() + wait;
         updatedAt = now;
--- a/src/policy/latency_floor.h
+++ b/src/policy/latency_floor.h
@@ -12,11 +12,13 @@
 /// The least sample of the current span and the one before it, so that a floor outlives a pause but not a
 /// change of pace.
 struct LatencyFloor {
-    double current = 0;   ///< least sample of this span; 0: none
-    double previous = 0;  ///< least sample of the span before; 0: none
-    Micros spanStart = 0;
+    double current = 0;    ///< least sample of this span; 0: none
+    double previous = 0;   ///< least sample of the span before; 0: none
+    Micros spanStart = 0;  ///< of the current span
 
+    /// The floor; 0: no sample yet.
     [[nodiscard]] double value() const { return previous > 0 ? std::min(previous, current) : current; }
+    /// Takes a sample into the span that `now` lies in.
     /// \param span length of a span, in microseconds
     void record(double sample, Micros now, Micros span) {
         if (now - spanStart > span) {
--- a/src/policy/lease_allocator.cpp
+++ b/src/policy/lease_allocator.cpp
@@ -6,8 +6,8 @@
 namespace wingproxy {
 namespace {
 
-// The design's cut of a limit, rounded for each host. Where hosts are many a home still has a few chunks: a
-// host with little demand would else need all of its home for it, and the busy one could borrow nothing.
+// The design's number of chunks, rounded for each host. Where hosts are many each still owns a few: a host
+// with little demand would else need all of its own for it, and the busy one could borrow nothing.
 constexpr int kChunksOfLimit = 20;
 constexpr int kMinOwnedChunks = 4;
 constexpr Micros kLeaseDuration = 2'000'000;  // long against a message, short against a surge of demand
@@ -134,7 +134,7 @@
     refill(*volume);
     HeldLease* const lease = volume->limit().findRequested(from, grant.stamp);
     if (!lease) return false;
-    // The home counts what it granted before until it hears that no more than this is used.
+    // The owner counts what it granted before until it learns that no more than this is used.
     if (lease->until > context_.now && int(grant.chunks) < lease->chunks)
         outbox_.send(from, peer::LeaseReturn{volume->hash(), grant.chunks, grant.stamp});
     lease->onGranted(std::min(int(grant.chunks), volume->limit().ownedChunks), kLeaseDuration);
--- a/src/policy/lease_allocator.h
+++ b/src/policy/lease_allocator.h
@@ -1,9 +1,9 @@
 /// \file
 /// Cuts a volume's limit into chunks, and leases them between the hosts that serve it (docs/design.md).
 ///
-/// Each host has a base and a home, a number of chunks that belong to it. It spends both, but for the chunks
-/// that it leased to peers. The sum over all hosts is the limit, whichever messages are lost: a home grants a
-/// chunk once, and the lease ends at the borrower first, which counts from its request, the home from its
+/// Each host has a base rate and a number of chunks that it owns. It spends both, but for the chunks that it
+/// leased to peers. The sum over all hosts is the limit, whichever messages are lost: the owner grants a
+/// chunk once, and the lease ends at the borrower first, which counts from its request, the owner from its
 /// grant.
 #pragma once
 
@@ -20,6 +20,8 @@
 class LeaseAllocator {
 public:
     /// \param recovery says when leases of an earlier process of this host are over
+    /// \param usage says which peers may have chunks, and what they are asked for
+    /// \param outbox takes the messages; all five must outlive the object
     LeaseAllocator(const Context& context, const fleet::RestartRecovery& recovery, UsageTable& usage,
                    VolumeTable& volumes, PeerOutbox& outbox);
 
@@ -35,11 +37,13 @@
         refill(volume);
         return volume.limit().bucket.tokens >= units;
     }
+    /// Takes tokens for a request that is sent. `hasTokens` must have allowed it in this batch.
     static void spend(Volume& volume, double units) {
         if (volume.limit().limited) volume.limit().bucket.tokens -= units;
     }
     /// Units of requests that wait without tokens: a demand beyond what arrives.
     static void addQueuedUnits(Volume& volume, double units) { volume.limit().queuedUnits += units; }
+    /// These units wait no more, or have their tokens.
     static void removeQueuedUnits(Volume& volume, double units) {
         volume.limit().queuedUnits = std::max(0.0, volume.limit().queuedUnits - units);
     }
@@ -48,14 +52,15 @@
     [[nodiscard]] double timeToTokens(const Volume& volume, double units) const;
 
     // -- leases
-    /// Requests chunks where demand passes the claim, returns them where it fell below.
+    /// Requests chunks where demand passes what this host may spend now, returns them where it fell below.
     void rebalance(Volume& volume);
     /// Rebalances all volumes.
     void rebalanceAll() {
         for (auto& [name, volume] : volumes_.all())
             rebalance(volume);
     }
-    /// A request came from a client: it pays for requests of chunks.
+    /// A request came from a client: it pays for bytes of requests for chunks, so that the messages between
+    /// hosts stay in proportion to the work.
     void addRequestBudget();
     /// Keeps a peer's request until the batch ends.
     void onRequest(HostIndex from, const peer::LeaseRequest& request) {
@@ -63,8 +68,10 @@
     }
     /// Grants what this host does not need itself, to lower host numbers first.
     void serveRequests();
-    /// \return whether a request may have become possible
+    /// A peer answered a request for chunks. Answers to other requests than the last one are ignored.
+    /// \return whether a client's request may have become possible
     bool onGrant(HostIndex from, const peer::LeaseGrant& grant);
+    /// A peer keeps fewer of the chunks that this host granted.
     void onReturn(HostIndex from, const peer::LeaseReturn& returned) {
         Volume* const volume = volumes_.find(returned.volume);
         if (!volume) return;
@@ -85,10 +92,11 @@
     void useOwnedChunksOnceRecovered() {
         if (state_.recoveredAt <= context_.now || !recovery_.isRecovered(context_.now)) return;
         for (auto& [name, volume] : volumes_.all())
-            refill(volume);  // until now without the home
+            refill(volume);  // until now without its own chunks
         state_.recoveredAt = context_.now;
     }
-    /// Takes from each volume what open requests may need yet; the rest goes to the successor process.
+    /// Takes from each volume the tokens that open requests may need yet; the rest goes to the successor
+    /// process. To be called before the snapshot is taken.
     /// \return units kept, by volume
     std::map<Volume*, double> reserveForOpenRequests();
     /// Leaves the reserved units here, and no other right.
@@ -100,18 +108,21 @@
     /// What is not in the volumes; for the snapshot.
     struct State {
         Micros recoveredAt = -kNever;  ///< since then this host spends its own chunks
-        double requestBudget = 0;      ///< that requests for chunks may still cost
+        double requestBudget = 0;      ///< bytes that requests for chunks may still cost
     };
+    /// For the snapshot.
     [[nodiscard]] const State& state() const { return state_; }
+    /// Takes over from a predecessor process; the volumes must have been restored before.
     void restore(const State& state) { state_ = state; }
 
 private:
+    /// A peer's request of this batch.
     struct ReceivedRequest {
         HostIndex from;
         peer::LeaseRequest request;
     };
-    // Base and home together are limit / hosts at every host, in rate and burst: the sum needs no message to
-    // arrive.
+    // Base and owned chunks together are limit / hosts at every host, in rate and burst: the sum needs no
+    // message to arrive.
     static void splitIntoChunks(VolumeLimit& limit, const PlanInfo& plan, int hosts);
     void refill(Volume& volume) const {
         VolumeLimit& limit = volume.limit();
--- a/src/policy/least_wait.h
+++ b/src/policy/least_wait.h
@@ -9,8 +9,9 @@
 template <typename Candidate>
 struct LeastWait {
     Candidate choice;  ///< none: no candidate yet
-    double wait = 0;
+    double wait = 0;   ///< of the choice, in the unit of the offers
 
+    /// Takes the candidate if its wait is shorter than that of all before.
     void offer(Candidate candidate, double candidateWait) {
         if (choice.isSet() && candidateWait >= wait) return;
         choice = candidate;
--- a/src/policy/load_shedder.h
+++ b/src/policy/load_shedder.h
@@ -16,14 +16,17 @@
 /// priority of that volume.
 class LoadShedder {
 public:
+    /// All four must outlive the object.
     LoadShedder(const Context& context, const ClusterView& cluster, const Admission& admission,
                 const LeaseAllocator& leases)
         : context_(context), cluster_(cluster), admission_(admission), leases_(leases) {}
 
+    /// What a queue has too much of.
     struct Overload {
         std::vector<PendingRequest*> requests;  ///< to be shed, in this order
-        Micros backlog = 0;                     ///< time that the rest of the queue takes
+        Micros backlog = 0;                     ///< microseconds that the rest of the queue takes
     };
+    /// Looks at the queue of a cell. The queue stays as it is: the caller rejects what is to be shed.
     [[nodiscard]] Overload overload(const Cell& cell, const RequestQueue& queue) const;
 
 private:
@@ -38,11 +41,13 @@
         double units = 0;
         std::map<const Volume*, double> tokensNeeded;
 
+        /// Adds the next request of the queue.
         void add(PendingRequest& request) {
             requests.push_back(&request);
             units += request.units();
             if (request.needsTokens()) tokensNeeded[&request.volume()] += request.units();
         }
+        /// Takes out one that is shed.
         void remove(std::vector<PendingRequest*>::iterator position) {
             const PendingRequest& request = **position;
             units -= request.units();
--- a/src/policy/node.h
+++ b/src/policy/node.h
@@ -24,6 +24,7 @@
         OutlierDetector::State outliers;
         SlowStartLimiter::State slowStart;
     };
+    /// A free place in the table: not listed.
     Node() = default;
     /// Takes over what a predecessor process knew.
     explicit Node(State state)
@@ -86,10 +87,15 @@
     void onSlotFreed() { --outstanding_; }
 
     // -- limits, each of which owns its state
+    /// How many attempts may be outstanding, and its latency.
     [[nodiscard]] ConcurrencyLimit& concurrency() { return concurrency_; }
+    /// As above, to read.
     [[nodiscard]] const ConcurrencyLimit& concurrency() const { return concurrency_; }
+    /// Its failures and signs of life.
     [[nodiscard]] OutlierDetector& outliers() { return outliers_; }
+    /// As above, to read.
     [[nodiscard]] const OutlierDetector& outliers() const { return outliers_; }
+    /// What this host may send while it warms up.
     [[nodiscard]] SlowStartLimiter& slowStart() { return slowStart_; }
 
     /// For the snapshot.
--- a/src/policy/node_info_archive.h
+++ b/src/policy/node_info_archive.h
@@ -1,13 +1,16 @@
-// A node of the list as bytes, the same in every archive that holds one (cereal calls this by its name).
+/// \file
+/// A node of the endpoint list as bytes, the same in every archive that holds one: the snapshot of the policy
+/// and that of the front.
 #pragma once
 
 #include "wingproxy/policy.h"
 
 namespace wingproxy {
 
-template <typename A>
-void serialize(A& a, NodeInfo& n) {
-    a(n.id, n.zone, n.cell, n.rating, n.state, n.startedUs);
+/// Writes or reads a node; cereal calls this by its name. The order of the fields is the stored format.
+template <typename Archive>
+void serialize(Archive& archive, NodeInfo& node) {
+    archive(node.id, node.zone, node.cell, node.rating, node.state, node.startedUs);
 }
 
 }  // namespace wingproxy
--- a/src/policy/node_table.h
+++ b/src/policy/node_table.h
@@ -17,21 +17,28 @@
 /// index.
 class NodeTable {
 public:
+    /// \param usage owns the use of the cells; must outlive the table
     explicit NodeTable(UsageTable& usage) : usage_(usage) {}
 
+    /// The node of an entry of the list.
     struct Added {
         Node& node;
-        bool isNew;
+        bool isNew;  ///< nothing is known of it yet
     };
     /// The node with the name and cell of `info`, made if there is none.
     Added add(const NodeInfo& info);
+    /// The node of this index.
+    /// \throws std::out_of_range if the index was never given
     [[nodiscard]] Node& node(NodeIndex index) { return nodes_.at(index.position()); }
+    /// As above, to read.
     [[nodiscard]] const Node& node(NodeIndex index) const { return nodes_.at(index.position()); }
     /// The node of this name, or null.
     [[nodiscard]] Node* find(const std::string& id);
+    /// All nodes by index, those that are forgotten too: these are not listed.
     [[nodiscard]] const std::vector<Node>& nodes() const { return nodes_; }
+    /// Number of nodes without those that are forgotten.
     [[nodiscard]] std::size_t namedNodes() const { return indexById_.size(); }
-    /// Marks all nodes as not listed, before a whole list is taken over.
+    /// Marks all nodes as not listed, before a complete list is taken over.
     void unlistAll();
     /// Forgets nodes that were not listed for `period`, but for those with attempts outstanding or in
     /// `pinned`.
@@ -39,6 +46,7 @@
 
     /// The cell of this number, in use from now on.
     const Cell& cell(CellIndex number) { return useCell(number); }
+    /// All cells by number; some may not be in use yet.
     [[nodiscard]] const std::vector<Cell>& cells() const { return cells_; }
     /// Makes room for cells that the settings announce; they are not in use yet.
     void addCells(int count) { cells_.resize(std::size_t(count)); }
@@ -54,6 +62,7 @@
         std::map<std::string, NodeIndex> indexById;
         std::vector<Cell> cells;
     };
+    /// A copy, for the snapshot.
     [[nodiscard]] State state() const { return {nodes_, unusedNodes_, indexById_, cells_}; }
     /// Takes a state over; the usage table must have been restored before.
     void restore(State state);
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -22,6 +22,7 @@
         int failures = 0;  ///< in a row
     };
     OutlierDetector() = default;
+    /// Takes over what a predecessor process knew.
     explicit OutlierDetector(const State& state) : state_(state) {}
     /// A node whose process began, as far as is known, at `now`.
     static OutlierDetector startingAt(Micros now) {
@@ -31,11 +32,12 @@
     }
 
     /// Whether the node was ejected, or is silent with work outstanding.
-    /// \param latency that the node usually takes; 0: unknown
+    /// \param outstanding attempts of this host
+    /// \param latency that the node usually takes, in microseconds; 0: unknown
     [[nodiscard]] bool isSuspect(int outstanding, double latency, Micros now) const;
     /// Whether a suspect may get one more trial request.
     [[nodiscard]] bool admitsTrial(Micros now) const;
-    /// Least time between two trial requests.
+    /// Least time between two trial requests, in microseconds.
     static Micros trialInterval();
     /// Whether it was tried, or gave a sign of life, within `period`.
     [[nodiscard]] bool wasUsedWithin(Micros period, Micros now) const {
@@ -51,12 +53,16 @@
     [[nodiscard]] bool answeredLaterThan(Micros sentAt, double margin) const {
         return double(state_.newestAnswered - sentAt) > margin;
     }
+    /// Whether its health was checked at `at` or later, so that one check is sent for each silence.
     [[nodiscard]] bool wasCheckedSince(Micros at) const { return state_.lastHealthCheckAt >= at; }
 
     /// Its first outstanding request was sent: silence counts from now on.
     void onWorkBegan(Micros now) { state_.progressAt = now; }
+    /// A suspect was sent a request: the next one must wait for `trialInterval()`.
     void onTrialSent(Micros now) { state_.lastTrialAt = now; }
+    /// A health check was sent because an answer is overdue.
     void onHealthCheckSent(Micros now) { state_.lastHealthCheckAt = now; }
+    /// A health check that was sent at `sentAt` was answered: what was sent before and has no answer is lost.
     void onHealthCheckAnswered(Micros sentAt) {
         state_.newestAnswered = std::max(state_.newestAnswered, sentAt);
     }
@@ -66,6 +72,7 @@
     /// \return whether it counts against the node, which is then ejected for a while
     bool onFailure(Outcome outcome, Micros sentAt, Micros now);
 
+    /// For the snapshot.
     [[nodiscard]] const State& state() const { return state_; }
 
 private:
--- a/src/policy/peer_inbox.h
+++ b/src/policy/peer_inbox.h
@@ -20,9 +20,11 @@
 /// policy.
 class PeerInbox {
 public:
+    /// Replies of lease recovery become actions of the batch; both must outlive the object.
     PeerInbox(Context& context, fleet::RestartRecovery& recovery) : context_(context), recovery_(recovery) {}
 
-    /// Reads a datagram and answers it, where it belongs to lease recovery.
+    /// Reads a datagram, and answers it where it belongs to lease recovery. One from this host itself, or
+    /// from no host, is not accepted.
     PeerDatagram receive(const PeerMessageReceived& event) {
         using fleet::RestartRecovery;
         PeerDatagram datagram;
--- a/src/policy/peer_message.h
+++ b/src/policy/peer_message.h
@@ -27,9 +27,11 @@
 
 /// A number from 0 to 1 that is the same for the same text.
 inline double fractionOf(const std::string& text) { return double(hashOf(text) % 1024) / 1024; }
+/// The same for a number, by its decimal digits.
 inline double fractionOf(std::uint64_t number) { return fractionOf(std::to_string(number)); }
 
-/// A duration in one byte: so many steps for each doubling, in milliseconds.
+/// A duration in one byte, in logarithmic steps: code = steps * log2(1 + milliseconds), which covers up to
+/// about 45 days with an error of at most 9 %.
 struct EncodedWait {
     static constexpr double kStepsPerDoubling = 8;
     std::uint8_t code = 0;
@@ -39,6 +41,7 @@
         const double steps = kStepsPerDoubling * std::log2(1 + us / 1000);
         return {static_cast<std::uint8_t>(std::clamp(steps, 0.0, 255.0))};
     }
+    /// Microseconds; never more than what was encoded.
     [[nodiscard]] double us() const { return 1000 * (std::exp2(double(code) / kStepsPerDoubling) - 1); }
 };
 
@@ -46,7 +49,9 @@
 struct EncodedRate {
     EncodedWait steps;
 
+    /// \param rate units a second
     static EncodedRate of(double rate) { return {EncodedWait::of(rate * 1000)}; }
+    /// Units a second.
     [[nodiscard]] double rate() const { return steps.us() / 1000; }
 };
 
@@ -54,9 +59,11 @@
 struct FixedPoint {
     std::uint16_t sixteenths = 0;
 
+    /// Rounds down; values beyond 4095 15/16 are cut off.
     static FixedPoint of(double value) {
         return {static_cast<std::uint16_t>(std::clamp(value * 16, 0.0, 65535.0))};
     }
+    /// Units, or units a second.
     [[nodiscard]] double value() const { return double(sixteenths) / 16; }
 };
 
@@ -104,9 +111,11 @@
     std::uint8_t chunks = 0;
     std::uint32_t stamp = 0;
 };
+/// Any record of a message.
 using Record =
     std::variant<UsageReport, UsageAggregate, MembershipNotice, LeaseRequest, LeaseGrant, LeaseReturn>;
 
+/// The first byte of a record. Numbers are part of the protocol and never change.
 enum class Tag : std::uint8_t {
     Usage = 1,
     LeaseRequest,
@@ -124,12 +133,16 @@
 /// Appends numbers to a message.
 class Writer {
 public:
+    /// \param to must outlive the writer
     explicit Writer(std::string& to) : to_(to) {}
+    /// Appends the low bytes of a number, the lowest first.
     void put(std::uint64_t value, int bytes) {
         for (int i = 0; i < bytes; ++i)
             to_ += static_cast<char>(value >> (8 * i) & 255);
     }
+    /// Begins a record.
     void put(Tag tag) { put(static_cast<std::uint8_t>(tag), 1); }
+    /// Begins a record about a lease, which all have the same head.
     void putLease(Tag tag, std::uint64_t volume, std::uint8_t chunks) {
         put(tag);
         put(volume, 8);
@@ -143,7 +156,9 @@
 /// Reads numbers from a message; beyond its end they are 0 and `ok()` is false.
 class Reader {
 public:
+    /// \param from must outlive the reader
     explicit Reader(const std::string& from) : from_(from) {}
+    /// The next number of so many bytes, at most 8.
     std::uint64_t get(int bytes) {
         std::uint64_t value = 0;
         if (from_.size() - at_ < static_cast<std::size_t>(bytes)) {
@@ -155,11 +170,14 @@
             value |= std::uint64_t(static_cast<unsigned char>(from_[at_++])) << (8 * i);
         return value;
     }
+    /// The next number of an unsigned type.
     template <typename T>
     T next() {
         return static_cast<T>(get(sizeof(T)));
     }
+    /// Whether all that was read was there.
     [[nodiscard]] bool ok() const { return ok_; }
+    /// Whether nothing is left.
     [[nodiscard]] bool atEnd() const { return at_ >= from_.size(); }
 
 private:
@@ -178,6 +196,7 @@
     return message;
 }
 
+/// Appends a record: `Tag::Join` or `Tag::Usage`, 10 bytes.
 inline void append(std::string& message, const UsageReport& report) {
     Writer writer(message);
     writer.put(report.joins ? Tag::Join : Tag::Usage);
@@ -187,6 +206,7 @@
     writer.put(report.outstanding, 1);
     writer.put(report.slowStartUnits, 1);
 }
+/// Appends a record of 9 bytes.
 inline void append(std::string& message, const UsageAggregate& aggregate) {
     Writer writer(message);
     writer.put(Tag::UsageAggregate);
@@ -195,23 +215,27 @@
     writer.put(aggregate.wait.code, 1);
     writer.put(aggregate.slowStartRate.steps.code, 1);
 }
+/// Appends a record of 7 bytes.
 inline void append(std::string& message, const MembershipNotice& notice) {
     Writer writer(message);
     writer.put(Tag::Membership);
     writer.put(notice.key, 4);
     writer.put(static_cast<std::uint64_t>(notice.host.value()), 2);
 }
+/// Appends a record of `LeaseRequest::kEncodedBytes`.
 inline void append(std::string& message, const LeaseRequest& request) {
     Writer writer(message);
     writer.putLease(Tag::LeaseRequest, request.volume, request.chunks);
     writer.put(request.stamp, 4);
 }
+/// Appends a record of 16 bytes.
 inline void append(std::string& message, const LeaseGrant& grant) {
     Writer writer(message);
     writer.putLease(Tag::LeaseGrant, grant.volume, grant.chunks);
     writer.put(grant.tokens.sixteenths, 2);
     writer.put(grant.stamp, 4);
 }
+/// Appends a record of 14 bytes.
 inline void append(std::string& message, const LeaseReturn& returned) {
     Writer writer(message);
     writer.putLease(Tag::LeaseReturn, returned.volume, returned.chunks);
@@ -253,7 +277,8 @@
     }
 }
 
-/// The whole message, or nothing if it is malformed, cut short or of another format.
+/// The complete message, or nothing if it is malformed, cut short or of another format. A record of an
+/// unknown kind makes it malformed, as its length is not known.
 inline std::optional<Message> decode(const std::string& bytes) {
     Reader reader(bytes);
     Message message;
--- a/src/policy/peer_outbox.h
+++ b/src/policy/peer_outbox.h
@@ -18,7 +18,7 @@
     PeerOutbox(Context& context, const fleet::RestartRecovery& recovery, std::size_t maxBytes)
         : context_(context), recovery_(recovery), maxBytes_(maxBytes) {}
 
-    /// Adds a record to the message for a peer; does nothing where hosts may not talk.
+    /// Adds a record to the message for a peer; does nothing where hosts may not send each other messages.
     void send(HostIndex to, const peer::Record& record) {
         if (!context_.settings.mayGossip || context_.settings.hostCount <= 1) return;
         std::string encoded;
@@ -40,7 +40,7 @@
     Context& context_;
     const fleet::RestartRecovery& recovery_;
     std::size_t maxBytes_;
-    std::map<HostIndex, std::string> messages_;  // by receiver
+    std::map<HostIndex, std::string> messages_;  // by recipient
 };
 
 }  // namespace wingproxy
--- a/src/policy/pending_request.h
+++ b/src/policy/pending_request.h
@@ -21,18 +21,19 @@
 /// `RequestTable`.
 class PendingRequest {
 public:
-    PendingRequest() = default;
     /// A request that just arrived; `onReceived`, `setDue` and `setCell` must follow.
     explicit PendingRequest(Request info) : info_(std::move(info)) {}
 
     // -- what was asked
     /// The request as it was received, but for its deadline, which moves when a body is complete.
     [[nodiscard]] const Request& info() const { return info_; }
+    /// Names it to the caller of the policy.
     [[nodiscard]] RequestId id() const { return info_.id; }
     /// Units of work that it makes.
     [[nodiscard]] double units() const { return info_.units; }
     /// Null: unknown class.
     [[nodiscard]] const ClassInfo* classInfo() const { return classInfo_; }
+    /// That of its class; an unknown class is never sent again once it may have run.
     [[nodiscard]] RetrySafety retrySafety() const {
         return classInfo_ ? classInfo_->retrySafety : RetrySafety::NotIdempotent;
     }
@@ -42,6 +43,7 @@
     [[nodiscard]] Micros latencyObjective(Micros otherwise) const {
         return classInfo_ && classInfo_->latencyObjectiveUs > 0 ? classInfo_->latencyObjectiveUs : otherwise;
     }
+    /// Of which its units are taken.
     [[nodiscard]] Volume& volume() const { return *volume_; }
     /// Order of arrival, from 0.
     [[nodiscard]] std::uint64_t sequence() const { return sequence_; }
@@ -57,12 +59,14 @@
     [[nodiscard]] CellIndex cell() const { return cell_; }
     /// Must not change while it is queued.
     void setCell(CellIndex cell) { cell_ = cell; }
+    /// `Share` until `Admission` classified it.
     [[nodiscard]] QuotaClass quota() const { return quota_; }
     /// What its volume's quota covers of it. \param isGuaranteed takes precedence over `isShare`
     void setQuota(bool isGuaranteed, bool isShare) {
         const QuotaClass beyondGuaranteed = isShare ? QuotaClass::Share : QuotaClass::Spare;
         quota_ = isGuaranteed ? QuotaClass::Guaranteed : beyondGuaranteed;
     }
+    /// Whether it waits in the queue of its cell.
     [[nodiscard]] bool isQueued() const { return queued_; }
     /// Whether its units were taken from the volume's limit; retries are not charged again.
     [[nodiscard]] bool hasTokens() const { return hasTokens_; }
@@ -109,7 +113,9 @@
         info_.deadlineUs = deadline;
         sentAt_ = now;
     }
+    /// It waits in the queue of its cell from now on.
     void onQueued() { queued_ = true; }
+    /// It left that queue.
     void onDequeued() { queued_ = false; }
     /// Its units were taken from the volume's limit.
     void onTokensSpent() { hasTokens_ = true; }
--- a/src/policy/policy_impl.h
+++ b/src/policy/policy_impl.h
@@ -14,24 +14,38 @@
 
 /// Handles events with the parts, in an order that is the same for the same events. Not thread-safe.
 struct Policy::Impl {
+    /// Joins the parts and begins the first batch: the tick, the watch of the endpoint list, lease recovery.
     Impl(const Settings& settings, Micros now);
     Impl(const Impl&) = delete;
     Impl& operator=(const Impl&) = delete;
 
+    /// Sets the time that all parts see; to be called before each event and before the end of the batch.
     void setTime(Micros now) { context_.now = now; }
-    // Each kind of event; see wingproxy/policy.h.
+    // -- events; see wingproxy/policy.h
+    /// Nodes appear, change and go; requests of any cell may have become possible.
     void handle(const EndpointListReceived& event);
+    /// Classifies the request, queues it and sends it at once if it may be sent.
     void handle(const RequestReceived& event);
+    /// The request's attempts hold slots at their nodes from now on, and its own time runs.
     void handle(const RequestBodyCompleted& event);
+    /// Learns from the outcome, then ends the request, retries it or answers it. Outcomes of attempts that
+    /// are not outstanding are ignored.
     void handle(const AttemptOutcome& event);
+    /// The attempt's slot is free once its node has done its work.
     void handle(const ResponseStarted& event);
+    /// Ends the request without an answer.
     void handle(const RequestCancelled& event) {
         if (PendingRequest* const request = requests_.find(event.id)) finish(*request);
     }
+    /// From now on leases end before the shutdown does, and the notice holders are notified.
     void handle(const ShutdownStarted& event) { recovery_.startShutdown(event.servesUntilUs, context_.now); }
+    /// Answers the least valuable of the requests that wait.
     void handle(const CapacityNeeded& event);
+    /// The tick: looks at what is due and at what waits. Other tokens are ignored.
     void handle(const TimerFired& event);
+    /// Takes gossip, leases and lease recovery. Malformed and stale messages are counted and ignored.
     void handle(const PeerMessageReceived& event);
+    /// A check that was answered shows that earlier requests without an answer are lost.
     void handle(const HealthCheckCompleted& event) {
         Node* const node = cluster_.findNode(event.node);
         if (node && event.outcome == Outcome::Ok)
@@ -45,8 +59,11 @@
     /// See `Policy::restore`.
     bool restore(const std::string& snapshot);
 
+    /// See `Policy::tableEntries`.
     [[nodiscard]] std::size_t tableEntries() const;
+    /// See `Policy::avoidedNodes`.
     [[nodiscard]] std::size_t avoidedNodes() const { return cluster_.avoidedNodes(); }
+    /// See `Policy::recovery`.
     [[nodiscard]] const fleet::RestartRecovery& recovery() const { return recovery_; }
 
 private:
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -14,6 +14,8 @@
 /// Owns the budget and the order of keys.
 class RetryPolicy {
 public:
+    /// \param cluster says which nodes accept requests
+    /// \param leases says whether a volume has tokens; all three must outlive the object
     RetryPolicy(const Context& context, ClusterView& cluster, LeaseAllocator& leases)
         : context_(context), cluster_(cluster), leases_(leases) {}
 
@@ -27,10 +29,13 @@
     [[nodiscard]] static bool mayReject(const PendingRequest& request);
 
     // -- what happened
+    /// A request arrived: it adds to the retry budget, and to the order of its key.
     void onReceived(const PendingRequest& request) {
         if (context_.settings.retryWindowUs > 0) budget_.requests.record(context_.now);
         if (isOrdered(request)) keys_.add(request.info().key, request.id());
     }
+    /// A request is about to be sent; its own count of attempts does not have this one yet. Any but the first
+    /// is charged to the retry budget.
     void onSent(const PendingRequest& request) {
         if (request.attempts() > 0 && context_.settings.retryWindowUs > 0)
             budget_.retries.record(context_.now);
@@ -44,19 +49,24 @@
                         request.isFinished() ? 0 : request.id());
         if (request.isFinished()) keys_.onAbandonedAttemptEnded(key);
     }
+    /// A request has its final answer: the next one of its key may follow once its attempts have ended.
     void onFinished(const PendingRequest& request) {
         if (isOrdered(request))
             keys_.remove(request.info().key, request.id(), request.outstanding(), context_.now);
     }
+    /// Forgets keys that no request and no pause needs; to be called now and then.
     void forgetIdleKeys() { keys_.forgetIdle(context_.now); }
 
+    /// Number of keys whose order is kept, for `Policy::tableEntries`.
     [[nodiscard]] std::size_t orderedKeys() const { return keys_.size(); }
     /// The retry budget, for the snapshot.
     struct State {
         EventWindow requests;
         EventWindow retries;
     };
+    /// For the snapshot; the order of keys belongs to the open requests, which stay with this process.
     [[nodiscard]] const State& state() const { return budget_; }
+    /// Takes over the budget of a predecessor process.
     void restore(State state) { budget_ = std::move(state); }
 
 private:
--- a/src/policy/volume.h
+++ b/src/policy/volume.h
@@ -19,23 +19,25 @@
 struct GrantedLease {
     HostIndex peer;
     int chunks = 0;
-    Micros until = 0;
+    Micros until = 0;         ///< by this host's clock, from the grant
     std::uint32_t stamp = 0;  ///< of the peer's request
 };
 
 /// Chunks of a peer that this host holds.
 struct HeldLease {
     int chunks = 0;
-    Micros until = 0;
+    Micros until = 0;         ///< by this host's clock, from its request
     std::uint32_t stamp = 0;  ///< of the last request
     bool requested = false;   ///< and not answered yet
     Micros requestedAt = 0;
 
+    /// Whether it gives this host chunks.
     [[nodiscard]] bool isRunning(Micros now) const { return chunks > 0 && until > now; }
     /// Whether the answer to a request is still to be expected.
     [[nodiscard]] bool isAwaited(Micros now, Micros timeout) const {
         return requested && now - requestedAt < timeout;
     }
+    /// Chunks were requested of the peer.
     void onRequested(std::uint32_t requestStamp, Micros now) {
         stamp = requestStamp;
         requested = true;
@@ -59,7 +61,7 @@
 /// cuts and moves the chunks; here are only their records and the bucket that they fill. Rates are in units a
 /// second.
 struct VolumeLimit {
-    bool limited = false;
+    bool limited = false;  ///< false: the plan has no limit, and nothing else here counts
     double baseRate = 0;
     double baseBurst = 0;  ///< units
     double chunkRate = 0;
@@ -69,7 +71,7 @@
     double queuedUnits = 0;  ///< of requests that wait here without tokens
     std::vector<GrantedLease> granted;
     std::map<HostIndex, HeldLease> held;  ///< by the peer whose chunks they are
-    HostIndex lastPeerAsked;              ///< requests go round
+    HostIndex lastPeerAsked;              ///< the next request goes to the peer after it
     Micros lastRequestAt = kNever;
 
     /// Chunks granted to peers, but for one peer's: of each the largest grant still running at the last
@@ -84,7 +86,7 @@
             sum += chunks;
         return sum;
     }
-    /// Chunks that fill the bucket.
+    /// Chunks that fill the bucket: those of this host that no peer has, and those that it holds of peers.
     /// \param mayUseOwned whether this host may spend its own chunks
     [[nodiscard]] int chunksInUse(bool mayUseOwned, Micros now) const {
         int chunks = mayUseOwned ? std::max(0, ownedChunks - chunksGranted()) : 0;
@@ -108,6 +110,7 @@
             if (lease.peer == peer && std::int32_t(stamp - lease.stamp) >= 0)
                 lease.chunks = std::min(lease.chunks, chunks);
     }
+    /// Forgets grants that are over.
     void dropExpiredGrants(Micros now) {
         std::erase_if(granted, [&](const GrantedLease& lease) { return lease.until <= now; });
     }
@@ -162,6 +165,7 @@
         VolumeLimit limit;
         VolumeQuota quota;
     };
+    /// Only for containers that are being read from a snapshot.
     Volume() = default;
     /// A volume that is asked for the first time.
     /// \param hash of its name; the low half is its key in gossip
@@ -203,6 +207,7 @@
 
     /// This host's part of its limit, which `LeaseAllocator` alone changes.
     [[nodiscard]] VolumeLimit& limit() { return limit_; }
+    /// As above, to read.
     [[nodiscard]] const VolumeLimit& limit() const { return limit_; }
     /// What is left of its guaranteed rate and shares, which `Admission` alone changes.
     [[nodiscard]] VolumeQuota& quota() { return quota_; }
