--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -1,4 +1,4 @@
-// Guaranteed, shared and spare work. Events are made by hand.
+// Specifies when work counts as spare: the water level of a cell over the loss and return of its nodes.
 #include <gtest/gtest.h>
 
 #include "policy/policy_test_support.h"
--- a/tests/policy/attempt_tracker_test.cpp
+++ b/tests/policy/attempt_tracker_test.cpp
@@ -1,4 +1,5 @@
-// Attempts whose answers are lost. Events are made by hand.
+// Specifies when an attempt without an answer counts as lost and is cancelled, and when the node's health is
+// checked first.
 #include <gtest/gtest.h>
 
 #include "policy/policy_test_support.h"
--- a/tests/policy/cluster_view_test.cpp
+++ b/tests/policy/cluster_view_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint list, its watch, and draining nodes. Events are made by hand.
+// Specifies which nodes get requests while they drain or are replaced, and when discovery is called.
 #include <gtest/gtest.h>
 
 #include "policy/policy_test_support.h"
--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -1,4 +1,4 @@
-// How many attempts may be outstanding at a node. Events are made by hand.
+// Specifies how many attempts may be outstanding at a node, by its latency and this host's share of its load.
 #include "policy/concurrency_limit.h"
 
 #include <gtest/gtest.h>
@@ -9,8 +9,8 @@
 namespace wingproxy::test {
 namespace {
 
-// One of a hundred hosts with a hundredth of what a cell is asked; its answers took so long. how many
-// attempts it has outstanding.
+// How many attempts one of a hundred hosts, with a hundredth of what a cell is asked for, has outstanding
+// after an answer that took so long.
 std::size_t attemptsAfterAnswer(Micros took) {
     Host h(settings(0, 100), kStart);
     h.batch({nodes({node("a", 0), node("b", 1)})});
--- a/tests/policy/dispatcher_test.cpp
+++ b/tests/policy/dispatcher_test.cpp
@@ -1,4 +1,4 @@
-// Which request leaves next, to which node, and where a new object goes. Events are made by hand.
+// Specifies which request leaves next and to which node, and the cell of a new object.
 #include <gtest/gtest.h>
 
 #include "policy/peer_message.h"
--- a/tests/policy/gossip_test.cpp
+++ b/tests/policy/gossip_test.cpp
@@ -1,5 +1,5 @@
-// Module tests: a hundred hosts that each see little. Hand-made events; messages between the hosts are handed
-// on.
+// Specifies what a hundred hosts that each see little learn of each other: the bytes that it costs, how full
+// a node may get, and how much a starting node is sent. Messages between the hosts arrive after 10 ms.
 #include <gtest/gtest.h>
 
 #include <memory>
--- a/tests/policy/lease_allocator_test.cpp
+++ b/tests/policy/lease_allocator_test.cpp
@@ -1,5 +1,5 @@
-// Module tests: leases of chunks. Several hosts, hand-made messages between them, and the rule that what
-// all of them send for a limited volume never passes its store.
+// Specifies the leases of chunks: three hosts over a network that delays and loses messages never send more
+// for a limited volume than its limit allows, and a busy host gets the chunks of idle ones.
 #include <gtest/gtest.h>
 
 #include <deque>
--- a/tests/policy/load_shedder_test.cpp
+++ b/tests/policy/load_shedder_test.cpp
@@ -1,4 +1,5 @@
-// What cannot be answered in time is rejected at once. Events are made by hand.
+// Specifies which waiting requests are rejected at once, as they cannot be answered in time or their
+// connections are needed.
 #include <gtest/gtest.h>
 
 #include "policy/policy_test_support.h"
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -1,4 +1,4 @@
-// Nodes that fail or fall silent, and answers that are lost. Events are made by hand.
+// Specifies when a node that fails or is silent gets trial requests only, and when it gets all again.
 #include "policy/outlier_detector.h"
 
 #include <gtest/gtest.h>
--- a/tests/policy/peer_message_test.cpp
+++ b/tests/policy/peer_message_test.cpp
@@ -1,4 +1,4 @@
-// The bytes of messages between hosts.
+// Specifies the bytes of messages between hosts, and which messages are not read.
 #include "policy/peer_message.h"
 
 #include <gtest/gtest.h>
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -1,4 +1,4 @@
-// Events of the whole policy. Events are made by hand.
+// Specifies what holds for all events: late ones are ignored, and the same events give the same actions.
 #include <gtest/gtest.h>
 
 #include "policy/policy_test_support.h"
--- a/tests/policy/policy_test_support.h
+++ b/tests/policy/policy_test_support.h
@@ -1,5 +1,5 @@
 /// \file
-/// Helpers of the tests that drive one policy by hand.
+/// Helpers of the tests that feed events to one policy and look at its actions.
 #pragma once
 
 #include <set>
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// When a request may be sent again, and which final answer it may get. Events are made by hand.
+// Specifies when a request may be sent again, and which final answer it may get.
 #include <gtest/gtest.h>
 
 #include "policy/policy_test_support.h"
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// What is sent to a node that has just started. Events are made by hand.
+// Specifies how much is sent to a node that has just started, and how a host earns credit there.
 #include "policy/slow_start.h"
 
 #include <gtest/gtest.h>
@@ -82,7 +82,7 @@
     EXPECT_TRUE(limiter.admits(s, 4, kStart + 3 * kSecond));  // the window is over
 }
 
-TEST(SlowStartLimiter, EarnsTurnsWhereItsPartIsSmallerThanARequest) {
+TEST(SlowStartLimiter, EarnsCreditWhereItsPartIsSmallerThanARequest) {
     const Settings s = settings(0, 100);
     auto limiter = SlowStartLimiter::withDiscount(0);
     EXPECT_FALSE(limiter.admits(s, 2, kStart));
--- a/tests/policy/value_types_test.cpp
+++ b/tests/policy/value_types_test.cpp
@@ -1,4 +1,4 @@
-// The value types of the policy: each is tested alone.
+// Specifies the value types and tables of the policy, each alone.
 #include <gtest/gtest.h>
 
 #include "policy/cell_queues.h"
--- a/tests/support/policy_support.h
+++ b/tests/support/policy_support.h
@@ -1,4 +1,4 @@
-// Small helpers for tests that feed a Policy by hand.
+// Settings, events and a host with a clock, for tests that feed events to a `Policy`.
 #pragma once
 
 #include <map>
