--- a/src/fleet/recovery_datagram.h
+++ b/src/fleet/recovery_datagram.h
@@ -29,6 +29,7 @@
 
 /// A started host asks whether the recipient has a shutdown notice of its earlier incarnation.
 struct RecoveryQuery {
+    /// Field by field.
     bool operator==(const RecoveryQuery&) const = default;
 };
 
@@ -36,6 +37,7 @@
 struct ShutdownNotice {
     WireMillis sentMs = 0;           ///< by the sender's clock
     WireMillis leasesExpiredMs = 0;  ///< by the sender's clock: no lease is out from then on
+    /// Field by field.
     bool operator==(const ShutdownNotice&) const = default;
 };
 
@@ -43,6 +45,7 @@
 struct EarlierNotice {
     Incarnation incarnation = 0;  ///< that wrote the notice
     ShutdownNotice notice;
+    /// Field by field.
     bool operator==(const EarlierNotice&) const = default;
 };
 
@@ -50,6 +53,7 @@
 struct RecoveryReply {
     Incarnation recipient = 0;  ///< the incarnation that asked
     std::optional<EarlierNotice> earlierNotice;
+    /// Field by field.
     bool operator==(const RecoveryReply&) const = default;
 };
 
@@ -60,6 +64,7 @@
 struct RecoveryDatagram {
     Incarnation sender = 0;
     RecoveryMessage message;
+    /// Field by field.
     bool operator==(const RecoveryDatagram&) const = default;
 };
 
@@ -68,8 +73,9 @@
 
 /// Whether the bytes claim to be a datagram of this protocol; they may still be malformed.
 bool isRecoveryDatagram(const std::string& bytes);
+/// The wire format above; at most `kMaxRecoveryDatagramBytes`.
 std::string encode(const RecoveryDatagram& datagram);
-/// Nothing where the bytes are not exactly one datagram.
+/// The inverse of `encode`. \return nothing where the bytes are not exactly one datagram of a known tag
 std::optional<RecoveryDatagram> decode(const std::string& bytes);
 
 }  // namespace wingproxy::fleet
--- a/src/fleet/restart_recovery.cpp
+++ b/src/fleet/restart_recovery.cpp
@@ -7,7 +7,7 @@
 
 constexpr Micros kLongAgo = -1'000'000'000'000'000;
 constexpr Micros kMicrosPerMilli = 1'000;
-constexpr int kMaxHolders = 3;
+constexpr int kMaxNoticeHolders = 3;
 
 /// The signed distance from one time of a datagram to another.
 std::int32_t millisBetween(WireMillis from, WireMillis to) { return static_cast<std::int32_t>(to - from); }
@@ -25,10 +25,10 @@
       queriesAll_(options.hostCount <= kSmallFleet),
       cause_(options.hostCount > 1 ? RecoveryCause::LeaseExpired : RecoveryCause::AllPeersReplied) {}
 
-std::vector<HostIndex> RestartRecovery::holders() const {
+std::vector<HostIndex> RestartRecovery::noticeHolders() const {
     std::vector<HostIndex> found;
-    for (int k = 0; k < kMaxHolders; ++k) {
-        const int offset = 1 + options_.hostCount * k / (kMaxHolders + 1);
+    for (int k = 0; k < kMaxNoticeHolders; ++k) {
+        const int offset = 1 + options_.hostCount * k / (kMaxNoticeHolders + 1);
         const HostIndex host((options_.hostIndex.value() + offset) % options_.hostCount);
         const bool isNew = std::find(found.begin(), found.end(), host) == found.end();
         if (host != options_.hostIndex && isNew) found.push_back(host);
@@ -36,21 +36,21 @@
     return found;
 }
 
-bool RestartRecovery::isHolder(HostIndex host) const {
-    const auto all = holders();
+bool RestartRecovery::isNoticeHolder(HostIndex host) const {
+    const auto all = noticeHolders();
     return std::find(all.begin(), all.end(), host) != all.end();
 }
 
-bool RestartRecovery::holdersKnowIncarnation(Micros now) const {
+bool RestartRecovery::noticeHoldersKnowIncarnation(Micros now) const {
     if (now - startedAt_ >= kNoticeRetention) return true;
-    const auto all = holders();
+    const auto all = noticeHolders();
     return std::all_of(all.begin(), all.end(), [&](HostIndex host) { return repliedPeers_.contains(host); });
 }
 
 bool RestartRecovery::mayLend(Micros now) const {
     if (!isRecovered(now)) return false;
     const bool leaseOutlastsShutdown = servesUntil_ != 0 && now + options_.leaseDuration > servesUntil_;
-    return !leaseOutlastsShutdown && holdersKnowIncarnation(now);
+    return !leaseOutlastsShutdown && noticeHoldersKnowIncarnation(now);
 }
 
 void RestartRecovery::startShutdown(Micros until, Micros now) {
@@ -65,43 +65,21 @@
 
 // -------------------------------------------------------------------------------------------- incarnations
 
-RestartRecovery::IncarnationStatus RestartRecovery::observeIncarnation(HostIndex from,
-                                                                       Incarnation incarnation, Micros now) {
-    Peer& peer = peers_.try_emplace(from, Peer{incarnation, now}).first->second;
-    const bool isEarlier = isBefore(incarnation, peer.incarnation);
-    if (isEarlier && now - peer.heardAt < kStaleIncarnationPeriod) {
+IncarnationStatus RestartRecovery::observeIncarnation(HostIndex from, Incarnation incarnation, Micros now) {
+    const IncarnationStatus status = peers_.observe(from, incarnation, now);
+    if (status == IncarnationStatus::Stale) {
         ++counters_.stale;
-        return IncarnationStatus::Stale;
+        return status;
     }
-    const bool isNew = peer.incarnation != incarnation;
-    peer = {incarnation, now};
-    discardOutdatedNotice(from, incarnation);
-    if (!isNew) return IncarnationStatus::Known;
-    ++counters_.newIncarnations;
-    return IncarnationStatus::New;
-}
-
-/// A notice is for the incarnation after the one that wrote it. A later one might go by a time that does not
-/// cover the leases of the incarnation in between.
-void RestartRecovery::discardOutdatedNotice(HostIndex from, Incarnation current) {
-    const auto it = notices_.find(from);
-    if (it == notices_.end() || it->second.incarnation == current) return;
-    StoredNotice& stored = it->second;
-    if (stored.successor == 0)
-        stored.successor = current;
-    else if (stored.successor != current)
-        notices_.erase(it);
-}
-
-bool RestartRecovery::isKnown(HostIndex from, Incarnation incarnation) const {
-    const auto it = peers_.find(from);
-    return it != peers_.end() && it->second.incarnation == incarnation;
+    if (status == IncarnationStatus::New) ++counters_.newIncarnations;
+    notices_.observeIncarnation(from, incarnation);
+    return status;
 }
 
 // ------------------------------------------------------------------------------------------------ messages
 
-OutgoingDatagram RestartRecovery::message(HostIndex to, const RecoveryMessage& message) const {
-    return {to, encode({incarnation_, message})};
+OutgoingDatagram RestartRecovery::datagramTo(HostIndex host, const RecoveryMessage& message) const {
+    return {host, encode({incarnation_, message})};
 }
 
 RestartRecovery::DatagramResult RestartRecovery::handleDatagram(HostIndex from, const std::string& bytes,
@@ -112,16 +90,15 @@
         ++counters_.malformed;
         return {IncarnationStatus::Stale, {}};
     }
-    const bool isFirstContact = !isKnown(from, datagram->sender);
+    const bool isFirstContact = !peers_.isCurrent(from, datagram->sender);
     DatagramResult result{observeIncarnation(from, datagram->sender, now), {}};
     if (result.status == IncarnationStatus::Stale) return result;
-    if (const auto* query = std::get_if<RecoveryQuery>(&datagram->message)) {
-        result.replies = handle(from, datagram->sender, *query);
+    if (std::holds_alternative<RecoveryQuery>(datagram->message)) {
+        result.replies.push_back(datagramTo(from, replyTo(from, datagram->sender)));
         // The sender has just started and may have missed this host's query; it is asked once more for each
         // of its incarnations.
-        const bool needsReply =
-            !repliedPeers_.contains(from) && (!isRecovered(now) || !holdersKnowIncarnation(now));
-        if (isFirstContact && needsReply) result.replies.push_back(message(from, RecoveryQuery{}));
+        if (isFirstContact && needsReplyOf(from, now))
+            result.replies.push_back(datagramTo(from, RecoveryQuery{}));
     } else if (const auto* notice = std::get_if<ShutdownNotice>(&datagram->message)) {
         handle(from, datagram->sender, *notice);
     } else {
@@ -130,23 +107,17 @@
     return result;
 }
 
-std::vector<OutgoingDatagram> RestartRecovery::handle(HostIndex from, Incarnation sender,
-                                                      const RecoveryQuery&) {
-    RecoveryReply reply{sender, {}};
-    const auto it = notices_.find(from);
-    if (it != notices_.end() && it->second.incarnation != sender) {
-        const StoredNotice& stored = it->second;
-        reply.earlierNotice = EarlierNotice{stored.incarnation, {stored.sentMs, stored.leasesExpiredMs}};
-    }
-    return {message(from, reply)};
+RecoveryReply RestartRecovery::replyTo(HostIndex from, Incarnation sender) const {
+    return {sender, notices_.findEarlier(from, sender)};
+}
+
+bool RestartRecovery::needsReplyOf(HostIndex peer, Micros now) const {
+    if (repliedPeers_.contains(peer)) return false;
+    return !isRecovered(now) || !noticeHoldersKnowIncarnation(now);
 }
 
 void RestartRecovery::handle(HostIndex from, Incarnation sender, const ShutdownNotice& notice) {
-    StoredNotice& stored = notices_[from];
-    const bool isFirst = stored.incarnation != sender;
-    if (!isFirst && !isBefore(stored.sentMs, notice.sentMs)) return;  // out of order or a duplicate
-    if (isFirst) ++counters_.storedNotices;
-    stored = {sender, notice.sentMs, notice.leasesExpiredMs, 0};
+    if (notices_.store(from, sender, notice)) ++counters_.storedNotices;
 }
 
 void RestartRecovery::handle(HostIndex from, const RecoveryReply& reply, Micros now) {
@@ -161,7 +132,7 @@
     if (counts) {
         const auto leftMs = millisBetween(toWireMillis(now), earlier.notice.leasesExpiredMs);
         recoverAt(now + std::max(0, leftMs) * kMicrosPerMilli, RecoveryCause::ShutdownNotice);
-    } else if (isHolder(from)) {
+    } else if (isNoticeHolder(from)) {
         queriesAll_ = true;
     }
 }
@@ -180,8 +151,8 @@
     const Micros leasesExpired = std::max(servesUntil_, recoveredAt_);
     const ShutdownNotice notice{toWireMillis(now), toWireMillis(leasesExpired) + 1};
     std::vector<OutgoingDatagram> due;
-    for (const HostIndex host : holders())
-        due.push_back(message(host, notice));
+    for (const HostIndex host : noticeHolders())
+        due.push_back(datagramTo(host, notice));
     return due;
 }
 
@@ -189,24 +160,23 @@
 /// know of this incarnation, so that no later one goes by a notice from before it.
 std::vector<OutgoingDatagram> RestartRecovery::dueQueries(Micros now) {
     const bool toAll = queriesEveryone(now) && now - lastQueryToAllAt_ >= kQueryInterval;
-    const bool toHolders = now - lastQueryAt_ >= kQueryInterval && !holdersKnowIncarnation(now);
+    const bool toHolders = now - lastQueryAt_ >= kQueryInterval && !noticeHoldersKnowIncarnation(now);
     if (!toAll && !toHolders) return {};
     if (toAll) lastQueryToAllAt_ = now;
     lastQueryAt_ = now;
-    const auto noticeHolders = holders();
+    const auto holders = noticeHolders();
     std::vector<OutgoingDatagram> due;
     for (HostIndex host(0); host.isBelow(options_.hostCount); host = host.next()) {
-        const bool isNoticeHolder =
-            std::find(noticeHolders.begin(), noticeHolders.end(), host) != noticeHolders.end();
+        const bool isNoticeHolder = std::find(holders.begin(), holders.end(), host) != holders.end();
         const bool isAsked = (toAll || isNoticeHolder) && host != options_.hostIndex;
-        if (isAsked && !repliedPeers_.contains(host)) due.push_back(message(host, RecoveryQuery{}));
+        if (isAsked && !repliedPeers_.contains(host)) due.push_back(datagramTo(host, RecoveryQuery{}));
     }
     return due;
 }
 
 bool RestartRecovery::queriesEveryone(Micros now) const {
     if (isRecovered(now) || cause_ == RecoveryCause::ShutdownNotice) return false;
-    return queriesAll_ || now - startedAt_ >= kHoldersOnlyPeriod;
+    return queriesAll_ || now - startedAt_ >= kNoticeHoldersOnlyPeriod;
 }
 
 }  // namespace wingproxy::fleet
--- a/src/fleet/restart_recovery.h
+++ b/src/fleet/restart_recovery.h
@@ -13,12 +13,13 @@
 
 #include <cstddef>
 #include <cstdint>
-#include <map>
 #include <set>
 #include <string>
 #include <vector>
 
+#include "fleet/peer_incarnations.h"
 #include "fleet/recovery_datagram.h"
+#include "fleet/shutdown_notice_store.h"
 #include "wingproxy/index.h"
 
 namespace wingproxy::fleet {
@@ -31,6 +32,8 @@
 
 /// The recovery of one host after its start, and its part in that of its peers. Owns what it knows of the
 /// incarnations of the peers and the shutdown notices that it stores for them.
+///
+/// A value type: copying it copies the whole state. Not thread-safe.
 class RestartRecovery {
 public:
     /// A shutdown notice counts until it is this old. For as long after its start a host grants no lease
@@ -41,50 +44,50 @@
     static constexpr Micros kQueryInterval = 500'000;
     /// After its start a host asks only the notice holders for so long, and then everyone: more than a round
     /// trip within a site.
-    static constexpr Micros kHoldersOnlyPeriod = 50'000;
+    static constexpr Micros kNoticeHoldersOnlyPeriod = 50'000;
     /// Up to this number of hosts, all peers are asked at once.
     static constexpr int kSmallFleet = 8;
-    /// A message of an earlier incarnation is ignored for so long after the newer one was last heard; later
-    /// it means that the peer's clock was set back.
-    static constexpr Micros kStaleIncarnationPeriod = 10'000'000;
 
+    /// What is fixed for one run of a host.
     struct Options {
-        HostIndex hostIndex{0};
-        int hostCount = 1;
+        HostIndex hostIndex{0};    ///< of this host
+        int hostCount = 1;         ///< of the fleet, this host included
         Micros leaseDuration = 0;  ///< the longest lease on a chunk
         bool mayGossip = true;     ///< hosts may send each other messages
     };
+    /// Counted since the start of the process. They are not in the snapshot of a hot restart.
     struct Counters {
         std::uint64_t stale = 0;            ///< messages of an earlier incarnation, which changed nothing
         std::uint64_t malformed = 0;        ///< datagrams that could not be read, which changed nothing
         std::uint64_t newIncarnations = 0;  ///< restarts of peers that were observed
         std::uint64_t storedNotices = 0;    ///< shutdown notices stored here for peers
     };
-    /// The sender's incarnation compared with what is known of that host.
-    enum class IncarnationStatus {
-        Known,  ///< the current one, or the first that was heard of
-        New,    ///< the host restarted: all leases of its earlier incarnation are over
-        Stale,  ///< an earlier one: the message must be ignored
-    };
     /// What made it certain that no lease of an earlier incarnation is out.
-    enum class RecoveryCause { NotRecovered, ShutdownNotice, AllPeersReplied, LeaseExpired };
+    enum class RecoveryCause {
+        NotRecovered,     ///< nothing yet
+        ShutdownNotice,   ///< the time that the earlier incarnation named in its notice
+        AllPeersReplied,  ///< no peer holds a lease of it
+        LeaseExpired,     ///< the longest lease has passed since the start
+    };
 
     /// A host that is alone.
     RestartRecovery() = default;
+    /// \param startedAt the start of this run, by this machine's clock, which later calls go on with; the
+    ///        incarnation is derived from it
     RestartRecovery(const Options& options, Micros startedAt);
 
     /// This run of the host. A later run has a higher number unless the machine's clock is set back.
     [[nodiscard]] Incarnation incarnation() const { return incarnation_; }
     /// Counts a datagram that is neither of this protocol nor of the policy's gossip.
     void countMalformed() { ++counters_.malformed; }
-    /// Whether a datagram is one for `handleDatagram`.
-    static bool isRecoveryDatagram(const std::string& bytes) { return fleet::isRecoveryDatagram(bytes); }
 
+    /// What a received datagram led to.
     struct DatagramResult {
-        IncarnationStatus status = IncarnationStatus::Stale;
-        std::vector<OutgoingDatagram> replies;
+        IncarnationStatus status = IncarnationStatus::Stale;  ///< of its sender; Stale also if malformed
+        std::vector<OutgoingDatagram> replies;                ///< to be sent in this order
     };
-    /// \param from the sender's host index, as the transport reports it
+    /// Handles a datagram for which `isRecoveryDatagram` holds. One that is malformed or comes from no peer
+    /// is counted and changes nothing. \param from the sender's host index, as the transport reports it
     DatagramResult handleDatagram(HostIndex from, const std::string& bytes, Micros now);
     /// Notes the incarnation that stands in any message of a peer.
     IncarnationStatus observeIncarnation(HostIndex from, Incarnation incarnation, Micros now);
@@ -95,14 +98,18 @@
     [[nodiscard]] bool isRecovered(Micros now) const { return now >= recoveredAt_; }
     /// Whether this host may grant a lease of the longest duration.
     [[nodiscard]] bool mayLend(Micros now) const;
+    /// What the end of the recovery goes back to, as far as is known now: `LeaseExpired` until a reply brings
+    /// it forward. It holds once `isRecovered` does.
     [[nodiscard]] RecoveryCause recoveryCause() const { return cause_; }
     /// Begins a graceful shutdown: the notice holders are notified, and no lease is granted beyond `until`,
     /// or beyond those that may be out at `now`, whichever is later.
     void startShutdown(Micros until, Micros now);
+    /// Valid as long as this object.
     [[nodiscard]] const Counters& counters() const { return counters_; }
+    /// Entries of all tables, for the check that none grows without bound; two for each host at the most.
     [[nodiscard]] std::size_t tableEntries() const { return peers_.size() + notices_.size(); }
     /// The peers that store this host's shutdown notice: three at the most, spread over the host indices.
-    [[nodiscard]] std::vector<HostIndex> holders() const;
+    [[nodiscard]] std::vector<HostIndex> noticeHolders() const;
 
     /// For the snapshot of a hot restart, which fixes the order and the types; counters are not in it.
     template <typename Archive>
@@ -113,41 +120,21 @@
     }
 
 private:
-    struct Peer {
-        Incarnation incarnation = 0;
-        Micros heardAt = 0;
-        template <typename Archive>
-        void serialize(Archive& archive) {
-            archive(incarnation, heardAt);
-        }
-    };
-    /// A shutdown notice that is stored for the peer that wrote it.
-    struct StoredNotice {
-        Incarnation incarnation = 0;  ///< that wrote it
-        WireMillis sentMs = 0;
-        WireMillis leasesExpiredMs = 0;
-        Incarnation successor = 0;  ///< the incarnation after it; 0: none was heard of yet
-        template <typename Archive>
-        void serialize(Archive& archive) {
-            archive(incarnation, sentMs, leasesExpiredMs, successor);
-        }
-    };
-
-    std::vector<OutgoingDatagram> handle(HostIndex from, Incarnation sender, const RecoveryQuery& query);
     void handle(HostIndex from, Incarnation sender, const ShutdownNotice& notice);
     void handle(HostIndex from, const RecoveryReply& reply, Micros now);
-    [[nodiscard]] bool isKnown(HostIndex from, Incarnation incarnation) const;
-    void discardOutdatedNotice(HostIndex from, Incarnation current);
+    [[nodiscard]] RecoveryReply replyTo(HostIndex from, Incarnation sender) const;
+    /// Whether a reply of `peer` is still missing that would let this host spend or lend sooner.
+    [[nodiscard]] bool needsReplyOf(HostIndex peer, Micros now) const;
 
     std::vector<OutgoingDatagram> dueNotices(Micros now);
     std::vector<OutgoingDatagram> dueQueries(Micros now);
     [[nodiscard]] bool queriesEveryone(Micros now) const;
-    [[nodiscard]] OutgoingDatagram message(HostIndex to, const RecoveryMessage& message) const;
+    [[nodiscard]] OutgoingDatagram datagramTo(HostIndex host, const RecoveryMessage& message) const;
 
     void recoverAt(Micros at, RecoveryCause cause);
     /// Whether no notice holder can return a notice from before this incarnation to a later one.
-    [[nodiscard]] bool holdersKnowIncarnation(Micros now) const;
-    [[nodiscard]] bool isHolder(HostIndex host) const;
+    [[nodiscard]] bool noticeHoldersKnowIncarnation(Micros now) const;
+    [[nodiscard]] bool isNoticeHolder(HostIndex host) const;
 
     Options options_;
     Micros startedAt_ = 0;
@@ -159,9 +146,9 @@
     Incarnation incarnation_ = 0;
     bool queriesAll_ = false;  // the notice holders cannot help: all peers are asked
     RecoveryCause cause_ = RecoveryCause::NotRecovered;
-    std::map<HostIndex, Peer> peers_;
-    std::set<HostIndex> repliedPeers_;           // they hold no lease of an earlier incarnation
-    std::map<HostIndex, StoredNotice> notices_;  // by the host that wrote it
+    PeerIncarnations peers_;
+    std::set<HostIndex> repliedPeers_;  // they hold no lease of an earlier incarnation
+    ShutdownNoticeStore notices_;
     Counters counters_;
 };
 
--- a/src/policy/peer_inbox.h
+++ b/src/policy/peer_inbox.h
@@ -26,12 +26,12 @@
     /// Reads a datagram, and answers it where it belongs to lease recovery. One from this host itself, or
     /// from no host, is not accepted.
     PeerDatagram receive(const PeerMessageReceived& event) {
-        using fleet::RestartRecovery;
+        using fleet::IncarnationStatus;
         PeerDatagram datagram;
         const Settings& settings = context_.settings;
         if (event.from == settings.hostIndex || !event.from.isBelow(settings.hostCount)) return datagram;
-        RestartRecovery::DatagramResult result;
-        if (RestartRecovery::isRecoveryDatagram(event.bytes)) {
+        fleet::RestartRecovery::DatagramResult result;
+        if (fleet::isRecoveryDatagram(event.bytes)) {
             result = recovery_.handleDatagram(event.from, event.bytes, context_.now);
         } else if (auto message = peer::decode(event.bytes)) {
             datagram.records = std::move(message->records);
@@ -41,8 +41,8 @@
             recovery_.countMalformed();
             return datagram;
         }
-        datagram.isAccepted = result.status != RestartRecovery::IncarnationStatus::Stale;
-        datagram.senderRestarted = result.status == RestartRecovery::IncarnationStatus::New;
+        datagram.isAccepted = result.status != IncarnationStatus::Stale;
+        datagram.senderRestarted = result.status == IncarnationStatus::New;
         if (datagram.isAccepted)
             for (const auto& reply : result.replies)
                 context_.emit(SendPeerMessage{reply.to, reply.bytes});
--- a/tests/fleet/restart_recovery_model_test.cpp
+++ b/tests/fleet/restart_recovery_model_test.cpp
@@ -22,9 +22,9 @@
 
 using namespace wingproxy;
 using fleet::Incarnation;
+using fleet::IncarnationStatus;
 using fleet::Micros;
 using fleet::RestartRecovery;
-using IncarnationStatus = RestartRecovery::IncarnationStatus;
 
 namespace {
 
--- a/tests/fleet/restart_recovery_test.cpp
+++ b/tests/fleet/restart_recovery_test.cpp
@@ -12,7 +12,7 @@
 using fleet::Micros;
 using fleet::RestartRecovery;
 using RecoveryCause = RestartRecovery::RecoveryCause;
-using IncarnationStatus = RestartRecovery::IncarnationStatus;
+using fleet::IncarnationStatus;
 
 namespace {
 
@@ -132,8 +132,8 @@
 
 TEST_CASE("restart recovery: three hosts hold the notice of each host") {
     ConnectedFleet fleet(40);
-    CHECK(fleet.host(5).holders().size() == 3);
-    for (const HostIndex holder : fleet.host(5).holders())
+    CHECK(fleet.host(5).noticeHolders().size() == 3);
+    for (const HostIndex holder : fleet.host(5).noticeHolders())
         CHECK(holder != HostIndex(5));
 }
 
@@ -150,7 +150,7 @@
     "restart recovery: while a notice holder is dead a crashed host spends after a lease and lends not") {
     ConnectedFleet fleet(40);
     fleet.run(kSecond);
-    const auto holders = fleet.host(5).holders();
+    const auto holders = fleet.host(5).noticeHolders();
     fleet.dead = {holders[1].value()};
     fleet.restart(5);
     fleet.run(kLease - 100 * kMs);
@@ -166,7 +166,7 @@
 TEST_CASE("restart recovery: once every earlier notice is too old a dead notice holder no longer matters") {
     ConnectedFleet fleet(40);
     fleet.run(kSecond);
-    fleet.dead = {fleet.host(5).holders()[2].value()};
+    fleet.dead = {fleet.host(5).noticeHolders()[2].value()};
     fleet.restart(5);
     fleet.run(RestartRecovery::kNoticeRetention + 10 * kMs);
     CHECK(fleet.mayLend(5));
@@ -216,7 +216,7 @@
     CHECK(host.observeIncarnation(HostIndex(1), 200, kStart + 1) == IncarnationStatus::New);
     CHECK(host.observeIncarnation(HostIndex(1), 100, kStart + 2) == IncarnationStatus::Stale);
     CHECK(host.observeIncarnation(HostIndex(1), 200, kStart + 3) == IncarnationStatus::Known);
-    const auto clockSetBack = kStart + 4 + RestartRecovery::kStaleIncarnationPeriod;
+    const auto clockSetBack = kStart + 4 + fleet::PeerIncarnations::kStaleIncarnationPeriod;
     CHECK(host.observeIncarnation(HostIndex(1), 100, clockSetBack) == IncarnationStatus::New);
     const std::uint32_t afterWrapAround = 0x80000063u;
     CHECK(host.observeIncarnation(HostIndex(1), afterWrapAround, clockSetBack + 1) == IncarnationStatus::New);
--- a/tests/golden/golden_stored_data_test.cpp
+++ b/tests/golden/golden_stored_data_test.cpp
@@ -172,7 +172,7 @@
 std::vector<peer::Record> recordsTo(int to, const std::vector<Action>& actions) {
     std::vector<peer::Record> records;
     for (const auto& told : only<SendPeerMessage>(actions)) {
-        if (!(told.to == HostIndex(to) && !fleet::RestartRecovery::isRecoveryDatagram(told.bytes))) continue;
+        if (!(told.to == HostIndex(to) && !fleet::isRecoveryDatagram(told.bytes))) continue;
         const auto message = peer::decode(told.bytes);
         CHECK(message.has_value());
         if (message) records.insert(records.end(), message->records.begin(), message->records.end());
