--- a/src/app/metrics_report.h
+++ b/src/app/metrics_report.h
@@ -26,6 +26,7 @@
 /// One value of a line; texts are literals.
 using MetricValue = std::variant<std::uint64_t, bool, std::string_view>;
 
+/// A value under the name that it has in its line; the name is a literal.
 struct Metric {
     std::string_view name;
     MetricValue value;
@@ -37,13 +38,15 @@
     std::vector<Metric> metrics;
 };
 
-/// Connections of one listener, of which a line has the first two.
+/// Connections of one listener. The lines of rsync and of the admin server have the first two, that of HTTP
+/// has all.
 struct ConnectionMetrics {
     std::uint64_t accepted = 0;
     std::uint64_t open = 0;
     std::uint64_t closedIdle = 0;
     std::uint64_t hungUp = 0;  ///< clients whose leaving was noticed while their bytes were not read
 };
+/// The counters of this listener as they are now.
 [[nodiscard]] ConnectionMetrics connectionMetrics(const net::SessionManager& sessions);
 
 /// Sizes of the reducer's tables; none of them grows over the day.
@@ -61,21 +64,34 @@
     std::uint64_t reused = 0;
 };
 
+/// The line "requests": received and answered ones, all classes together.
+/// \param openRequests without their final answer
 [[nodiscard]] MetricGroup describeRequests(const core::Counters& counters, std::uint64_t openRequests);
+/// The line "attempts": those started, by outcome.
 [[nodiscard]] MetricGroup describeAttempts(const core::Counters& counters);
+/// The line "http": clients of the HTTP front, its answers, and what it refused or closed by itself.
 [[nodiscard]] MetricGroup describeHttp(const http::Front::Counters& counters,
                                        const ConnectionMetrics& connections);
+/// The line "rsync": clients of the rsync front and how their transfers ended.
 [[nodiscard]] MetricGroup describeRsync(const rsync::Front::Counters& counters,
                                         const ConnectionMetrics& connections);
+/// The line "nodes": connections of the HTTP front to nodes.
 [[nodiscard]] MetricGroup describeNodePool(const NodePoolMetrics& pool);
+/// The line "discovery": requests for the endpoint list, by result.
 [[nodiscard]] MetricGroup describeDiscovery(const net::Discovery::Counters& counters);
+/// The line "tables": sizes, which must not grow over the day.
 [[nodiscard]] MetricGroup describeTables(const TableMetrics& tables);
+/// The line "admin": operators' requests, by result.
 [[nodiscard]] MetricGroup describeAdmin(const admin::AdminServer::Counters& counters,
                                         const ConnectionMetrics& connections);
+/// The line "hot_restart": snapshots and overrides files.
 [[nodiscard]] MetricGroup describeHotRestart(const hot_restart::HotRestart::Counters& counters);
+/// The line "fleet": how this host recovered after its start, and what it saw of its peers' restarts.
 /// \param now Unix microseconds
 [[nodiscard]] MetricGroup describeFleet(const fleet::RestartRecovery& recovery, Micros now);
+/// The line "reloads": reads of the configuration on SIGHUP, by result.
 [[nodiscard]] MetricGroup describeReloads(const ConfigReload::Counters& counters);
+/// The line "peers": datagrams between the hosts.
 [[nodiscard]] MetricGroup describePeers(const net::Peers::Counters& counters);
 
 /// "counters GROUP: NAME=VALUE NAME=VALUE ..."
--- /dev/null
+++ b/src/app/metrics_snapshot.h
@@ -0,0 +1,36 @@
+/// \file
+/// Reads the counters of all parts of the running gateway at one moment.
+#pragma once
+
+#include <vector>
+
+#include "admin/admin_server.h"
+#include "app/config_reload.h"
+#include "app/metrics_report.h"
+#include "hot_restart/hot_restart.h"
+#include "http/front.h"
+#include "net/discovery.h"
+#include "net/engine.h"
+#include "net/node_pool.h"
+#include "net/peers.h"
+#include "rsync/front.h"
+
+namespace wingproxy::app {
+
+/// The parts that count something. Owns nothing; they outlive each use.
+struct MetricsSources {
+    const net::Engine& engine;
+    http::Front& http;
+    rsync::Front* rsync;  ///< null: not configured
+    const net::NodePool& httpNodes;
+    const net::Discovery& discovery;
+    admin::AdminServer* admin;                  ///< null: not configured
+    const hot_restart::HotRestart* hotRestart;  ///< null: not enabled
+    const ConfigReload& reload;
+    const net::Peers& peers;
+};
+
+/// The counters of each part that there is, in the order of the log lines.
+[[nodiscard]] std::vector<MetricGroup> collectMetrics(const MetricsSources& sources);
+
+}  // namespace wingproxy::app
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -1,24 +1,20 @@
 #include "app/proxy.h"
 
 #include <algorithm>
-#include <array>
-#include <csignal>
+#include <chrono>
 #include <cstdlib>
 #include <utility>
 
+#include "app/metrics_report.h"
+#include "app/metrics_snapshot.h"
+
 namespace wingproxy::app {
 namespace {
 
-using hot_restart::HotRestart;
-
 /// For so long after a response a connection to a node carries no other request, so that a duplicate of that
 /// response is not taken for the next one's. Standing test, release days: of 54 duplicates on seven days the
 /// latest came after 4 ms. This is twice that, and far below any latency objective.
 constexpr std::chrono::milliseconds kConnectionCoolDown{8};
-/// How often a process looks for another one of its gateway: far below the 1 s within which an admin request
-/// is answered.
-constexpr std::chrono::milliseconds kOtherProcessInterval{100};
-
 /// The folder that the processes of a gateway share; null where the platform names none.
 const char* sharedFolder() { return std::getenv("TMPDIR"); }
 
@@ -50,10 +46,10 @@
              const config::OperatorConfig& operatorConfig, log::Logger& logger)
     : config_(config),
       logger_(logger),
-      hotRestartEnabled_(canHotRestart(config)),
       configuredDescriptors_(config.maxDescriptors),
       rsyncEnabled_(operatorConfig.rsync.has_value()),
-      budget_(budgetFor(configuredDescriptors_, sharedNow_)),
+      // Where hot restart is possible another process is assumed until the first look.
+      budget_(budgetFor(canHotRestart(config))),
       engine_(io_, withUsableMemory(config), logger),
       httpPool_(io_,
                 {budget_.httpNodes, std::chrono::microseconds(config.connectTimeoutUs),
@@ -64,22 +60,21 @@
       peers_(engine_, config, false),
       front_(engine_, httpPool_, config.listen, budget_.httpClients, budget_.ringBytes,
              config.inheritedListenerFd),
-      signals_(io_, SIGTERM, SIGINT, SIGUSR1),
+      signals_(io_, {.shutDown = [this] { startShutdown(); },
+                     .reloadConfig = [this] { reload_.reload(); },
+                     .reportMetrics = [this] { reportMetrics(); }}),
       shutdownTimer_(io_),
-      otherProcessTimer_(io_),
       shutdown_(*this),
       reload_(
           std::move(configPath), config_, [this](const config::Config& fresh) { applyConfig(fresh); },
           logger) {
-    signals_.add(SIGHUP);
     installEffectHandlers();
     openRsync(operatorConfig);
-    openHealthHttp(operatorConfig);
+    healthHttp_ = openHealthListener("health", operatorConfig.health, health::makeHttpCheckListener);
     openAdmin();
-    openHealthAgent(operatorConfig);
-    awaitSignal();
-    startHotRestart();
-    if (!hotRestart_ || hotRestart_->role() == HotRestart::Role::First) serve({});
+    healthAgent_ = openHealthListener("agent", operatorConfig.agent, health::makeAgentCheckListener);
+    if (canHotRestart(config_)) startHotRestart();
+    if (!hotRestart_ || hotRestart_->isFirstProcess()) serve();
 }
 
 void Proxy::run() {
@@ -108,67 +103,81 @@
     logListening("rsync", rsync_->sessionManager().address());
 }
 
-void Proxy::openHealthHttp(const config::OperatorConfig& operatorConfig) {
-    if (!operatorConfig.health) return;
-    healthHttp_ =
-        health::makeHttpCheckListener(io_, *operatorConfig.health, [this] { return gatewayStatus(); });
-    logListening("health", healthHttp_->address());
-}
-
 void Proxy::openAdmin() {
     if (config_.adminListen.port == 0) return;
     admin_ = std::make_unique<admin::AdminServer>(io_, config_.adminListen, adminHandler());
     logListening("mgmt", admin_->sessionManager().address());
 }
 
-void Proxy::openHealthAgent(const config::OperatorConfig& operatorConfig) {
-    if (!operatorConfig.agent) return;
-    healthAgent_ =
-        health::makeAgentCheckListener(io_, *operatorConfig.agent, [this] { return gatewayStatus(); });
-    logListening("agent", healthAgent_->address());
+std::unique_ptr<net::SessionManager> Proxy::openHealthListener(std::string_view name,
+                                                               const std::optional<config::Endpoint>& address,
+                                                               OpenHealthListener* open) {
+    if (!address) return nullptr;
+    auto listener = open(io_, *address, [this] { return gatewayStatus(); });
+    logListening(name, listener->address());
+    return listener;
 }
 
+void Proxy::logListening(std::string_view name, const config::Endpoint& address) {
+    logger_.info("started: {} listens on {}:{}", name, address.host, address.port);
+}
+
+// ---- the service
+
 void Proxy::startHotRestart() {
-    if (!hotRestartEnabled_) return;
-    hotRestart_ = std::make_unique<HotRestart>(io_, sharedFolder(), config_.name, logger_);
-    hotRestart_->start([this](std::optional<hot_restart::Snapshot> snapshot) { serve(std::move(snapshot)); });
-    pollOtherProcess();
+    hotRestart_ = std::make_unique<HotRestartCoordinator>(
+        HotRestartCoordinator::Parts{engine_, peers_, front_}, sharedFolder(), config_.name,
+        HotRestartCoordinator::Handlers{
+            .takeOver =
+                [this](std::optional<hot_restart::Snapshot> snapshot) { takeOver(std::move(snapshot)); },
+            .sharingChanged = [this] { redistribute(); }},
+        logger_);
+    hotRestart_->start();
 }
 
-void Proxy::awaitSignal() {
-    signals_.async_wait([this](const boost::system::error_code& error, int signal) {
-        if (error) return;
-        handleSignal(signal);
-        awaitSignal();
-    });
+void Proxy::serve() {
+    startEngine();
+    openListener();
 }
 
-void Proxy::handleSignal(int signal) {
-    if (signal == SIGUSR1)
-        reportMetrics();
-    else if (signal == SIGHUP)
-        reload_.reload();
-    else if (!shutdown_.scheduled())
-        startShutdown();
+void Proxy::takeOver(std::optional<hot_restart::Snapshot> snapshot) {
+    if (!snapshot) {
+        serve();
+        return;
+    }
+    const Micros takenAt = snapshot->takenAt;
+    const std::size_t requestsElsewhere = snapshot->openRequestIds.size();
+    hotRestart_->restore(std::move(*snapshot), longestDeadline(config_.settings));
+    startEngine();
+    logger_.info("hot restart: taken over after {} us, {} nodes, {} requests in flight in the old process",
+                 engine_.now() - takenAt, engine_.nodeCount(), requestsElsewhere);
+    openListener();
 }
 
-void Proxy::logListening(std::string_view what, const config::Endpoint& address) {
-    logger_.info("started: {} listens on {}:{}", what, address.host, address.port);
+void Proxy::startEngine() {
+    if (hotRestart_) hotRestart_->exchangeOverrides();
+    peers_.open();
+    engine_.start();
+}
+
+void Proxy::openListener() {
+    if (config_.inheritedListenerFd >= 0) front_.sessionManager().open();
+    logListening(config_.name, front_.sessionManager().address());
 }
 
 // ---- resources
 
-ResourceBudget Proxy::budgetFor(int configuredDescriptors, bool sharedNow) const {
-    const bool halved = hotRestartEnabled_ && sharedNow;
+ResourceBudget Proxy::budgetFor(bool limitsAreShared) const {
     return divideResources({
-        .descriptors = availableDescriptors(halved ? configuredDescriptors / 2 : configuredDescriptors),
+        .descriptors =
+            availableDescriptors(limitsAreShared ? configuredDescriptors_ / 2 : configuredDescriptors_),
         .memoryMb = usableMemoryMb(config_),
         .rsync = rsyncEnabled_,
     });
 }
 
 void Proxy::redistribute() {
-    budget_ = budgetFor(configuredDescriptors_, sharedNow_);
+    budget_ = budgetFor(hotRestart_ && hotRestart_->limitsAreShared());
     front_.sessionManager().setCapacity(budget_.httpClients);
     httpPool_.setCapacity(budget_.httpNodes);
     if (rsync_) rsync_->sessionManager().setCapacity(budget_.rsyncClients);
@@ -182,65 +191,7 @@
     redistribute();
 }
 
-// ---- hot restart
-
-void Proxy::serve(std::optional<hot_restart::Snapshot> snapshot) {
-    const bool restored = snapshot.has_value();
-    const Micros takenAt = restored ? snapshot->takenAt : 0;
-    const std::size_t openElsewhere = restored ? snapshot->openRequestIds.size() : 0;
-    if (restored) restore(std::move(*snapshot));
-    if (hotRestart_) exchangeOverrides();
-    peers_.open();
-    engine_.start();
-    if (restored) {
-        logger_.info(
-            "hot restart: taken over after {} us, {} nodes, {} requests in flight in the old process",
-            engine_.now() - takenAt, engine_.nodeCount(), openElsewhere);
-    }
-    if (config_.inheritedListenerFd >= 0) front_.sessionManager().open();
-    logListening(config_.name, front_.sessionManager().address());
-}
-
-void Proxy::restore(hot_restart::Snapshot snapshot) {
-    // The old process has answered every request of its own by the longest deadline.
-    const Micros until = snapshot.takenAt + longestDeadline(config_.settings).count();
-    front_.setRequestsOpenElsewhere(snapshot.openRequestIds, until);
-    if (!engine_.restore(std::move(snapshot.engine))) {
-        logger_.warn(
-            "hot restart: the snapshot's policy state is of other settings; the policy starts as after a "
-            "crash");
-    }
-}
-
-void Proxy::transferService() {
-    front_.sessionManager().releaseListener();
-    front_.startDraining();  // clients reach the successor with their next connection
-    peers_.stop();
-    auto openRequestIds = front_.openRequestIds();
-    hotRestart_->transfer({config_.name, engine_.now(), engine_.takeSnapshot(), std::move(openRequestIds)});
-    logger_.info("hot restart: service transferred to the successor");
-}
-
-void Proxy::exchangeOverrides() {
-    engine_.applyOverrides(hotRestart_->exchangeOverrides(engine_.overrides()));
-}
-
-void Proxy::pollOtherProcess() {
-    const bool sharedNow = hotRestart_->anotherProcessRuns();
-    if (sharedNow != sharedNow_) {
-        sharedNow_ = sharedNow;
-        redistribute();
-        logger_.info("hot restart: {}",
-                     sharedNow ? "two processes share the limits" : "this process has all of the limits");
-    }
-    if (sharedNow) exchangeOverrides();
-    otherProcessTimer_.expires_after(kOtherProcessInterval);
-    otherProcessTimer_.async_wait([this](const boost::system::error_code& cancelled) {
-        if (!cancelled) pollOtherProcess();
-    });
-}
-
-// ---- what health checks and operators ask
+// ---- what health checks, operators and signals ask
 
 health::GatewayStatus Proxy::gatewayStatus() {
     const auto& sessions = front_.sessionManager();
@@ -267,39 +218,32 @@
 
 bool Proxy::setAdminDrain(const std::string& node, bool drained) {
     // Orders that another process received come first, so that this one is the newest; then it is passed on.
-    if (hotRestart_) exchangeOverrides();
+    if (hotRestart_) hotRestart_->exchangeOverrides();
     const bool known = engine_.setAdminDrain(node, drained);
-    if (hotRestart_) hotRestart_->exchangeOverrides(engine_.overrides());
+    if (hotRestart_) hotRestart_->publishOverrides();
     logger_.info("administrative drain: {} {}{}", drained ? "detach" : "attach", node,
                  known ? "" : ", which was never listed");
     return known;
 }
 
 void Proxy::reportMetrics() {
-    std::vector<MetricGroup> groups{
-        describeRequests(engine_.counters(), engine_.openRequests()),
-        describeAttempts(engine_.counters()),
-        describeHttp(front_.counters(), connectionMetrics(front_.sessionManager())),
-    };
-    if (rsync_)
-        groups.push_back(describeRsync(rsync_->counters(), connectionMetrics(rsync_->sessionManager())));
-    groups.push_back(describeNodePool({httpPool_.open(), httpPool_.opened(), httpPool_.reused()}));
-    groups.push_back(describeDiscovery(discovery_.counters()));
-    groups.push_back(describeTables(
-        {engine_.tableEntries(), engine_.nodeCount(), engine_.avoidedNodes(), engine_.adminDrainedNodes()}));
-    if (admin_)
-        groups.push_back(describeAdmin(admin_->counters(), connectionMetrics(admin_->sessionManager())));
-    if (hotRestart_) groups.push_back(describeHotRestart(hotRestart_->counters()));
-    groups.push_back(describeFleet(engine_.recovery(), engine_.now()));
-    groups.push_back(describeReloads(reload_.counters()));
-    groups.push_back(describePeers(peers_.counters()));
-    for (const auto& group : groups)
+    const MetricsSources sources{engine_,
+                                 front_,
+                                 rsync_.get(),
+                                 httpPool_,
+                                 discovery_,
+                                 admin_.get(),
+                                 hotRestart_ ? &hotRestart_->hotRestart() : nullptr,
+                                 reload_,
+                                 peers_};
+    for (const MetricGroup& group : collectMetrics(sources))
         logger_.info("{}", formatLine(group));
 }
 
 // ---- shutdown
 
 void Proxy::startShutdown() {
+    if (shutdown_.scheduled()) return;
     shutdown_.schedule(longestDeadline(config_.settings), std::chrono::steady_clock::now());
     requestsBeforeShutdown_ = engine_.counters().received;
     logger_.info("stopping: {} requests open", engine_.openRequests());
@@ -308,10 +252,10 @@
 }
 
 ShutdownMode Proxy::beginDraining() {
-    if (hotRestart_ && hotRestart_->role() == HotRestart::Role::Successor) return ShutdownMode::NeverServed;
-    const bool transfers = hotRestart_ && hotRestart_->successorWaits();
+    if (hotRestart_ && hotRestart_->waitsAsSuccessor()) return ShutdownMode::NeverServed;
+    const bool transfers = hotRestart_ && hotRestart_->hasSuccessor();
     if (transfers)
-        transferService();
+        hotRestart_->transferService();
     else
         engine_.shutdownStarted(engine_.now() + shutdown_.serveFor().count());
     front_.setResponseDeadline(engine_.now() + shutdown_.respondWithin().count());
@@ -342,14 +286,13 @@
 void Proxy::stop() {
     engine_.stop();
     if (hotRestart_) hotRestart_->stop();
-    otherProcessTimer_.cancel();
     front_.sessionManager().stop();
     if (rsync_) rsync_->sessionManager().stop();
     discovery_.stop();
     peers_.stop();
     httpPool_.clear();
     rsyncPool_.clear();
-    signals_.cancel();
+    signals_.stop();
     io_.stop();
 }
 
--- a/src/app/proxy.h
+++ b/src/app/proxy.h
@@ -3,9 +3,7 @@
 #pragma once
 
 #include <boost/asio/io_context.hpp>
-#include <boost/asio/signal_set.hpp>
 #include <boost/asio/steady_timer.hpp>
-#include <chrono>
 #include <cstdint>
 #include <memory>
 #include <optional>
@@ -14,9 +12,10 @@
 
 #include "admin/admin_server.h"
 #include "app/config_reload.h"
-#include "app/metrics_report.h"
+#include "app/hot_restart_coordinator.h"
 #include "app/resource_budget.h"
 #include "app/shutdown_sequence.h"
+#include "app/signal_handler.h"
 #include "config/config.h"
 #include "config/operator_config.h"
 #include "health/check_listeners.h"
@@ -48,30 +47,33 @@
     void run();
 
 private:
+    /// Opens the listener of one kind of health check: `health::makeHttpCheckListener` or
+    /// `health::makeAgentCheckListener`.
+    using OpenHealthListener = decltype(health::makeHttpCheckListener);
+
     // Start.
     void installEffectHandlers();
     void openRsync(const config::OperatorConfig& operatorConfig);
-    void openHealthHttp(const config::OperatorConfig& operatorConfig);
     void openAdmin();
-    void openHealthAgent(const config::OperatorConfig& operatorConfig);
+    std::unique_ptr<net::SessionManager> openHealthListener(std::string_view name,
+                                                            const std::optional<config::Endpoint>& address,
+                                                            OpenHealthListener* open);
+    void logListening(std::string_view name, const config::Endpoint& address);
+
+    // The service: at once, or when the process before gives it away or dies.
     void startHotRestart();
-    void awaitSignal();
-    void handleSignal(int signal);
-    void logListening(std::string_view what, const config::Endpoint& address);
+    void serve();
+    void takeOver(std::optional<hot_restart::Snapshot> snapshot);
+    void startEngine();
+    void openListener();
 
     // Resources.
-    [[nodiscard]] ResourceBudget budgetFor(int configuredDescriptors, bool sharedNow) const;
+    /// \param limitsAreShared with another process of this gateway, which has the other half
+    [[nodiscard]] ResourceBudget budgetFor(bool limitsAreShared) const;
     void redistribute();
     void applyConfig(const config::Config& fresh);
 
-    // Hot restart.
-    void serve(std::optional<hot_restart::Snapshot> snapshot);
-    void restore(hot_restart::Snapshot snapshot);
-    void transferService();
-    void exchangeOverrides();
-    void pollOtherProcess();
-
-    // What health checks and operators ask.
+    // What health checks, operators and signals ask.
     [[nodiscard]] health::GatewayStatus gatewayStatus();
     [[nodiscard]] admin::AdminHandler adminHandler();
     [[nodiscard]] admin::AdminMetrics adminMetrics() const;
@@ -92,9 +94,7 @@
 
     config::Config config_;  ///< as at the start
     log::Logger& logger_;
-    bool hotRestartEnabled_;
-    bool sharedNow_ = true;  ///< another process uses the same limits; assumed until the first look
-    int configuredDescriptors_;
+    int configuredDescriptors_;  ///< as in the configuration that was read last
     bool rsyncEnabled_;
     ResourceBudget budget_;
 
@@ -105,14 +105,13 @@
     net::Discovery discovery_;
     net::Peers peers_;
     http::Front front_;
-    std::unique_ptr<rsync::Front> rsync_;                  ///< where the operator's file has it
-    std::unique_ptr<net::SessionManager> healthHttp_;      ///< where the operator's file has it
-    std::unique_ptr<net::SessionManager> healthAgent_;     ///< where the operator's file has it
-    std::unique_ptr<hot_restart::HotRestart> hotRestart_;  ///< where it is enabled
-    std::unique_ptr<admin::AdminServer> admin_;            ///< where the configuration has `mgmt`
-    boost::asio::signal_set signals_;
+    std::unique_ptr<rsync::Front> rsync_;                ///< where the operator's file has it
+    std::unique_ptr<net::SessionManager> healthHttp_;    ///< where the operator's file has it
+    std::unique_ptr<net::SessionManager> healthAgent_;   ///< where the operator's file has it
+    std::unique_ptr<HotRestartCoordinator> hotRestart_;  ///< where it is possible
+    std::unique_ptr<admin::AdminServer> admin_;          ///< where the configuration has `mgmt`
+    SignalHandler signals_;
     boost::asio::steady_timer shutdownTimer_;
-    boost::asio::steady_timer otherProcessTimer_;
 
     ShutdownSequence shutdown_;
     ConfigReload reload_;
--- a/src/app/shutdown_sequence.h
+++ b/src/app/shutdown_sequence.h
@@ -1,14 +1,17 @@
 /// \file
 /// The graceful shutdown after SIGTERM, as a state machine without timers or sockets.
 ///
-/// | phase | still accepted | ends when |
+/// | phase | still accepted | ends |
 /// | --- | --- | --- |
-/// | `Serving` | everything | SIGTERM: `start` |
-/// | `Draining` | connections and requests; after 0.3 s no new connection is expected | no client is
-/// connected and 0.6 s have passed, or 0.45 s before the kill | | `ClosingListener` | requests on open
-/// connections; each response closes its connection | 0.1 s later | | `ClosingIdle` | nothing; idle
-/// connections are closed every 20 ms | nothing is in flight, and no connection is left or it is 0.12 s
-/// before the kill | | `Stopped` | nothing | |
+/// | `Serving` | everything | with SIGTERM: `start` |
+/// | `Draining` | connections and requests | after 0.6 s without a client, or 0.45 s before the kill |
+/// | `ClosingListener` | requests on open connections | after 0.1 s |
+/// | `ClosingIdle` | nothing | without requests and connections, or 0.12 s before the kill |
+/// | `Stopped` | nothing | |
+///
+/// `Draining`: 0.3 s after SIGTERM no new connection is expected. `ClosingListener`: each response closes its
+/// connection. `ClosingIdle`: idle connections are closed every 20 ms; a request in flight is waited for
+/// beyond the time in the table.
 ///
 /// "The kill" is the earliest moment at which the platform may send SIGKILL. A process that transferred the
 /// service to a successor accepts no new connections, so that it leaves `Draining` as soon as its last client
@@ -21,6 +24,7 @@
 
 namespace wingproxy::app {
 
+/// Where the shutdown is. The phases are entered in this order, none of them twice; some may be skipped.
 enum class ShutdownPhase { Serving, Draining, ClosingListener, ClosingIdle, Stopped };
 
 /// Who serves the clients while this process shuts down.
@@ -51,16 +55,19 @@
     [[nodiscard]] virtual std::size_t activeClients() = 0;
     /// Connections of all clients, those included that are being closed.
     [[nodiscard]] virtual std::size_t allConnections() = 0;
+    /// Requests without their final answer, of all protocols.
     [[nodiscard]] virtual std::size_t openRequests() = 0;
 };
 
 /// Moves a `ShutdownTarget` through the phases. The caller runs the timer.
 class ShutdownSequence {
 public:
+    /// A moment of the clock that never goes back; the caller reads it.
     using TimePoint = std::chrono::steady_clock::time_point;
     /// After how long `advance` is to be called again; nothing once stopped.
     using NextCall = std::optional<std::chrono::milliseconds>;
 
+    /// \param target outlives the sequence
     explicit ShutdownSequence(ShutdownTarget& target) : target_(target) {}
 
     /// SIGTERM was received: fixes the times below. The phase stays `Serving` until `start`.
@@ -72,6 +79,7 @@
     /// ended.
     NextCall advance(TimePoint now);
 
+    /// The phase that the last call left; it changes in `start` and `advance` only.
     [[nodiscard]] ShutdownPhase phase() const { return phase_; }
     /// Whether SIGTERM was received.
     [[nodiscard]] bool scheduled() const { return scheduled_; }
--- a/tests/app/metrics_report_test.cpp
+++ b/tests/app/metrics_report_test.cpp
@@ -75,11 +75,11 @@
           "malformed=8 listings=9");
 }
 
-TEST_CASE("metrics: connections to nodes") {
+TEST_CASE("metrics: the line of the nodes has the connections open, opened and reused") {
     CHECK(formatLine(describeNodePool({1, 2, 3})) == "counters nodes: connections=1 opened=2 reused=3");
 }
 
-TEST_CASE("metrics: calls of discovery") {
+TEST_CASE("metrics: the line of discovery has its calls by result") {
     net::Discovery::Counters counters;
     counters.calls = 1;
     counters.answers = 2;
@@ -89,12 +89,12 @@
           "counters discovery: calls=1 answers=2 failed=3 malformed=4");
 }
 
-TEST_CASE("metrics: sizes of the tables") {
+TEST_CASE("metrics: the line of the tables has their sizes") {
     CHECK(formatLine(describeTables({1, 2, 3, 4})) ==
           "counters tables: entries=1 nodes=2 avoided=3 admin_drained=4");
 }
 
-TEST_CASE("metrics: admin requests") {
+TEST_CASE("metrics: the line of the admin server has its requests by result") {
     admin::AdminServer::Counters counters;
     counters.executed = 3;
     counters.rejected = 4;
@@ -104,7 +104,7 @@
           "counters admin: connections=1 open=2 executed=3 rejected=4 malformed=5 timed_out=6");
 }
 
-TEST_CASE("metrics: hot restarts") {
+TEST_CASE("metrics: the line of hot restarts has snapshots and overrides files by what became of them") {
     hot_restart::HotRestart::Counters counters;
     counters.restored = 1;
     counters.transferred = 2;
@@ -126,14 +126,14 @@
               .starts_with("counters fleet: recovered_by=lease_expired "));
 }
 
-TEST_CASE("metrics: reloads of the configuration") {
+TEST_CASE("metrics: the line of reloads has applied and rejected files") {
     ConfigReload::Counters counters;
     counters.applied = 1;
     counters.rejected = 2;
     CHECK(formatLine(describeReloads(counters)) == "counters reloads: done=1 bad=2");
 }
 
-TEST_CASE("metrics: datagrams of peers") {
+TEST_CASE("metrics: the line of the peers has datagrams sent, received and dropped") {
     net::Peers::Counters counters;
     counters.sent = 1;
     counters.received = 2;
