--- a/src/core/endpoint_table.h
+++ b/src/core/endpoint_table.h
@@ -41,7 +41,9 @@
     [[nodiscard]] const NodeInfo* find(const std::string& node) const;
     /// When it was read that this node drains; nothing where it does not.
     [[nodiscard]] std::optional<Micros> drainingSince(const std::string& node) const;
+    /// Whether this id is listed or was listed before; forgotten beyond `kMaxEverListed` newer ids.
     [[nodiscard]] bool everListed(const std::string& node) const;
+    /// The newest order for each node that ever had one. Valid as long as the table.
     [[nodiscard]] const AdminOverrides& overrides() const { return overrides_; }
     /// Nodes under an administrative drain.
     [[nodiscard]] std::size_t adminDrainedNodes() const;
--- a/src/core/events.h
+++ b/src/core/events.h
@@ -53,6 +53,7 @@
 struct AdminOverride {
     bool drained = true;  ///< under an administrative drain; false: that drain was ended
     Micros at = 0;        ///< when it was given; of two orders the later one counts
+    /// Field by field, for equality; which of two orders counts is decided by `at`.
     auto operator<=>(const AdminOverride&) const = default;
 };
 /// The newest order for each node id.
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -28,6 +28,7 @@
 /// Everything that one front knows and decides.
 class State {
 public:
+    /// A time that does not come: no timer is set.
     static constexpr Micros kNoWake = INT64_MAX;
 
     /// \param now the start of this process, in microseconds since the Unix epoch
@@ -42,6 +43,7 @@
 
     /// When `TimerExpired` must be put in, at the latest; kNoWake: not before another input.
     [[nodiscard]] Micros nextWake() const;
+    /// Since the start of the process. Valid as long as the state.
     [[nodiscard]] const Counters& counters() const { return counters_; }
     /// Requests without their final answer.
     [[nodiscard]] std::size_t openRequests() const { return requests_.unanswered(); }
@@ -53,6 +55,7 @@
     [[nodiscard]] const fleet::RestartRecovery& recovery() const { return policy_.recovery(); }
     /// Whether the node is listed or was listed before.
     [[nodiscard]] bool everListed(const std::string& node) const { return endpoints_.everListed(node); }
+    /// The newest operator's order for each node. Valid until the next input.
     [[nodiscard]] const AdminOverrides& overrides() const { return endpoints_.overrides(); }
     /// Nodes under an administrative drain.
     [[nodiscard]] std::size_t adminDrainedNodes() const { return endpoints_.adminDrainedNodes(); }
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -44,6 +44,7 @@
 struct AttemptLookup {
     InFlightRequest* request = nullptr;
     InFlightAttempt* attempt = nullptr;
+    /// Whether the attempt is in flight.
     explicit operator bool() const { return attempt != nullptr; }
 };
 
@@ -54,12 +55,15 @@
     InFlightRequest* add(const Request& request);
     /// The request of this id; null where it is not in flight. Valid until the request is erased.
     [[nodiscard]] InFlightRequest* find(RequestId id);
+    /// The attempt of this number of the request.
     [[nodiscard]] AttemptLookup findAttempt(RequestId id, AttemptIndex attempt);
     /// Notes that the request, which had none, has its final answer or needs none any more.
     void markAnswered(InFlightRequest& request);
+    /// Forgets a request that is finished (`InFlightRequest::isFinished`).
     void erase(RequestId id) { requests_.erase(id); }
     /// Requests without their final answer.
     [[nodiscard]] std::size_t unanswered() const { return unanswered_; }
+    /// Requests in the table, answered ones with attempts in flight included.
     [[nodiscard]] std::size_t size() const { return requests_.size(); }
 
 private:
--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -25,6 +25,7 @@
     TimerKind kind = TimerKind::Policy;
     std::uint64_t id = 0;  ///< a RequestId, or the policy's token
     AttemptIndex attempt;  ///< none where the timer concerns no attempt
+    /// The order in which timers expire: by time, then kind, then owner.
     // NOLINTNEXTLINE(modernize-use-nullptr): false positive on the comparison with 0 that C++20 generates
     auto operator<=>(const Timer&) const = default;
 };
@@ -32,6 +33,7 @@
 /// Timers that have not expired yet.
 class TimerQueue {
 public:
+    /// Adds a timer, also beside an equal one: each expires by itself.
     void schedule(const Timer& timer) { timers_.insert(timer); }
     /// Removes one timer equal to this one, if there is any.
     void cancel(const Timer& timer);
@@ -39,6 +41,7 @@
     std::optional<Timer> popExpired(Micros now);
     /// When the first timer expires; nothing where there is none.
     [[nodiscard]] std::optional<Micros> nextExpiry() const;
+    /// Timers that have neither expired nor been cancelled.
     [[nodiscard]] std::size_t size() const { return timers_.size(); }
 
 private:
--- a/src/hot_restart/atomic_file.cpp
+++ b/src/hot_restart/atomic_file.cpp
@@ -18,7 +18,7 @@
     return true;
 }
 
-std::optional<std::string> readWholeFile(const std::string& path, std::size_t maxBytes) {
+std::optional<std::string> readFile(const std::string& path, std::size_t maxBytes) {
     std::ifstream in(path, std::ios::binary | std::ios::ate);
     if (!in || std::size_t(in.tellg()) > maxBytes) return std::nullopt;
     in.seekg(0);
--- a/src/hot_restart/atomic_file.h
+++ b/src/hot_restart/atomic_file.h
@@ -1,6 +1,6 @@
 /// \file
-/// Whole files that another process may read at any moment. They are small and lie in memory (`$TMPDIR`), so
-/// the calls block for no device.
+/// Complete files that another process may read at any moment. They are small and lie in memory (`$TMPDIR`),
+/// so the calls block for no device.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,8 @@
 /// one. \return false: not written, the previous content stays
 [[nodiscard]] bool writeFileAtomically(const std::string& path, std::string_view bytes);
 
-/// \return nothing where the file does not exist, cannot be read, or is longer than `maxBytes`
-[[nodiscard]] std::optional<std::string> readWholeFile(const std::string& path, std::size_t maxBytes);
+/// The content of the file. \return nothing where the file does not exist, cannot be read, or is longer than
+/// `maxBytes`
+[[nodiscard]] std::optional<std::string> readFile(const std::string& path, std::size_t maxBytes);
 
 }  // namespace wingproxy::hot_restart
--- a/src/hot_restart/checked_file.h
+++ b/src/hot_restart/checked_file.h
@@ -20,6 +20,7 @@
 
 constexpr std::size_t kMagicBytes = 4;
 
+/// The header for this payload, and the payload.
 /// \param magic `kMagicBytes` characters
 [[nodiscard]] std::string encodeCheckedFile(std::string_view magic, std::string_view payload);
 
--- a/src/hot_restart/file_lock.h
+++ b/src/hot_restart/file_lock.h
@@ -12,6 +12,7 @@
 /// Two `FileLock` objects on the same path exclude each other also within one process.
 class FileLock {
 public:
+    /// Which other holders a lock excludes: all, or the exclusive ones only.
     enum class Mode { Exclusive, Shared };
 
     /// The file is created by the first attempt to lock it, and never removed.
@@ -28,7 +29,9 @@
     /// file cannot be created, it returns at once without the lock.
     void acquire(Mode mode = Mode::Exclusive);
 
+    /// Lets others acquire the lock; without effect where it is not held.
     void release();
+    /// Whether this object holds the lock, in whatever mode.
     [[nodiscard]] bool held() const { return fd_ >= 0; }
 
 private:
--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -70,7 +70,7 @@
 }
 
 std::optional<Snapshot> HotRestart::consumeSnapshot() {
-    const auto bytes = readWholeFile(path(kSnapshotFile), kMaxSnapshotBytes);
+    const auto bytes = readFile(path(kSnapshotFile), kMaxSnapshotBytes);
     if (!bytes) {
         logger_.warn("hot restart: the previous process left no snapshot; starting as after a crash");
         return std::nullopt;
@@ -126,7 +126,7 @@
 
 core::AdminOverrides HotRestart::exchangeOverrides(const core::AdminOverrides& own) {
     overridesLock_.acquire();
-    const auto stored = readWholeFile(path(kOverridesFile), kMaxOverridesBytes);
+    const auto stored = readFile(path(kOverridesFile), kMaxOverridesBytes);
     const bool isNew = stored && *stored != lastOverrides_;
     core::AdminOverrides merged = isNew ? mergeStored(own, *stored) : own;
     auto bytes = encodeOverrides(merged);
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -30,6 +30,7 @@
         std::uint64_t overridesRead = 0;  ///< overrides files with something new
         std::uint64_t writeFailures = 0;  ///< files that could not be written
     };
+    /// This process's part. `First` and `Serving` become `Transferred`, `Successor` becomes `Serving`.
     enum class Role {
         First,        ///< serves, and found no other process at its start
         Successor,    ///< waits until the serving process transfers the service or dies
@@ -50,6 +51,7 @@
     /// Does not call the handler any more.
     void stop();
 
+    /// `First` before `start`.
     [[nodiscard]] Role role() const { return role_; }
     /// Whether another process of this gateway, a waiting successor or one that finishes, uses its limits
     /// now.
@@ -64,6 +66,7 @@
     /// \return the overrides of both processes
     core::AdminOverrides exchangeOverrides(const core::AdminOverrides& own);
 
+    /// Valid as long as this object.
     [[nodiscard]] const Counters& counters() const { return counters_; }
 
 private:
@@ -83,8 +86,8 @@
     FileLock overridesLock_;
     TakeOverHandler takeOver_;
     Role role_ = Role::First;
-    std::string
-        lastOverrides_;  ///< bytes that were read or written last; the same ones are not decoded again
+    /// Bytes of the overrides file that were read or written last; the same ones are not decoded again.
+    std::string lastOverrides_;
     Counters counters_;
 };
 
--- a/src/hot_restart/snapshot.h
+++ b/src/hot_restart/snapshot.h
@@ -29,15 +29,19 @@
 /// snapshot.
 constexpr std::size_t kMaxSnapshotBytes = std::size_t{32} * 1024 * 1024;
 
+/// The complete file: header and payload.
 [[nodiscard]] std::string encode(const Snapshot& snapshot);
 
-/// \param bytes the whole file
-/// \param front the name of this gateway; a snapshot of another one is rejected
-/// \param now Unix microseconds
+/// The snapshot of a file that is complete, fresh and of this gateway; else the first check that failed.
+/// Checks format and checksum before the payload, and the payload before its values. \param bytes the
+/// complete file \param front the name of this gateway; a snapshot of another one is rejected \param now Unix
+/// microseconds
 [[nodiscard]] std::variant<Snapshot, SnapshotError> decode(std::string_view bytes, std::string_view front,
                                                            Micros now);
 
+/// The complete file with these orders.
 [[nodiscard]] std::string encodeOverrides(const core::AdminOverrides& overrides);
+/// The inverse of `encodeOverrides`. A file has no age and no owner: its orders hold until newer ones come.
 [[nodiscard]] std::variant<core::AdminOverrides, SnapshotError> decodeOverrides(std::string_view bytes);
 
 /// Of each node the newer override, and of two at the same time the one that drains: the result does not
--- a/tests/hot_restart/atomic_file_test.cpp
+++ b/tests/hot_restart/atomic_file_test.cpp
@@ -1,4 +1,4 @@
-// Files that are replaced as a whole.
+// Files whose readers see the old or the new content, never a part of one.
 #include "hot_restart/atomic_file.h"
 
 #include <doctest/doctest.h>
@@ -10,18 +10,18 @@
 using namespace wingproxy::hot_restart;
 using wingproxy::test::TemporaryFolder;
 
-TEST_CASE("atomic file: what was written is read, any bytes") {
+TEST_CASE("atomic file: reading returns what was written, whatever bytes it has") {
     TemporaryFolder folder;
     const std::string bytes("a\0\xff\n", 4);
     CHECK(writeFileAtomically(folder.file("x"), bytes));
-    CHECK(readWholeFile(folder.file("x"), 100) == bytes);
+    CHECK(readFile(folder.file("x"), 100) == bytes);
 }
 
 TEST_CASE("atomic file: a second write replaces the first, and no temporary file stays") {
     TemporaryFolder folder;
     CHECK(writeFileAtomically(folder.file("x"), "a longer text"));
     CHECK(writeFileAtomically(folder.file("x"), "short"));
-    CHECK(readWholeFile(folder.file("x"), 100) == "short");
+    CHECK(readFile(folder.file("x"), 100) == "short");
     CHECK(!std::filesystem::exists(folder.file("x.new")));
 }
 
@@ -30,17 +30,17 @@
     CHECK(writeFileAtomically(folder.file("x"), "first"));
     std::filesystem::create_directory(folder.file("x.new"));
     CHECK(!writeFileAtomically(folder.file("x"), "second"));
-    CHECK(readWholeFile(folder.file("x"), 100) == "first");
+    CHECK(readFile(folder.file("x"), 100) == "first");
 }
 
 TEST_CASE("atomic file: one that does not exist is not read") {
     TemporaryFolder folder;
-    CHECK(!readWholeFile(folder.file("x"), 100));
+    CHECK(!readFile(folder.file("x"), 100));
 }
 
 TEST_CASE("atomic file: one that is longer than allowed is not read") {
     TemporaryFolder folder;
     CHECK(writeFileAtomically(folder.file("x"), "12345"));
-    CHECK(readWholeFile(folder.file("x"), 5) == "12345");
-    CHECK(!readWholeFile(folder.file("x"), 4));
+    CHECK(readFile(folder.file("x"), 5) == "12345");
+    CHECK(!readFile(folder.file("x"), 4));
 }
--- a/tests/hot_restart/checked_file_test.cpp
+++ b/tests/hot_restart/checked_file_test.cpp
@@ -24,7 +24,7 @@
     CHECK(encodeCheckedFile(kMagic, "123456789") == expected);
 }
 
-TEST_CASE("checked file: the payload comes back, also an empty one") {
+TEST_CASE("checked file: decoding returns the encoded payload, also an empty one") {
     for (const std::string payload : {"", "x", "payload"}) {
         const std::string bytes = encodeCheckedFile(kMagic, payload);
         const auto decoded = decodeCheckedFile(kMagic, bytes);
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -90,14 +90,14 @@
     CHECK(both.first.hotRestart->successorWaits());
 }
 
-TEST_CASE("hot restart: alone, a process has all limits") {
+TEST_CASE("hot restart: a process that runs alone has all of the limits") {
     TwoInstances both;
     both.first.start();
     CHECK(!both.first.hotRestart->anotherProcessRuns());
     CHECK(!both.first.hotRestart->successorWaits());
 }
 
-TEST_CASE("hot restart: while a successor waits, both share the limits") {
+TEST_CASE("hot restart: while a successor waits, both processes share the limits") {
     TwoInstances both;
     both.startBoth();
     CHECK(both.first.hotRestart->anotherProcessRuns());
--- a/tests/hot_restart/snapshot_test.cpp
+++ b/tests/hot_restart/snapshot_test.cpp
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-TEST_CASE("snapshot: endpoint list and open requests come back") {
+TEST_CASE("snapshot: decoding returns the encoded endpoint list and open requests") {
     SnapshotOfThreeNodes taken;
     const auto decoded = taken.decodeOwn(taken.bytes);
     REQUIRE(!isRejected(decoded));
@@ -53,7 +53,7 @@
     CHECK(encode(snapshot) == taken.bytes);
 }
 
-TEST_CASE("snapshot: one that is cut at any byte is rejected") {
+TEST_CASE("snapshot: one that is truncated at any byte is rejected") {
     SnapshotOfThreeNodes taken;
     for (std::size_t length = 0; length < taken.bytes.size(); ++length)
         REQUIRE(isRejected(taken.decodeOwn(std::string_view(taken.bytes).substr(0, length))));
@@ -68,7 +68,7 @@
     }
 }
 
-TEST_CASE("snapshot: one with bytes behind its end is rejected") {
+TEST_CASE("snapshot: one with trailing bytes is rejected") {
     SnapshotOfThreeNodes taken;
     CHECK(std::get<SnapshotError>(taken.decodeOwn(taken.bytes + "x")).code == SnapshotErrorCode::Truncated);
 }
@@ -88,7 +88,7 @@
     CHECK(std::get<SnapshotError>(decode(taken.bytes, "n0", oldest + 1)).code == SnapshotErrorCode::Expired);
 }
 
-TEST_CASE("snapshot: one that has not an address for each node is rejected") {
+TEST_CASE("snapshot: one without an address for each node is rejected") {
     SnapshotOfThreeNodes taken;
     taken.snapshot.engine.addresses.pop_back();
     const auto decoded = taken.decodeOwn(encode(taken.snapshot));
@@ -115,7 +115,7 @@
     CHECK(!other.restore(policyState));
 }
 
-TEST_CASE("snapshot: a policy's state that is cut is not restored") {
+TEST_CASE("snapshot: a truncated policy state is not restored") {
     SnapshotOfThreeNodes taken;
     const std::string& policyState = taken.snapshot.engine.core.policySnapshot;
     Policy other(test::settings(0, 2), taken.snapshot.takenAt);
@@ -153,18 +153,18 @@
     CHECK(mergeOverrides(attached, drained) == drained);
 }
 
-TEST_CASE("overrides: they come back from their bytes") {
+TEST_CASE("overrides: decoding returns what was encoded") {
     CHECK(std::get<core::AdminOverrides>(decodeOverrides(encodeOverrides(kAllOverrides))) == kAllOverrides);
 }
 
-TEST_CASE("overrides: a file that is cut at any byte is rejected") {
+TEST_CASE("overrides: a file that is truncated at any byte is rejected") {
     const auto bytes = encodeOverrides(kAllOverrides);
     for (std::size_t length = 0; length < bytes.size(); ++length)
         CHECK(std::holds_alternative<SnapshotError>(
             decodeOverrides(std::string_view(bytes).substr(0, length))));
 }
 
-TEST_CASE("overrides: a snapshot is no overrides file") {
+TEST_CASE("overrides: a snapshot is not accepted as an overrides file") {
     SnapshotOfThreeNodes taken;
     CHECK(std::get<SnapshotError>(decodeOverrides(taken.bytes)).code == SnapshotErrorCode::UnsupportedFormat);
 }
