--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -5,22 +5,24 @@
 /// clients report how attempts ended; the `Policy`, which is fed in batches, decides. What is to be done
 /// outside is returned as effects, in order.
 ///
-/// `State` joins the request table, the endpoint table, the timer queue and the policy, and owns all four.
-/// Not thread-safe: one event loop owns a `State`.
+/// `State` owns the request table, the endpoint table, and the timers, counters and policy of its context. It
+/// handles inputs, expired timers and the policy's actions; what attempts and final answers do is in
+/// attempt_lifecycle.h and final_answers.h. Not thread-safe: one event loop owns a `State`.
 #pragma once
 
 #include <cstddef>
 #include <string>
-#include <vector>
 
 #include "core/attempt_deadlines.h"
+#include "core/attempt_lifecycle.h"
 #include "core/counters.h"
 #include "core/effects.h"
 #include "core/endpoint_table.h"
 #include "core/events.h"
+#include "core/final_answers.h"
+#include "core/reducer_context.h"
 #include "core/request_table.h"
 #include "core/state_snapshot.h"
-#include "core/timer_queue.h"
 #include "wingproxy/policy.h"
 
 namespace wingproxy::core {
@@ -33,6 +35,8 @@
 
     /// \param now the start of this process, in microseconds since the Unix epoch
     State(const Settings& settings, const Limits& limits, Micros now);
+    State(const State&) = delete;  // its parts refer to each other
+    State& operator=(const State&) = delete;
 
     /// See `core::reduce`.
     Effects reduce(Micros now, Input input);
@@ -44,15 +48,15 @@
     /// When `TimerExpired` must be put in, at the latest; kNoWake: not before another input.
     [[nodiscard]] Micros nextWake() const;
     /// Since the start of the process. Valid as long as the state.
-    [[nodiscard]] const Counters& counters() const { return counters_; }
+    [[nodiscard]] const Counters& counters() const { return context_.counters; }
     /// Requests without their final answer.
     [[nodiscard]] std::size_t openRequests() const { return requests_.unanswered(); }
     /// Entries in all tables, the policy's too, but for the ever-listed ids, which have their own bound.
     [[nodiscard]] std::size_t tableEntries() const;
     /// Listed nodes that get no requests: under an administrative drain, draining, or ejected by the policy.
-    [[nodiscard]] std::size_t avoidedNodes() const { return policy_.avoidedNodes(); }
+    [[nodiscard]] std::size_t avoidedNodes() const { return context_.policy.avoidedNodes(); }
     /// What this front may spend and lend after its start.
-    [[nodiscard]] const fleet::RestartRecovery& recovery() const { return policy_.recovery(); }
+    [[nodiscard]] const fleet::RestartRecovery& recovery() const { return context_.policy.recovery(); }
     /// Whether the node is listed or was listed before.
     [[nodiscard]] bool everListed(const std::string& node) const { return endpoints_.everListed(node); }
     /// The newest operator's order for each node. Valid until the next input.
@@ -78,53 +82,29 @@
     void handle(const TimerExpired& input);
     void handle(const BatchEnded& input);
 
-    // Expired timers.
     void expire(const Timer& timer);
-    void expireAttempt(const Timer& timer);
-    void expireLastByte(const Timer& timer);
     void expireRequest(RequestId id);
 
     // Actions of the policy.
-    void apply(const ForwardRequest& action);
-    void apply(const RejectRequest& action);
-    void apply(const FailRequest& action);
-    void apply(const CancelAttempt& action);
-    void apply(const StartHealthCheck& action);
-    void apply(const SendPeerMessage& action);
+    void apply(const ForwardRequest& action) { attempts_.start(action); }
+    void apply(const RejectRequest& action) { answers_.reject(action); }
+    void apply(const FailRequest& action) { answers_.fail(action.id); }
+    void apply(const CancelAttempt& action) { attempts_.cancel(action); }
+    void apply(const StartHealthCheck& action) { context_.emit(action); }
+    void apply(const SendPeerMessage& action) { context_.emit(action); }
     void apply(const SetTimer& action);
-    void apply(const WatchEndpointList& action);
-    void apply(const LogLine& action);
+    void apply(const WatchEndpointList& action) { context_.emit(action); }
+    void apply(const LogLine& action) { context_.emit(action); }
 
-    void notifyPolicy(const Event& event);
-    void notifyNotStarted();
-
-    // Attempts.
+    /// The event that the node's response to this attempt started now.
     [[nodiscard]] ResponseStarted responseStarted(RequestId id, AttemptIndex attempt,
                                                   const InFlightAttempt& inFlight) const;
-    [[nodiscard]] bool mayStart(const InFlightRequest& request, const std::string& node) const;
-    void startAttempt(const ForwardRequest& action, AttemptIndex attempt, InFlightRequest& request);
-    void extendAttempts(RequestId id, InFlightRequest& request);
-    void stopAttempt(RequestId id, AttemptIndex attempt, Outcome outcome);
-    void endAttempt(InFlightRequest& request, AttemptFinished result);
-    void answerFromAttempt(InFlightRequest& request, const AttemptFinished& result);
-
-    // Requests.
-    void answer(RequestId id, std::uint64_t ResponseCounts::*count, Effect effect);
-    void markAnswered(InFlightRequest& request, std::uint64_t ResponseCounts::*count);
-    void eraseIfFinished(RequestId id);
-    [[nodiscard]] ResponseCounts& answersOf(const InFlightRequest& request);
 
-    Settings settings_;
-    Limits limits_;
-    Micros now_;
-    Policy policy_;
+    ReducerContext context_;
     RequestTable requests_;
     EndpointTable endpoints_;
-    TimerQueue timers_;
-    Counters counters_;
-    Effects effects_;                                  // of the input that is being handled
-    std::vector<AttemptFinished> notStartedAttempts_;  // the policy is notified of them in the next batch
-    bool policyPending_ = true;  // the policy has actions that were not taken; at the start its first ones
+    FinalAnswers answers_;
+    AttemptLifecycle attempts_;
 };
 
 /// Takes one input and returns what is to be done outside.
--- /dev/null
+++ b/src/core/reducer_context.h
@@ -0,0 +1,33 @@
+/// \file
+/// What the parts of the reducer share: the time of the input, the policy, timers, counters and effects.
+#pragma once
+
+#include "core/attempt_deadlines.h"
+#include "core/counters.h"
+#include "core/effects.h"
+#include "core/timer_queue.h"
+#include "wingproxy/policy.h"
+
+namespace wingproxy::core {
+
+/// Owned by `State`; its parts refer to it as long as they live.
+struct ReducerContext {
+    /// \param startedAt microseconds since the Unix epoch
+    ReducerContext(const Settings& settings, const Limits& limits, Micros startedAt);
+
+    /// Puts an event into the batch that the policy decides at its end.
+    void notifyPolicy(const Event& event);
+    /// Adds an effect of the input that is being handled.
+    void emit(Effect effect);
+
+    Settings settings;
+    Limits limits;
+    Micros now;  ///< of the input that is being handled; never falls
+    Policy policy;
+    bool policyPending = true;  ///< the policy has actions that were not taken; at the start its first ones
+    TimerQueue timers;
+    Counters counters;
+    Effects effects;  ///< of the input that is being handled
+};
+
+}  // namespace wingproxy::core
--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -21,6 +21,19 @@
 
 /// One timer. Equal timers are the same one to `TimerQueue::cancel`.
 struct Timer {
+    /// The deadline of a request without its final answer.
+    static Timer requestDeadline(RequestId id, Micros at) { return {at, TimerKind::RequestDeadline, id, {}}; }
+    /// The end of an attempt without a response.
+    static Timer attemptTimeout(RequestId id, AttemptIndex attempt, Micros at) {
+        return {at, TimerKind::AttemptTimeout, id, attempt};
+    }
+    /// The end of an attempt whose request is not complete at its node.
+    static Timer lastByte(RequestId id, AttemptIndex attempt, Micros at) {
+        return {at, TimerKind::LastByte, id, attempt};
+    }
+    /// A timer of the policy, which knows it by the token.
+    static Timer ofPolicy(std::uint64_t token, Micros at) { return {at, TimerKind::Policy, token, {}}; }
+
     Micros at = 0;
     TimerKind kind = TimerKind::Policy;
     std::uint64_t id = 0;  ///< a RequestId, or the policy's token
