--- a/tests/golden/golden_handover_test.cpp
+++ b/tests/golden/golden_handover_test.cpp
@@ -1,10 +1,11 @@
-// The module over hand-overs: three hosts with leases and messages between them, whose processes are followed
-// by others. All events that the text wire does not carry take part (bodies that are still coming, a process
-// that leaves, waiting requests that must go, streams). The actions and the handed-over bytes must be those
-// of the version that wrote golden_handover.txt.
-//
-// How the file is written anew stands in golden_file.h. Actions are rendered by number and fields, so that
-// the file holds no name of a type.
+/// \file
+/// The policy over hot restarts: three hosts with leases and gossip, whose processes are replaced by others.
+/// All events that the simulator's wire does not carry take part: bodies that are still coming, graceful
+/// shutdowns, calls for capacity and streams. The actions and the bytes of the snapshots must be those of the
+/// version that wrote golden_handover.txt.
+///
+/// How the file is written anew stands in golden_file.h. Actions are rendered by their index and their
+/// fields, so that the file holds no name of a type.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,6 +14,7 @@
 #include <memory>
 #include <set>
 
+#include "golden/agenda.h"
 #include "golden/golden_file.h"
 #include "support/policy_support.h"
 
@@ -33,47 +35,50 @@
             text += " " + field;
         return text;
     }
-    std::string operator()(const ForwardRequest& a) const {
-        return join(
-            {std::to_string(a.id), a.node, std::to_string(a.timeoutUs), std::to_string(a.lastByteByUs)});
+    std::string operator()(const ForwardRequest& action) const {
+        return join({std::to_string(action.id), action.node, std::to_string(action.timeoutUs),
+                     std::to_string(action.lastByteByUs)});
     }
-    std::string operator()(const RejectRequest& a) const {
-        return join({std::to_string(a.id), std::to_string(a.retryAfterUs)});
+    std::string operator()(const RejectRequest& action) const {
+        return join({std::to_string(action.id), std::to_string(action.retryAfterUs)});
     }
-    std::string operator()(const FailRequest& a) const { return join({std::to_string(a.id)}); }
-    std::string operator()(const CancelAttempt& a) const {
-        return join({std::to_string(a.id), std::to_string(a.attempt.value())});
+    std::string operator()(const FailRequest& action) const { return join({std::to_string(action.id)}); }
+    std::string operator()(const CancelAttempt& action) const {
+        return join({std::to_string(action.id), std::to_string(action.attempt.value())});
     }
-    std::string operator()(const StartHealthCheck& a) const { return join({a.node}); }
-    std::string operator()(const SendPeerMessage& a) const {
-        return join({std::to_string(a.to.host().value()), hexOf(a.bytes)});
+    std::string operator()(const StartHealthCheck& action) const { return join({action.node}); }
+    std::string operator()(const SendPeerMessage& action) const {
+        return join({std::to_string(action.to.host().value()), hexOf(action.bytes)});
     }
-    std::string operator()(const SetTimer& a) const {
-        return join({std::to_string(a.delayUs), std::to_string(a.token)});
+    std::string operator()(const SetTimer& action) const {
+        return join({std::to_string(action.delayUs), std::to_string(action.token)});
     }
-    std::string operator()(const WatchEndpointList& a) const { return join({a.enabled ? "1" : "0"}); }
-    std::string operator()(const LogLine& a) const { return join({a.text}); }
+    std::string operator()(const WatchEndpointList& action) const {
+        return join({action.enabled ? "1" : "0"});
+    }
+    std::string operator()(const LogLine& action) const { return join({action.text}); }
 };
 
 std::string render(const Action& action) {
     return std::to_string(action.index()) + std::visit(FieldsOfAction{}, action) + "\n";
 }
 
-Settings hostSettings(int host) {
-    Settings s = settings(host, kHosts);
-    s.mayCancel = true;
-    s.mayCheckHealth = true;
-    s.retryRatio = 0.2;
-    s.retryAllowance = 3;
-    s.retryWindowUs = 2 * kSecond;
-    return s;
+Settings settingsOf(int host) {
+    Settings hostSettings = settings(host, kHosts);
+    hostSettings.mayCancel = true;
+    hostSettings.mayCheckHealth = true;
+    hostSettings.retryRatio = 0.2;
+    hostSettings.retryAllowance = 3;
+    hostSettings.retryWindowUs = 2 * kSecond;
+    return hostSettings;
 }
 
 /// Processes of three hosts, their clients, two cells of nodes and the network between the hosts.
-class HandOverSimulation {
+class HotRestartSimulation {
 public:
-    HandOverSimulation();
-    /// Runs to the end, and returns the lines of the golden file.
+    HotRestartSimulation();
+    /// Runs to the end; to be called once.
+    /// \return the lines of the golden file
     std::vector<std::string> run();
 
 private:
@@ -85,33 +90,37 @@
     struct OpenRequest {
         std::size_t process = 0;
         Request request;
-        bool arrived = true;  // its body is whole
-        int attempts = 0;
-        std::map<int, std::string> out;
+        bool bodyComplete = true;
+        int attemptCount = 0;
+        std::map<int, std::string> openAttempts;  // number and node
     };
 
-    void at(Micros time, std::function<void()> step) {
-        agenda_.emplace(std::max(time, now_ + kMs), std::move(step));
+    void schedule(Micros time, std::function<void()> step) {
+        agenda_.add(std::max(time, now_ + kMs), std::move(step));
     }
-    void give(std::size_t process, Event event) { inputs_[process].push_back(std::move(event)); }
-    std::size_t serving(int host) const { return servingProcess_.at(host); }
+    void deliverEvent(std::size_t process, Event event) { inputs_[process].push_back(std::move(event)); }
+    std::size_t servingProcess(int host) const { return servingProcess_.at(host); }
 
     void scheduleScript();
     void startHost(int host);
-    void upgrade(int host);
-    void leave(int host);
-    void listNodes();
-    void arrive();
-    void fill(RequestId id);
-    void act(std::size_t process, const Action& action);
-    void startAttempt(const ForwardRequest& send);
+    void hotRestart(int host);
+    void shutDownHost(int host);
+    void sendEndpointList();
+    void submitNewRequest();
+    void completeBody(RequestId id);
+    void runBatch(std::size_t process, const std::vector<Event>& events);
+    void perform(std::size_t process, const Action& action);
+    void checkHealth(std::size_t process, const std::string& node);
+    void passPeerMessage(std::size_t process, const SendPeerMessage& message);
+    void startAttempt(const ForwardRequest& forward);
+    Outcome drawOutcome();
     void serve(RequestId id, int attempt);
     void endAttempt(RequestId id, int attempt, Outcome outcome, Micros took);
-    void deliver(int from, int to, const std::string& bytes);
+    void deliverPeerMessage(int from, int to, const std::string& bytes);
     std::string summary() const;
 
     SeededRandom random_{99};
-    std::multimap<Micros, std::function<void()>> agenda_;
+    Agenda agenda_;
     std::vector<Process> processes_;
     std::map<int, std::size_t> servingProcess_;
     std::map<std::size_t, std::vector<Event>> inputs_;
@@ -123,54 +132,55 @@
     RunningHash hash_;
     std::map<std::size_t, std::uint64_t> actionKinds_;
     std::map<std::size_t, std::uint64_t> eventKinds_;
+    std::vector<std::string> lines_;  // of the golden file, so far
 };
 
-HandOverSimulation::HandOverSimulation() {
+HotRestartSimulation::HotRestartSimulation() {
     for (int host = 0; host < kHosts; ++host)
         startHost(host);
     scheduleScript();
 }
 
-void HandOverSimulation::scheduleScript() {
-    at(kStart + 20 * kMs, [this] { listNodes(); });
-    at(kStart + 50 * kMs, [this] { arrive(); });
-    at(kStart + 4 * kSecond, [this] { upgrade(0); });
-    at(kStart + 7 * kSecond, [this] { upgrade(1); });
-    at(kStart + 8 * kSecond, [this] { upgrade(0); });
-    at(kStart + 12 * kSecond, [this] { leave(2); });
-    at(kStart + 17 * kSecond, [this] { upgrade(2); });
-    at(kStart + 17 * kSecond + 10 * kMs, [this] { upgrade(1); });
+void HotRestartSimulation::scheduleScript() {
+    schedule(kStart + 20 * kMs, [this] { sendEndpointList(); });
+    schedule(kStart + 50 * kMs, [this] { submitNewRequest(); });
+    schedule(kStart + 4 * kSecond, [this] { hotRestart(0); });
+    schedule(kStart + 7 * kSecond, [this] { hotRestart(1); });
+    schedule(kStart + 8 * kSecond, [this] { hotRestart(0); });
+    schedule(kStart + 12 * kSecond, [this] { shutDownHost(2); });
+    schedule(kStart + 17 * kSecond, [this] { hotRestart(2); });
+    schedule(kStart + 17 * kSecond + 10 * kMs, [this] { hotRestart(1); });
 }
 
-void HandOverSimulation::startHost(int host) {
+void HotRestartSimulation::startHost(int host) {
     servingProcess_[host] = processes_.size();
-    processes_.push_back({host, std::make_unique<Policy>(hostSettings(host), now_), false});
+    processes_.push_back({host, std::make_unique<Policy>(settingsOf(host), now_), false});
     inputs_[processes_.size() - 1];
 }
 
 // The old process finishes what is open there, and ends two seconds later.
-void HandOverSimulation::upgrade(int host) {
-    const std::size_t old = serving(host);
+void HotRestartSimulation::hotRestart(int host) {
+    const std::size_t old = servingProcess(host);
     const std::string bytes = processes_[old].policy->takeSnapshot(now_);
     hash_.add(hexOf(bytes));
     startHost(host);
     EXPECT_TRUE(processes_.back().policy->restore(bytes));
-    listNodes();
-    at(now_ + 2 * kSecond, [this, old] { processes_[old].ended = true; });
+    sendEndpointList();
+    schedule(now_ + 2 * kSecond, [this, old] { processes_[old].ended = true; });
 }
 
 // A host that leaves in order, and starts again without what it knew.
-void HandOverSimulation::leave(int host) {
-    const std::size_t old = serving(host);
-    give(old, ShutdownStarted{now_ + 1'500 * kMs});
-    at(now_ + 1'500 * kMs, [this, old, host] {
+void HotRestartSimulation::shutDownHost(int host) {
+    const std::size_t old = servingProcess(host);
+    deliverEvent(old, ShutdownStarted{now_ + 1'500 * kMs});
+    schedule(now_ + 1'500 * kMs, [this, old, host] {
         processes_[old].ended = true;
         startHost(host);
-        listNodes();
+        sendEndpointList();
     });
 }
 
-void HandOverSimulation::listNodes() {
+void HotRestartSimulation::sendEndpointList() {
     const Micros running = now_ - kStart;
     const bool drains = running > 11 * kSecond && running < 13 * kSecond;
     const std::vector<NodeInfo> list{node("a", 0),
@@ -178,81 +188,81 @@
                                      node("c", 0, NodeState::Ready, kStart + 3 * kSecond),
                                      node("d", 1, NodeState::Ready, kStart + 6 * kSecond)};
     for (const auto& [host, process] : servingProcess_)
-        give(process, EndpointListReceived{nodes(
-                          list, running < kSecond ? EndpointListKind::Full : EndpointListKind::Cached)});
+        deliverEvent(process,
+                     EndpointListReceived{
+                         nodes(list, running < kSecond ? EndpointListKind::Full : EndpointListKind::Cached)});
 }
 
-void HandOverSimulation::arrive() {
+void HotRestartSimulation::submitNewRequest() {
     const bool overload = (now_ - kStart) / kSecond % 5 == 3;
-    at(now_ + random_.between(1, overload ? 6 : 22) * kMs, [this] { arrive(); });
+    schedule(now_ + random_.between(1, overload ? 6 : 22) * kMs, [this] { submitNewRequest(); });
     const int busyHost = static_cast<int>((now_ - kStart) / (2 * kSecond) % kHosts);
     const int host = random_.chance(60) ? busyHost : static_cast<int>(random_.below(kHosts));
     // A few requests still reach the process before.
-    std::size_t process = serving(host);
+    std::size_t process = servingProcess(host);
     if (process > 0 && random_.chance(10)) --process;
     if (processes_[process].ended) return;
     const int classIndex = static_cast<int>(random_.below(4));
     const int planIndex = random_.chance(70) ? 0 : 1;
     const auto units = static_cast<double>(random_.between(1, 6));
     const int cell = static_cast<int>(random_.between(-1, 1));
-    Request r = request(++lastRequest_, classIndex, planIndex, now_, units, cell, kHosts);
-    if (r.classIndex == ClassIndex(3)) r.key = "ordered" + std::to_string(random_.below(5));
+    Request fresh = request(++lastRequest_, classIndex, planIndex, now_, units, cell, kHosts);
+    if (fresh.classIndex == ClassIndex(3)) fresh.key = "ordered" + std::to_string(random_.below(5));
     const bool early = now_ < kStart + 3 * kSecond;
-    if (early && random_.chance(10)) r.volume += std::to_string(r.id);  // asked for once, and forgotten later
-    r.bodyIncomplete = random_.chance(30);
-    r.deadlineUs = now_ + (r.bodyIncomplete ? 10 : 2) * kSecond;
-    requests_[r.id] = {process, r, !r.bodyIncomplete, 0, {}};
-    give(process, RequestReceived{r});
-    if (r.bodyIncomplete) at(now_ + random_.between(5, 300) * kMs, [this, id = r.id] { fill(id); });
+    if (early && random_.chance(10))
+        fresh.volume += std::to_string(fresh.id);  // asked for once, and forgotten later
+    fresh.bodyIncomplete = random_.chance(30);
+    fresh.deadlineUs = now_ + (fresh.bodyIncomplete ? 10 : 2) * kSecond;
+    requests_[fresh.id] = {process, fresh, !fresh.bodyIncomplete, 0, {}};
+    deliverEvent(process, RequestReceived{fresh});
+    if (fresh.bodyIncomplete)
+        schedule(now_ + random_.between(5, 300) * kMs, [this, id = fresh.id] { completeBody(id); });
     if (random_.chance(3))
-        at(now_ + random_.between(1, 200) * kMs,
-           [this, id = r.id, process] { give(process, RequestCancelled{id}); });
-    if (random_.chance(2)) give(process, CapacityNeeded{static_cast<int>(random_.between(1, 4))});
+        schedule(now_ + random_.between(1, 200) * kMs,
+                 [this, id = fresh.id, process] { deliverEvent(process, RequestCancelled{id}); });
+    if (random_.chance(2)) deliverEvent(process, CapacityNeeded{static_cast<int>(random_.between(1, 4))});
 }
 
-void HandOverSimulation::fill(RequestId id) {
+void HotRestartSimulation::completeBody(RequestId id) {
     OpenRequest& open = requests_.at(id);
-    open.arrived = true;
-    give(open.process, RequestBodyCompleted{id, now_ + 2 * kSecond});
-    for (const auto& [attempt, node] : open.out)
+    open.bodyComplete = true;
+    deliverEvent(open.process, RequestBodyCompleted{id, now_ + 2 * kSecond});
+    for (const auto& [attempt, node] : open.openAttempts)
         serve(id, attempt);
 }
 
-std::vector<std::string> HandOverSimulation::run() {
-    std::vector<std::string> lines;
-    while (agenda_.begin()->first < kStart + kDuration || batches_ == 0) {
-        for (const auto& [process, events] : std::exchange(inputs_, {})) {
-            if (processes_[process].ended) continue;
-            Policy& policy = *processes_[process].policy;
-            for (const auto& event : events) {
-                ++eventKinds_[event.index()];
-                policy.on(now_, event);
-            }
-            const auto actions = policy.finish(now_);
-            hash_.add("batch " + std::to_string(process) + "\n");
-            for (const auto& action : actions) {
-                hash_.add(render(action));
-                ++actionKinds_[action.index()];
-                act(process, action);
-            }
-            if (++batches_ % kBatchesPerLine == 0) lines.push_back(summary());
-        }
-        now_ = agenda_.begin()->first;
-        while (agenda_.begin()->first == now_) {
-            const auto step = std::move(agenda_.begin()->second);
-            agenda_.erase(agenda_.begin());
-            step();
-        }
+std::vector<std::string> HotRestartSimulation::run() {
+    while (agenda_.nextTime() < kStart + kDuration || batches_ == 0) {
+        for (const auto& [process, events] : std::exchange(inputs_, {}))
+            if (!processes_[process].ended) runBatch(process, events);
+        now_ = agenda_.nextTime();
+        agenda_.runNext();
     }
-    lines.push_back(summary());
+    lines_.push_back(summary());
     for (const auto& [kind, count] : eventKinds_)
-        lines.push_back("event " + std::to_string(kind) + " " + std::to_string(count));
+        lines_.push_back("event " + std::to_string(kind) + " " + std::to_string(count));
     for (const auto& [kind, count] : actionKinds_)
-        lines.push_back("action " + std::to_string(kind) + " " + std::to_string(count));
-    return lines;
+        lines_.push_back("action " + std::to_string(kind) + " " + std::to_string(count));
+    return std::move(lines_);
 }
 
-std::string HandOverSimulation::summary() const {
+void HotRestartSimulation::runBatch(std::size_t process, const std::vector<Event>& events) {
+    Policy& policy = *processes_[process].policy;
+    for (const auto& event : events) {
+        ++eventKinds_[event.index()];
+        policy.on(now_, event);
+    }
+    const auto actions = policy.finish(now_);
+    hash_.add("batch " + std::to_string(process) + "\n");
+    for (const auto& action : actions) {
+        hash_.add(render(action));
+        ++actionKinds_[action.index()];
+        perform(process, action);
+    }
+    if (++batches_ % kBatchesPerLine == 0) lines_.push_back(summary());
+}
+
+std::string HotRestartSimulation::summary() const {
     std::string text = "batches=" + std::to_string(batches_) + " hash=" + hash_.hex();
     for (const auto& [host, process] : servingProcess_) {
         const Policy& policy = *processes_[process].policy;
@@ -262,89 +272,103 @@
     return text;
 }
 
-void HandOverSimulation::act(std::size_t process, const Action& action) {
-    if (const auto* send = std::get_if<ForwardRequest>(&action)) startAttempt(*send);
+void HotRestartSimulation::perform(std::size_t process, const Action& action) {
+    if (const auto* forward = std::get_if<ForwardRequest>(&action)) startAttempt(*forward);
     if (const auto* timer = std::get_if<SetTimer>(&action))
-        at(now_ + timer->delayUs,
-           [this, process, token = timer->token] { give(process, TimerFired{token}); });
+        schedule(now_ + timer->delayUs,
+                 [this, process, token = timer->token] { deliverEvent(process, TimerFired{token}); });
     if (const auto* cancel = std::get_if<CancelAttempt>(&action))
-        at(now_ + kMs, [this, c = *cancel] { endAttempt(c.id, c.attempt.value(), Outcome::Cancelled, 0); });
-    if (const auto* probe = std::get_if<StartHealthCheck>(&action)) {
-        const Micros took = std::max<Micros>(nodeFreeAt_[probe->node] - now_, 0) + 2 * kMs;
-        at(now_ + took, [this, process, node = probe->node, took] {
-            give(process, HealthCheckCompleted{node, Outcome::Ok, took, {}});
+        schedule(now_ + kMs, [this, cancel = *cancel] {
+            endAttempt(cancel.id, cancel.attempt.value(), Outcome::Cancelled, 0);
         });
+    if (const auto* check = std::get_if<StartHealthCheck>(&action)) checkHealth(process, check->node);
+    if (const auto* message = std::get_if<SendPeerMessage>(&action)) passPeerMessage(process, *message);
+}
+
+void HotRestartSimulation::checkHealth(std::size_t process, const std::string& node) {
+    const Micros took = std::max<Micros>(nodeFreeAt_[node] - now_, 0) + 2 * kMs;
+    schedule(now_ + took, [this, process, node, took] {
+        deliverEvent(process, HealthCheckCompleted{node, Outcome::Ok, took, {}});
+    });
+}
+
+// The network loses some messages and delays the others.
+void HotRestartSimulation::passPeerMessage(std::size_t process, const SendPeerMessage& message) {
+    const int from = processes_[process].host;
+    for (int to = 0; to < kHosts; ++to) {
+        const bool isReceiver = to != from && (message.to.isEveryPeer() || message.to == HostIndex(to));
+        if (!isReceiver || random_.chance(5)) continue;
+        schedule(now_ + random_.between(1, 4) * kMs,
+                 [this, from, to, bytes = message.bytes] { deliverPeerMessage(from, to, bytes); });
     }
-    if (const auto* tell = std::get_if<SendPeerMessage>(&action))
-        for (int to = 0; to < kHosts; ++to)
-            if (to != processes_[process].host && (tell->to.isEveryPeer() || tell->to == HostIndex(to)) &&
-                !random_.chance(5))
-                at(now_ + random_.between(1, 4) * kMs, [this, from = processes_[process].host, to,
-                                                        bytes = tell->bytes] { deliver(from, to, bytes); });
 }
 
-void HandOverSimulation::deliver(int from, int to, const std::string& bytes) {
-    give(serving(to), PeerMessageReceived{HostIndex(from), bytes});
+void HotRestartSimulation::deliverPeerMessage(int from, int to, const std::string& bytes) {
+    deliverEvent(servingProcess(to), PeerMessageReceived{HostIndex(from), bytes});
 }
 
-void HandOverSimulation::startAttempt(const ForwardRequest& send) {
-    OpenRequest& open = requests_.at(send.id);
-    const int attempt = open.attempts++;
-    open.out[attempt] = send.node;
-    if (open.arrived)
-        serve(send.id, attempt);
+void HotRestartSimulation::startAttempt(const ForwardRequest& forward) {
+    OpenRequest& open = requests_.at(forward.id);
+    const int attempt = open.attemptCount++;
+    open.openAttempts[attempt] = forward.node;
+    if (open.bodyComplete)
+        serve(forward.id, attempt);
     else if (random_.chance(15)) {
         // The node ends it while its body is on its way.
         const Outcome outcome = random_.chance(50) ? Outcome::Rejected : Outcome::Reset;
-        at(now_ + random_.between(2, 60) * kMs,
-           [this, id = send.id, attempt, outcome] { endAttempt(id, attempt, outcome, 5 * kMs); });
+        schedule(now_ + random_.between(2, 60) * kMs,
+                 [this, id = forward.id, attempt, outcome] { endAttempt(id, attempt, outcome, 5 * kMs); });
     }
 }
 
+Outcome HotRestartSimulation::drawOutcome() {
+    const std::int64_t draw = random_.below(100);
+    if (draw < 90) return Outcome::Ok;
+    if (draw < 92) return Outcome::Error;
+    if (draw < 94) return Outcome::Rejected;
+    if (draw < 95) return Outcome::Timeout;
+    if (draw < 97) return Outcome::ConnectFailed;
+    if (draw < 99) return Outcome::Reset;
+    return Outcome::NotStarted;
+}
+
 // Each node serves one request after the other.
-void HandOverSimulation::serve(RequestId id, int attempt) {
+void HotRestartSimulation::serve(RequestId id, int attempt) {
     const OpenRequest& open = requests_.at(id);
-    const std::string node = open.out.at(attempt);
+    const std::string node = open.openAttempts.at(attempt);
     const Micros began = now_;
     const Micros service = static_cast<Micros>(open.request.units) * random_.between(2, 5) * kMs;
     Micros& freeAt = nodeFreeAt_[node];
     freeAt = std::max(freeAt, now_) + service;
     if (random_.chance(3)) return;  // its answer never arrives
-    const std::int64_t draw = random_.below(100);
-    const Outcome outcome = draw < 90   ? Outcome::Ok
-                            : draw < 92 ? Outcome::Error
-                            : draw < 94 ? Outcome::Rejected
-                            : draw < 95 ? Outcome::Timeout
-                            : draw < 97 ? Outcome::ConnectFailed
-                            : draw < 99 ? Outcome::Reset
-                                        : Outcome::NotStarted;
+    const Outcome outcome = drawOutcome();
     const bool streams = outcome == Outcome::Ok && random_.chance(30);
     Micros end = freeAt;
     if (streams) {
         const bool passing = random_.chance(70);
-        at(freeAt, [this, id, attempt, node, began, passing] {
+        schedule(freeAt, [this, id, attempt, node, began, passing] {
             const OpenRequest& answered = requests_.at(id);
-            if (!answered.out.contains(attempt)) return;
-            give(answered.process,
-                 ResponseStarted{id, AttemptIndex(attempt), node, now_ - began, true, passing});
+            if (!answered.openAttempts.contains(attempt)) return;
+            deliverEvent(answered.process,
+                         ResponseStarted{id, AttemptIndex(attempt), node, now_ - began, true, passing});
         });
         end += random_.between(5, 400) * kMs;
     }
-    at(end, [this, id, attempt, outcome, began] { endAttempt(id, attempt, outcome, now_ - began); });
+    schedule(end, [this, id, attempt, outcome, began] { endAttempt(id, attempt, outcome, now_ - began); });
 }
 
-void HandOverSimulation::endAttempt(RequestId id, int attempt, Outcome outcome, Micros took) {
+void HotRestartSimulation::endAttempt(RequestId id, int attempt, Outcome outcome, Micros took) {
     OpenRequest& open = requests_.at(id);
-    const auto it = open.out.find(attempt);
-    if (it == open.out.end()) return;
+    const auto it = open.openAttempts.find(attempt);
+    if (it == open.openAttempts.end()) return;
     AttemptOutcome event = ended(id, attempt, it->second, outcome, took);
-    event.requestSpent = outcome != Outcome::Ok && (!open.arrived || random_.chance(20));
-    open.out.erase(it);
-    give(open.process, event);
+    event.requestSpent = outcome != Outcome::Ok && (!open.bodyComplete || random_.chance(20));
+    open.openAttempts.erase(it);
+    deliverEvent(open.process, event);
 }
 
 TEST(GoldenHandOver, ActionsAreThoseOfTheVersionThatWroteTheFile) {
-    HandOverSimulation simulation;
+    HotRestartSimulation simulation;
     EXPECT_EQ(differenceFromGoldenFile("golden_handover.txt", simulation.run()), "");
 }
 
--- a/tests/golden/golden_stored_data_test.cpp
+++ b/tests/golden/golden_stored_data_test.cpp
@@ -1,8 +1,9 @@
-// What an earlier version left for a later one: files on disk and datagrams of hosts that were not upgraded
-// yet. Each golden file under data/ was written by an earlier version. It is read here and acted on, and the
-// same values must give the same bytes again.
-//
-// How the files are written anew stands in golden_file.h.
+/// \file
+/// What an earlier version left for a later one: files on disk, and datagrams of hosts that were not upgraded
+/// yet. Each golden file under data/ was written by an earlier version. It is read here and acted on, and the
+/// same values must give the same bytes again.
+///
+/// How the files are written anew stands in golden_file.h.
 #include <doctest/doctest.h>
 
 #include "core/reducer.h"
@@ -19,10 +20,10 @@
 
 constexpr int kHosts = 3;
 constexpr Micros kBegin = 100 * kSecond;
-constexpr Micros kHandedOverAt = kBegin + 12 * kSecond;
+constexpr Micros kSnapshotAt = kBegin + 12 * kSecond;
 
 /// Compares the bytes with a file of one line of hexadecimal digits, or writes it. Returns those of the file.
-std::string golden(const std::string& name, const std::string& bytes) {
+std::string goldenBytes(const std::string& name, const std::string& bytes) {
     const std::string path = "data/" + name;
     CHECK_MESSAGE(differenceFromGoldenFile(path, {hexOf(bytes)}).empty(), path);
     const std::string text = readGoldenFile(path);
@@ -36,45 +37,49 @@
             node("d", 0, NodeState::Ready, kBegin + 9 * kSecond)};
 }
 
+/// The reducer's state of one host.
 struct RunningState {
     RunningState() : state(settings(0, kHosts), core::Limits{250 * kMs}, kBegin) {}
-    core::Effects put(Micros now, core::Input input) {
+    /// Reduces a batch of one input.
+    core::Effects reduce(Micros now, core::Input input) {
         auto effects = core::reduce(state, now, std::move(input));
-        for (auto& e : core::reduce(state, now, core::BatchEnded{}))
-            effects.push_back(std::move(e));
+        for (auto& effect : core::reduce(state, now, core::BatchEnded{}))
+            effects.push_back(std::move(effect));
         return effects;
     }
     core::State state;
 };
 
-/// Twelve seconds of a host: loans, learnt latencies, a node out by hand, cold sends, requests that are open.
+/// What twelve seconds of a host leave: leases, latencies, a drained node, a node in slow start, open
+/// requests.
 hot_restart::Snapshot constructedSnapshot() {
     RunningState host;
-    host.put(kBegin, EndpointListReceived{nodes(listedNodes())});
+    host.reduce(kBegin, EndpointListReceived{nodes(listedNodes())});
     RequestId id = 0;
     const auto answer = [&](Micros now, const core::Effects& effects) {
         for (const auto& effect : effects)
             if (const auto* start = std::get_if<core::StartAttempt>(&effect); start && start->id % 70 != 0)
-                host.put(now, core::AttemptFinished{start->id, start->attempt, Outcome::Ok, 0, 0, {}, false});
+                host.reduce(now,
+                            core::AttemptFinished{start->id, start->attempt, Outcome::Ok, 0, 0, {}, false});
     };
-    for (Micros now = kBegin + 10 * kMs; now < kHandedOverAt; now += 10 * kMs) {
-        answer(now, host.put(now, core::TimerExpired{}));
+    for (Micros now = kBegin + 10 * kMs; now < kSnapshotAt; now += 10 * kMs) {
+        answer(now, host.reduce(now, core::TimerExpired{}));
         if (now % (40 * kMs) != 0) continue;
         const int number = static_cast<int>(++id);
-        answer(now, host.put(now, RequestReceived{request(id, number % 4, number % 2, now, 1 + number % 5,
-                                                          number % 2, kHosts)}));
+        answer(now, host.reduce(now, RequestReceived{request(id, number % 4, number % 2, now, 1 + number % 5,
+                                                             number % 2, kHosts)}));
     }
     const auto volume = peer::hashOf("vol-limited");
     std::string message = peer::header(7'001);
     peer::append(message, peer::UsageReport{3'000, true, {80}, peer::EncodedWait::of(4'000), 2, 0});
     peer::append(message, peer::LeaseRequest{volume, 2, 20'001});
     peer::append(message, peer::MembershipNotice{std::uint32_t(volume), HostIndex(1)});
-    host.put(kHandedOverAt, PeerMessageReceived{HostIndex(1), message});
-    host.put(kHandedOverAt, core::AdminOverrideChanged{"b", {true, kHandedOverAt}});
+    host.reduce(kSnapshotAt, PeerMessageReceived{HostIndex(1), message});
+    host.reduce(kSnapshotAt, core::AdminOverrideChanged{"b", {true, kSnapshotAt}});
     hot_restart::Snapshot snapshot;
     snapshot.front = "front-0";
-    snapshot.takenAt = kHandedOverAt;
-    snapshot.engine.core = core::takeSnapshot(host.state, kHandedOverAt);
+    snapshot.takenAt = kSnapshotAt;
+    snapshot.engine.core = core::takeSnapshot(host.state, kSnapshotAt);
     for (std::uint16_t port = 8'001; snapshot.engine.addresses.size() < snapshot.engine.core.endpoints.size();
          ++port)
         snapshot.engine.addresses.push_back({"10.0.0.1", port});
@@ -89,16 +94,16 @@
 
 // ---- datagrams
 
-constexpr std::uint64_t kSenderLife = 90'001;
+constexpr std::uint64_t kSenderIncarnation = 90'001;
 constexpr std::uint32_t kKey = 3'000;  // kept by host 0, as it is a multiple of the number of hosts
-constexpr std::uint32_t kAskStamp = 20'001;
-constexpr Micros kLendingFrom = kBegin + 11 * kSecond;  // a host lends without a word of the others
+constexpr std::uint32_t kRequestStamp = 20'001;
+constexpr Micros kLendingStart = kBegin + 11 * kSecond;  // when a host lends though no peer replied
 
 std::uint64_t limitedVolume() { return peer::hashOf("vol-limited"); }
 std::uint32_t cellZero() { return std::uint32_t(peer::hashOf("0")); }
 
 std::string datagram(std::initializer_list<peer::Record> records) {
-    std::string message = peer::header(kSenderLife);
+    std::string message = peer::header(kSenderIncarnation);
     for (const auto& record : records)
         peer::append(message, record);
     return message;
@@ -106,14 +111,14 @@
 
 /// A record of hosts before lease recovery had datagrams of its own.
 std::string oldRecord(peer::Tag tag) {
-    std::string message = peer::header(kSenderLife);
+    std::string message = peer::header(kSenderIncarnation);
     peer::Writer writer(message);
     writer.put(tag);
     writer.put(17, peer::kOldRecordBytes);
     return message;
 }
 
-fleet::RestartRecovery::Options arrivalTerms(int host) {
+fleet::RestartRecovery::Options recoveryOptions(int host) {
     return {HostIndex(host), kHosts, 2 * kSecond, true};
 }
 
@@ -129,11 +134,11 @@
 Datagrams constructedDatagrams() {
     Datagrams all;
     const auto wait = peer::EncodedWait::of(30'000);
-    const auto grantStamp = std::uint32_t((kLendingFrom + 100 * kMs) / 1000 | 1);
+    const auto grantStamp = std::uint32_t((kLendingStart + 100 * kMs) / 1000 | 1);
     all["use"] = datagram({peer::UsageReport{kKey, false, {160}, wait, 3, 10}});
     all["join"] = datagram({peer::UsageReport{kKey, true, {160}, wait, 3, 10}});
-    all["ask"] = datagram({peer::LeaseRequest{limitedVolume(), 7, kAskStamp}});
-    all["return"] = datagram({peer::LeaseReturn{limitedVolume(), 0, kAskStamp}});
+    all["ask"] = datagram({peer::LeaseRequest{limitedVolume(), 7, kRequestStamp}});
+    all["return"] = datagram({peer::LeaseReturn{limitedVolume(), 0, kRequestStamp}});
     all["grant"] = datagram({peer::LeaseGrant{limitedVolume(), 5, {320}, grantStamp}});
     all["others"] = datagram({peer::UsageAggregate{
         cellZero(), {400}, peer::EncodedWait::of(5'000'000), peer::EncodedRate::of(20)}});
@@ -141,13 +146,13 @@
     all["old_hello"] = oldRecord(peer::Tag::OldHello);
     all["old_welcome"] = oldRecord(peer::Tag::OldWelcome);
     // Host 0 leaves and starts again; host 1 keeps its notice, host 2 does not know of it.
-    fleet::RestartRecovery earlier(arrivalTerms(0), kBegin - 20 * kSecond);
-    fleet::RestartRecovery keeper(arrivalTerms(1), kBegin - 20 * kSecond);
-    fleet::RestartRecovery stranger(arrivalTerms(2), kBegin - 20 * kSecond);
+    fleet::RestartRecovery earlier(recoveryOptions(0), kBegin - 20 * kSecond);
+    fleet::RestartRecovery keeper(recoveryOptions(1), kBegin - 20 * kSecond);
+    fleet::RestartRecovery stranger(recoveryOptions(2), kBegin - 20 * kSecond);
     earlier.startShutdown(kBegin - 50 * kMs, kBegin - 1'500 * kMs);
     all["shutdown_notice"] = messageTo(1, earlier.dueDatagrams(kBegin - 1'500 * kMs));
     keeper.handleDatagram(HostIndex(0), all["shutdown_notice"], kBegin - 1'499 * kMs);
-    fleet::RestartRecovery later(arrivalTerms(0), kBegin);
+    fleet::RestartRecovery later(recoveryOptions(0), kBegin);
     all["hello"] = messageTo(1, later.dueDatagrams(kBegin));
     all["welcome_after"] = messageTo(0, keeper.handleDatagram(HostIndex(0), all["hello"], kBegin).replies);
     all["welcome"] = messageTo(0, stranger.handleDatagram(HostIndex(0), all["hello"], kBegin).replies);
@@ -168,7 +173,7 @@
     return all;
 }
 
-/// The records that a host tells another one with these actions.
+/// The records of gossip and leases that these actions send to a host.
 std::vector<peer::Record> recordsTo(int to, const std::vector<Action>& actions) {
     std::vector<peer::Record> records;
     for (const auto& told : only<SendPeerMessage>(actions)) {
@@ -181,7 +186,7 @@
 }
 
 template <typename T>
-std::vector<T> ofKind(const std::vector<peer::Record>& records) {
+std::vector<T> ofType(const std::vector<peer::Record>& records) {
     std::vector<T> found;
     for (const auto& record : records)
         if (const auto* typed = std::get_if<T>(&record)) found.push_back(*typed);
@@ -195,9 +200,9 @@
         for (int i = 0; i < 30; ++i)
             list.push_back(node(std::string("n").append(std::to_string(i)), 0));
         batch({nodes(list)});
-        runTo(kLendingFrom);
+        runTo(kLendingStart);
     }
-    std::vector<Action> hear(int from, const std::string& bytes) {
+    std::vector<Action> receiveFrom(int from, const std::string& bytes) {
         return batch({PeerMessageReceived{HostIndex(from), bytes}});
     }
 };
@@ -205,12 +210,12 @@
 }  // namespace
 
 TEST_CASE("golden snapshot: an earlier version's file is read, restored and acted on") {
-    const std::string bytes = golden("snapshot.hex", hot_restart::encode(constructedSnapshot()));
-    const auto read = hot_restart::decode(bytes, "front-0", kHandedOverAt + kSecond);
+    const std::string bytes = goldenBytes("snapshot.hex", hot_restart::encode(constructedSnapshot()));
+    const auto read = hot_restart::decode(bytes, "front-0", kSnapshotAt + kSecond);
     REQUIRE(std::holds_alternative<hot_restart::Snapshot>(read));
     const auto& snapshot = std::get<hot_restart::Snapshot>(read);
     CHECK(hot_restart::encode(snapshot) == bytes);
-    CHECK(snapshot.takenAt == kHandedOverAt);
+    CHECK(snapshot.takenAt == kSnapshotAt);
     CHECK(snapshot.engine.listVersion == 42);
     CHECK(snapshot.openRequestIds == std::vector<std::string>{"0000000000000001", "00000000000000ff"});
     REQUIRE(snapshot.engine.core.endpoints.size() == 4);
@@ -224,12 +229,12 @@
     RunningState successor;
     REQUIRE(core::restore(successor.state, snapshot.engine.core));
     CHECK(successor.state.recovery().incarnation() == 100'001);
-    CHECK(successor.state.recovery().isRecovered(kHandedOverAt));
-    successor.put(kHandedOverAt,
-                  EndpointListReceived{nodes(snapshot.engine.core.endpoints, EndpointListKind::Cached)});
-    Request fresh = request(9'000, 0, 1, kHandedOverAt, 2, 0, kHosts);
+    CHECK(successor.state.recovery().isRecovered(kSnapshotAt));
+    successor.reduce(kSnapshotAt,
+                     EndpointListReceived{nodes(snapshot.engine.core.endpoints, EndpointListKind::Cached)});
+    Request fresh = request(9'000, 0, 1, kSnapshotAt, 2, 0, kHosts);
     fresh.volume = "vol-with-a-full-reserve";
-    const auto effects = successor.put(kHandedOverAt + 10 * kMs, RequestReceived{fresh});
+    const auto effects = successor.reduce(kSnapshotAt + 10 * kMs, RequestReceived{fresh});
     std::string sentTo;
     for (const auto& effect : effects)
         if (const auto* start = std::get_if<core::StartAttempt>(&effect)) sentTo = start->node;
@@ -237,10 +242,9 @@
 }
 
 TEST_CASE("golden snapshot: the restored module does what the version before did") {
-    const std::string bytes = golden("snapshot.hex", hot_restart::encode(constructedSnapshot()));
-    const auto snapshot =
-        std::get<hot_restart::Snapshot>(hot_restart::decode(bytes, "front-0", kHandedOverAt));
-    Host successor(settings(0, kHosts), kHandedOverAt);
+    const std::string bytes = goldenBytes("snapshot.hex", hot_restart::encode(constructedSnapshot()));
+    const auto snapshot = std::get<hot_restart::Snapshot>(hot_restart::decode(bytes, "front-0", kSnapshotAt));
+    Host successor(settings(0, kHosts), kSnapshotAt);
     REQUIRE(successor.policy.restore(snapshot.engine.core.policySnapshot));
     std::vector<std::string> lines;
     for (RequestId id = 20'000; id < 20'200; ++id) {
@@ -266,7 +270,7 @@
 
 TEST_CASE("golden overrides: an earlier version's file is read") {
     const auto constructed = constructedOverrides();
-    const std::string bytes = golden("overrides.hex", hot_restart::encodeOverrides(constructed));
+    const std::string bytes = goldenBytes("overrides.hex", hot_restart::encodeOverrides(constructed));
     const auto read = hot_restart::decodeOverrides(bytes);
     REQUIRE(std::holds_alternative<core::AdminOverrides>(read));
     CHECK(std::get<core::AdminOverrides>(read) == constructed);
@@ -275,17 +279,17 @@
 TEST_CASE("golden datagrams: use and join are answered with what the others ask, and with the members") {
     const auto datagrams = goldenDatagrams();
     LongRunningHost host;
-    const auto others = ofKind<peer::UsageAggregate>(recordsTo(1, host.hear(1, datagrams.at("use"))));
+    const auto others = ofType<peer::UsageAggregate>(recordsTo(1, host.receiveFrom(1, datagrams.at("use"))));
     REQUIRE(others.size() == 1);
     CHECK(others[0].key == kKey);
     CHECK(others[0].rate.sixteenths == 0);  // nobody else asks for it
-    const auto toSecond = recordsTo(2, host.hear(2, datagrams.at("join")));
-    REQUIRE(ofKind<peer::UsageAggregate>(toSecond).size() == 1);
-    CHECK(ofKind<peer::UsageAggregate>(toSecond)[0].rate.sixteenths == 160);
-    REQUIRE(ofKind<peer::MembershipNotice>(toSecond).size() == 2);  // itself, joined as a member of the key
-    const auto toFirst = recordsTo(2, host.hear(1, datagrams.at("join")));
-    REQUIRE(ofKind<peer::MembershipNotice>(toFirst).size() == 1);
-    CHECK(ofKind<peer::MembershipNotice>(toFirst)[0].host == HostIndex(1));
+    const auto toSecond = recordsTo(2, host.receiveFrom(2, datagrams.at("join")));
+    REQUIRE(ofType<peer::UsageAggregate>(toSecond).size() == 1);
+    CHECK(ofType<peer::UsageAggregate>(toSecond)[0].rate.sixteenths == 160);
+    REQUIRE(ofType<peer::MembershipNotice>(toSecond).size() == 2);  // itself, joined as a member of the key
+    const auto toFirst = recordsTo(2, host.receiveFrom(1, datagrams.at("join")));
+    REQUIRE(ofType<peer::MembershipNotice>(toFirst).size() == 1);
+    CHECK(ofType<peer::MembershipNotice>(toFirst)[0].host == HostIndex(1));
     CHECK(host.policy.recovery().counters().malformed == 0);
 }
 
@@ -293,15 +297,15 @@
     const auto datagrams = goldenDatagrams();
     LongRunningHost host;
     host.batch({request(1, 0, 0, host.now, 1, 0, kHosts)});
-    const auto granted = ofKind<peer::LeaseGrant>(recordsTo(1, host.hear(1, datagrams.at("ask"))));
+    const auto granted = ofType<peer::LeaseGrant>(recordsTo(1, host.receiveFrom(1, datagrams.at("ask"))));
     REQUIRE(granted.size() == 1);
     CHECK(granted[0].volume == limitedVolume());
-    CHECK(granted[0].stamp == kAskStamp);
+    CHECK(granted[0].stamp == kRequestStamp);
     CHECK(granted[0].chunks >= 4);
-    const auto rest = ofKind<peer::LeaseGrant>(recordsTo(2, host.hear(2, datagrams.at("ask"))));
+    const auto rest = ofType<peer::LeaseGrant>(recordsTo(2, host.receiveFrom(2, datagrams.at("ask"))));
     const auto lentBefore = rest.empty() ? 0 : int(rest[0].chunks);
-    host.hear(1, datagrams.at("return"));
-    const auto again = ofKind<peer::LeaseGrant>(recordsTo(2, host.hear(2, datagrams.at("ask"))));
+    host.receiveFrom(1, datagrams.at("return"));
+    const auto again = ofType<peer::LeaseGrant>(recordsTo(2, host.receiveFrom(2, datagrams.at("ask"))));
     REQUIRE(again.size() == 1);
     CHECK(int(again[0].chunks) > lentBefore);
 }
@@ -311,17 +315,17 @@
     const auto sendsAfter = [&](bool heardOfMember, bool heardGrant) {
         LongRunningHost host;
         host.batch({request(1, 0, 0, host.now, 1, 0, kHosts)});
-        if (heardOfMember) host.hear(2, datagrams.at("member"));
-        host.runTo(kLendingFrom + 100 * kMs);
+        if (heardOfMember) host.receiveFrom(2, datagrams.at("member"));
+        host.runTo(kLendingStart + 100 * kMs);
         std::vector<AnyEvent> burst;
         for (RequestId id = 2; id < 40; ++id)
             burst.push_back(request(id, 0, 0, host.now, 2, 0, kHosts));
         const auto actions = host.batch(burst);
-        const auto asks = ofKind<peer::LeaseRequest>(recordsTo(2, actions));
+        const auto asks = ofType<peer::LeaseRequest>(recordsTo(2, actions));
         CHECK(asks.size() == (heardOfMember ? 1 : 0));
-        if (heardOfMember) CHECK(asks[0].stamp == ((kLendingFrom + 100 * kMs) / 1000 | 1));
+        if (heardOfMember) CHECK(asks[0].stamp == ((kLendingStart + 100 * kMs) / 1000 | 1));
         host.now += kMs;
-        return heardGrant ? only<ForwardRequest>(host.hear(2, datagrams.at("grant"))).size() : 0;
+        return heardGrant ? only<ForwardRequest>(host.receiveFrom(2, datagrams.at("grant"))).size() : 0;
     };
     CHECK(sendsAfter(false, true) == 0);
     CHECK(sendsAfter(true, false) == 0);
@@ -332,7 +336,7 @@
     const auto datagrams = goldenDatagrams();
     LongRunningHost host;
     CHECK(only<ForwardRequest>(host.batch({request(1, 0, 1, host.now, 2, 0, kHosts)})).size() == 1);
-    host.hear(1, datagrams.at("others"));
+    host.receiveFrom(1, datagrams.at("others"));
     const auto actions = host.batch({request(2, 0, 1, host.now, 2, 0, kHosts)});
     CHECK(only<ForwardRequest>(actions).empty());
     CHECK(only<RejectRequest>(actions).size() == 1);
@@ -342,7 +346,7 @@
     const auto datagrams = goldenDatagrams();
     for (const char* name : {"old_hello", "old_welcome"}) {
         LongRunningHost host;
-        CHECK(host.hear(1, datagrams.at(name)).empty());
+        CHECK(host.receiveFrom(1, datagrams.at(name)).empty());
         CHECK(host.policy.recovery().counters().malformed == 0);
         CHECK(host.policy.recovery().tableEntries() == 1);  // its sender is known
     }
--- a/tests/golden/golden_trace_test.cpp
+++ b/tests/golden/golden_trace_test.cpp
@@ -1,7 +1,8 @@
-// The whole program behind the simulator's wire: simulated clusters give it the same input from the same
-// seed, and every byte of its replies must be what the version gave that wrote golden_trace.txt.
-//
-// How the file is written anew stands in golden_file.h.
+/// \file
+/// The whole program behind the simulator's wire: a simulated cluster sends the same input from the same
+/// seed, and every byte of the replies must be what the version gave that wrote golden_trace.txt.
+///
+/// How the file is written anew stands in golden_file.h.
 #include <gtest/gtest.h>
 
 #include "golden/wire_simulation.h"
@@ -13,64 +14,60 @@
 
 constexpr std::uint64_t kBatchesPerLine = 100;
 
+constexpr Micros kMs = 1'000;
+constexpr Micros kSecond = 1'000'000;
+
+/// Clusters that differ in what is scarce or absent. All other settings have their defaults.
 std::vector<SimulationSettings> scenarios() {
-    SimulationSettings four;
-    four.name = "four_hosts";
-    four.seed = 20261201;
-    four.duration = 64'000'000;
-    SimulationSettings ten;
-    ten.name = "ten_hosts_list_on_request";
-    ten.seed = 7;
-    ten.hosts = 10;
-    ten.duration = 24'000'000;
-    ten.pollsEndpointList = true;
-    ten.mayCheckHealth = false;
-    ten.hasRetryBudget = false;
-    SimulationSettings one;
-    one.name = "one_host_without_cancel";
-    one.seed = 11;
-    one.hosts = 1;
-    one.duration = 30'000'000;
-    one.mayCancel = false;
-    one.arrivalGap = 6'000;
-    // Nodes so slow that a queue of any length is too long: the shares of the volumes are contended.
-    SimulationSettings slow;
-    slow.name = "two_hosts_slow_nodes";
-    slow.seed = 5;
-    slow.hosts = 2;
-    slow.duration = 30'000'000;
-    slow.serviceTime = 40'000;
-    slow.arrivalGap = 8'000;
-    slow.quietVolumes = 120;
-    // Nodes with room for many requests at once, and no time to answer in.
-    SimulationSettings wide;
-    wide.name = "one_host_without_aims";
-    wide.seed = 3;
-    wide.hosts = 1;
-    wide.duration = 16'000'000;
-    wide.classesHaveAims = false;
-    wide.lanes = 60;
-    wide.serviceTime = 50'000;
-    wide.serviceJitterPercent = 3;
-    wide.arrivalGap = 2'000;
-    wide.newObjectPercent = 100;
-    // Only new objects and little load: a cell whose nodes failed is avoided until that is forgotten.
-    SimulationSettings calm;
-    calm.name = "one_host_new_objects";
-    calm.seed = 17;
-    calm.hosts = 1;
-    calm.duration = 12'000'000;
-    calm.arrivalGap = 8'000;
-    calm.newObjectPercent = 100;
-    // So many volumes at once that what is told of them needs several messages.
-    SimulationSettings many;
-    many.name = "two_hosts_many_volumes";
-    many.seed = 23;
-    many.hosts = 2;
-    many.duration = 5'000'000;
-    many.arrivalGap = 800;
-    many.quietVolumes = 400;
-    return {four, ten, one, slow, wide, calm, many};
+    return {
+        {.name = "four_hosts", .seed = 20261201, .duration = 64 * kSecond},
+        {.name = "ten_hosts_list_on_request",
+         .seed = 7,
+         .hosts = 10,
+         .duration = 24 * kSecond,
+         .mayCheckHealth = false,
+         .hasRetryBudget = false,
+         .pollsEndpointList = true},
+        {.name = "one_host_without_cancel",
+         .seed = 11,
+         .hosts = 1,
+         .duration = 30 * kSecond,
+         .mayCancel = false,
+         .arrivalGap = 6 * kMs},
+        // Nodes so slow that a queue of any length is too long: the shares of the volumes are contended.
+        {.name = "two_hosts_slow_nodes",
+         .seed = 5,
+         .hosts = 2,
+         .duration = 30 * kSecond,
+         .arrivalGap = 8 * kMs,
+         .serviceTime = 40 * kMs,
+         .quietVolumes = 120},
+        // Nodes with room for many requests at once, and classes without a latency objective.
+        {.name = "one_host_without_aims",
+         .seed = 3,
+         .hosts = 1,
+         .duration = 16 * kSecond,
+         .arrivalGap = 2 * kMs,
+         .serviceTime = 50 * kMs,
+         .serviceJitterPercent = 3,
+         .lanes = 60,
+         .newObjectPercent = 100,
+         .classesHaveObjectives = false},
+        // Only new objects and little load: a cell whose nodes failed is avoided until that is forgotten.
+        {.name = "one_host_new_objects",
+         .seed = 17,
+         .hosts = 1,
+         .duration = 12 * kSecond,
+         .arrivalGap = 8 * kMs,
+         .newObjectPercent = 100},
+        // So many volumes that gossip about them takes several datagrams.
+        {.name = "two_hosts_many_volumes",
+         .seed = 23,
+         .hosts = 2,
+         .duration = 5 * kSecond,
+         .arrivalGap = 800,
+         .quietVolumes = 400},
+    };
 }
 
 /// One line for every hundred batches, then what occurred how often.
--- a/tests/golden/wire_simulation.cpp
+++ b/tests/golden/wire_simulation.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <sstream>
 #include <stdexcept>
+#include <utility>
 
 #include "base64.h"
 
@@ -14,17 +15,17 @@
 constexpr Micros kStart = 1'000 * kSecond;
 constexpr int kCells = 3;
 constexpr int kQueueLimit = 8;
-constexpr int kColdQueueLimit = 1;
-constexpr Micros kCrossing = 1 * kMillisecond;
+constexpr int kSlowStartQueueLimit = 1;
+constexpr Micros kNetworkDelay = 1 * kMillisecond;
 constexpr Micros kDrainGrace = 1'500 * kMillisecond;
-constexpr Micros kWarmUp = 10 * kSecond;
+constexpr Micros kSlowStartDuration = 10 * kSecond;
 constexpr Micros kScriptLength = 40 * kSecond;
 
 struct RequestClass {
     std::string name;
     std::string settings;  // key=value, without the index
     Micros lifetime;
-    Micros aim;  // 0: none
+    Micros latencyObjective;  // 0: none
 };
 
 const std::vector<RequestClass>& requestClasses() {
@@ -68,7 +69,7 @@
     std::istringstream words(settings);
     std::string out;
     for (std::string word; words >> word;)
-        out += " " + prefix + word;
+        out.append(" ").append(prefix).append(word);
     return out;
 }
 
@@ -101,7 +102,7 @@
         nodes_.push_back(node);
     }
     for (int host = 0; host < settings.hosts; ++host)
-        at(kStart + host * 7 * kMillisecond, [this, host] { startHost(host); });
+        at(kStart + static_cast<Micros>(host) * 7 * kMillisecond, [this, host] { startHost(host); });
     for (Micros from = kStart; from < end_; from += kScriptLength)
         scheduleNodeScript(from);
     schedulePartition(kStart);
@@ -109,14 +110,10 @@
 }
 
 void WireSimulation::run(const std::function<void(const std::string&)>& onBatch) {
-    while (!agenda_.empty() && agenda_.begin()->first < end_) {
-        now_ = agenda_.begin()->first;
+    while (!agenda_.empty() && agenda_.nextTime() < end_) {
+        now_ = agenda_.nextTime();
         batch_.clear();
-        while (!agenda_.empty() && agenda_.begin()->first == now_) {
-            const auto step = std::move(agenda_.begin()->second);
-            agenda_.erase(agenda_.begin());
-            step();
-        }
+        agenda_.runNext();
         if (batch_.empty()) continue;
         ++batches_;
         std::istringstream input("BEGIN_BATCH tsUs=" + std::to_string(now_) +
@@ -126,24 +123,24 @@
         onBatch(reply);
         std::istringstream lines(reply);
         for (std::string line; std::getline(lines, line);)
-            act(ReplyLine(line));
+            perform(ReplyLine(line));
     }
 }
 
 // Times are whole milliseconds, so that several events share a batch.
 void WireSimulation::at(Micros time, std::function<void()> step) {
     const Micros rounded = (time + kMillisecond - 1) / kMillisecond * kMillisecond;
-    agenda_.emplace(std::max(rounded, now_ + (batches_ > 0 ? kMillisecond : 0)), std::move(step));
+    agenda_.add(std::max(rounded, now_ + (batches_ > 0 ? kMillisecond : 0)), std::move(step));
 }
 
-void WireSimulation::say(const std::string& line) {
+void WireSimulation::addLine(const std::string& line) {
     batch_ += line + "\n";
     ++inputLines_;
     ++inputKinds_[line.substr(0, line.find(' '))];
 }
 
-void WireSimulation::sayTo(int host, const std::string& name, const std::string& fields) {
-    if (hosts_[static_cast<std::size_t>(host)].up) say(name + " who=" + who(host) + fields);
+void WireSimulation::addMessage(int host, const std::string& name, const std::string& fields) {
+    if (hosts_[static_cast<std::size_t>(host)].up) addLine(name + " who=" + hostName(host) + fields);
 }
 
 // ---- hosts
@@ -157,7 +154,7 @@
     for (std::size_t i = 0; i < classes.size(); ++i) {
         const std::string prefix = "classes." + std::to_string(i) + ".";
         text += field(prefix + "name", classes[i].name) + withPrefix(prefix, classes[i].settings);
-        if (settings_.classesHaveAims) text += field(prefix + "aimUs", classes[i].aim);
+        if (settings_.classesHaveObjectives) text += field(prefix + "aimUs", classes[i].latencyObjective);
     }
     text += field("extra.changesData", "false,true,true,false,true,true,false,true");
     text += field("serviceLevels.count", static_cast<std::int64_t>(plans().size()));
@@ -176,7 +173,7 @@
     if (settings_.hasRetryBudget)
         text += " obligations.resendRatio=0.1 obligations.extraFree=3 obligations.resendSpanUs=2000000";
     text += " obligations.startCapacity=0.25 obligations.fallMultiple=2 obligations.fallUs=2000000";
-    text += field("obligations.warmAfterUs", kWarmUp);
+    text += field("obligations.warmAfterUs", kSlowStartDuration);
     text += " extra.coldBears=12 extra.meanUnits=2 extra.maxUnits=6 extra.withinShare=0.3";
     text += " extra.spareWorth=0.1 extra.meterUs=1000000 roundUs=1000";
     return text + field("extra.shards", kCells);
@@ -186,7 +183,7 @@
     Host& state = hosts_[static_cast<std::size_t>(host)];
     state.up = true;
     ++state.run;
-    say("UP who=" + who(host) + settingsOf(host));
+    addLine("UP who=" + hostName(host) + settingsOf(host));
     if (!settings_.pollsEndpointList)
         sendWholeList(host, host % 2 == 0 ? "warm_copy" : "total");
     else if (state.run > 1)
@@ -195,52 +192,70 @@
 
 void WireSimulation::stopHost(int host) {
     hosts_[static_cast<std::size_t>(host)].up = false;
-    say("POWER_OFF who=" + who(host));
+    addLine("POWER_OFF who=" + hostName(host));
 }
 
 // ---- nodes and their list
 
-// Each kind of trouble that the module must notice, one after the other.
+void WireSimulation::changeNodeAt(Micros time, int index, std::function<void(Node&)> change) {
+    const auto& id = nodes_[static_cast<std::size_t>(index)].id;
+    at(time, [this, id, change = std::move(change)] { change(node(id)); });
+}
+
+void WireSimulation::drainNodeAt(Micros time, int index) {
+    const auto& id = nodes_[static_cast<std::size_t>(index)].id;
+    at(time, [this, id] { changeNode(id, "Terminating"); });
+    at(time + kDrainGrace, [this, id] { changeNode(id, "Gone"); });
+}
+
+void WireSimulation::restartNodeAt(Micros time, int index) {
+    const auto& id = nodes_[static_cast<std::size_t>(index)].id;
+    at(time, [this, id] { restartNode(id); });
+}
+
+// Each kind of fault that the policy must notice, one after the other.
 void WireSimulation::scheduleNodeScript(Micros from) {
-    const auto id = [this](int i) { return nodes_[static_cast<std::size_t>(i)].id; };
-    const auto set = [this, from](Micros after, const std::string& name, auto change) {
-        at(from + after, [this, name, change] { change(node(name)); });
-    };
-    const auto drain = [this, from, id](Micros after, int i) {
-        at(from + after, [this, name = id(i)] { changeNode(name, "Terminating"); });
-        at(from + after + kDrainGrace, [this, name = id(i)] { changeNode(name, "Gone"); });
-    };
-    const auto restart = [this, from, id](Micros after, int i) {
-        at(from + after, [this, name = id(i)] { restartNode(name); });
-    };
-    drain(5 * kSecond, 3);  // of a cell with two others
-    restart(8 * kSecond, 3);
-    set(9 * kSecond, id(1), [](Node& n) { n.slowdownPercent = 700; });
-    set(12 * kSecond, id(1), [](Node& n) { n.slowdownPercent = 100; });
-    set(13 * kSecond, id(4), [](Node& n) { n.errorPercent = 100; });
-    set(15 * kSecond, id(4), [](Node& n) { n.errorPercent = 0; });
-    set(15 * kSecond, id(2), [](Node& n) { n.unreachable = true; });
-    set(17 * kSecond, id(2), [](Node& n) { n.unreachable = false; });
-    set(17'500 * kMillisecond, id(0), [this](Node& n) { n.pausedUntil = now_ + 1'200 * kMillisecond; });
-    set(19 * kSecond, id(6), [](Node& n) { n.lossPercent = 15; });
-    set(21 * kSecond, id(6), [](Node& n) { n.lossPercent = 0; });
-    set(10 * kSecond, id(5), [](Node& n) { n.fullPercent = 60; });
-    set(12 * kSecond, id(5), [](Node& n) { n.fullPercent = 0; });
+    scheduleNodeFaults(from);
+    scheduleNodeRestarts(from);
+    scheduleHostRestarts(from);
+}
+
+void WireSimulation::scheduleNodeFaults(Micros from) {
+    drainNodeAt(from + 5 * kSecond, 3);  // of a cell with two others
+    restartNodeAt(from + 8 * kSecond, 3);
+    changeNodeAt(from + 9 * kSecond, 1, [](Node& slow) { slow.slowdownPercent = 700; });
+    changeNodeAt(from + 12 * kSecond, 1, [](Node& slow) { slow.slowdownPercent = 100; });
+    changeNodeAt(from + 13 * kSecond, 4, [](Node& failing) { failing.errorPercent = 100; });
+    changeNodeAt(from + 15 * kSecond, 4, [](Node& failing) { failing.errorPercent = 0; });
+    changeNodeAt(from + 15 * kSecond, 2, [](Node& lost) { lost.unreachable = true; });
+    changeNodeAt(from + 17 * kSecond, 2, [](Node& lost) { lost.unreachable = false; });
+    changeNodeAt(from + 17'500 * kMillisecond, 0,
+                 [this](Node& paused) { paused.pausedUntil = now_ + 1'200 * kMillisecond; });
+    changeNodeAt(from + 19 * kSecond, 6, [](Node& lossy) { lossy.lossPercent = 15; });
+    changeNodeAt(from + 21 * kSecond, 6, [](Node& lossy) { lossy.lossPercent = 0; });
+    changeNodeAt(from + 10 * kSecond, 5, [](Node& full) { full.fullPercent = 60; });
+    changeNodeAt(from + 12 * kSecond, 5, [](Node& full) { full.fullPercent = 0; });
     // A cell in which all nodes fail for a while.
-    for (const int i : {6, 7}) {
-        set(2 * kSecond, id(i), [](Node& n) { n.errorPercent = 100; });
-        set(3 * kSecond, id(i), [](Node& n) { n.errorPercent = 0; });
+    for (const int index : {6, 7}) {
+        changeNodeAt(from + 2 * kSecond, index, [](Node& failing) { failing.errorPercent = 100; });
+        changeNodeAt(from + 3 * kSecond, index, [](Node& failing) { failing.errorPercent = 0; });
     }
+}
+
+void WireSimulation::scheduleNodeRestarts(Micros from) {
     // A cell without a ready node: the last one drains, and its successor is listed later.
-    drain(22 * kSecond, 6);
-    drain(22'200 * kMillisecond, 7);
-    restart(25 * kSecond, 7);
-    restart(27 * kSecond, 6);
-    // Two cold nodes at once.
-    drain(29 * kSecond, 4);
-    drain(29 * kSecond, 5);
-    restart(31 * kSecond, 4);
-    restart(31'500 * kMillisecond, 5);
+    drainNodeAt(from + 22 * kSecond, 6);
+    drainNodeAt(from + 22'200 * kMillisecond, 7);
+    restartNodeAt(from + 25 * kSecond, 7);
+    restartNodeAt(from + 27 * kSecond, 6);
+    // Two nodes in slow start at once.
+    drainNodeAt(from + 29 * kSecond, 4);
+    drainNodeAt(from + 29 * kSecond, 5);
+    restartNodeAt(from + 31 * kSecond, 4);
+    restartNodeAt(from + 31'500 * kMillisecond, 5);
+}
+
+void WireSimulation::scheduleHostRestarts(Micros from) {
     // Hosts that stop, and one that starts again without a stop.
     if (settings_.hosts > 2) {
         at(from + 20 * kSecond, [this] { stopHost(2); });
@@ -250,11 +265,11 @@
     }
     at(from + 14 * kSecond, [this] {
         for (int host = 0; host < settings_.hosts; ++host)
-            sayTo(host, "REGISTRY", field("how", "lost") + field("serial", listVersion_));
+            addMessage(host, "REGISTRY", field("how", "lost") + field("serial", listVersion_));
     });
 }
 
-// A network that loses all messages for ten seconds: loans run out, and old words are forgotten.
+// A network that loses all messages for ten seconds: leases expire, and what was gossiped is forgotten.
 void WireSimulation::schedulePartition(Micros from) {
     at(from + 34 * kSecond, [this] { partitioned_ = true; });
     at(from + 44 * kSecond, [this] { partitioned_ = false; });
@@ -270,7 +285,7 @@
     Node& changed = node(id);
     changed.readiness = readiness;
     if (readiness == "Terminating") changed.drainsUntil = now_ + kDrainGrace;
-    announce({id});
+    announceChange({id});
 }
 
 void WireSimulation::restartNode(const std::string& id) {
@@ -280,25 +295,28 @@
     changeNode(id, "Ready");
 }
 
-int WireSimulation::putList(const std::vector<const Node*>& nodes) {
+int WireSimulation::addEndpointList(const std::vector<const Node*>& nodes) {
     lastListId_ = (lastListId_ + 1) % 16;
-    say("ROSTER" + field("setId", lastListId_) + field("rowsIn", static_cast<std::int64_t>(nodes.size())));
+    addLine("ROSTER" + field("setId", lastListId_) +
+            field("rowsIn", static_cast<std::int64_t>(nodes.size())));
     for (const Node* n : nodes)
-        say("ENTRY" + field("cohort", n->cell) + " rating=1" + field("readiness", n->readiness) +
-            field("area", n->zone) + field("launchedUs", n->startedAt) + field("shelf", n->id));
+        addLine("ENTRY" + field("cohort", n->cell) + " rating=1" + field("readiness", n->readiness) +
+                field("area", n->zone) + field("launchedUs", n->startedAt) + field("shelf", n->id));
     return lastListId_;
 }
 
-void WireSimulation::announce(const std::vector<std::string>& changed) {
+void WireSimulation::announceChange(const std::vector<std::string>& changed) {
     ++listVersion_;
     if (settings_.pollsEndpointList) return;
     std::vector<const Node*> entries;
+    entries.reserve(changed.size());
     for (const auto& id : changed)
         entries.push_back(&node(id));
-    const int list = putList(entries);
+    const int list = addEndpointList(entries);
     for (int host = 0; host < settings_.hosts; ++host) {
         if (random_.chance(5)) continue;  // the change is missed until the next whole list
-        sayTo(host, "REGISTRY", field("how", "incr") + field("serial", listVersion_) + field("setId", list));
+        addMessage(host, "REGISTRY",
+                   field("how", "incr") + field("serial", listVersion_) + field("setId", list));
     }
 }
 
@@ -306,18 +324,18 @@
     std::vector<const Node*> entries;
     for (const auto& n : nodes_)
         if (n.readiness != "Gone") entries.push_back(&n);
-    const int list = putList(entries);
-    sayTo(host, "REGISTRY", field("how", how) + field("serial", listVersion_) + field("setId", list));
+    const int list = addEndpointList(entries);
+    addMessage(host, "REGISTRY", field("how", how) + field("serial", listVersion_) + field("setId", list));
 }
 
-void WireSimulation::answerListRequest(int host) {
+void WireSimulation::answerPoll(int host) {
     const int run = hosts_[static_cast<std::size_t>(host)].run;
     const bool lost = random_.chance(25);
     at(now_ + random_.between(3, 20) * kMillisecond, [this, host, run, lost] {
         const Host& state = hosts_[static_cast<std::size_t>(host)];
         if (!state.up || state.run != run) return;
         if (lost)
-            sayTo(host, "REGISTRY", field("how", "lost") + field("serial", listVersion_));
+            addMessage(host, "REGISTRY", field("how", "lost") + field("serial", listVersion_));
         else
             sendWholeList(host, "total");
     });
@@ -326,7 +344,7 @@
 // ---- clients
 
 // Ordinary load, overload, and a calm time, in turn.
-Micros WireSimulation::loadGap() {
+Micros WireSimulation::nextArrivalGap() {
     const Micros phase = (now_ - kStart) % (12 * kSecond);
     std::int64_t percent = 100;
     if (phase >= 4 * kSecond && phase < 6 * kSecond) percent = 30;
@@ -336,16 +354,16 @@
 }
 
 void WireSimulation::scheduleArrival() {
-    arrive();
-    Micros gap = loadGap();
+    submitNewRequest();
+    Micros gap = nextArrivalGap();
     while (gap < kMillisecond) {
-        arrive();
-        gap += loadGap();
+        submitNewRequest();
+        gap += nextArrivalGap();
     }
     at(now_ + gap, [this] { scheduleArrival(); });
 }
 
-void WireSimulation::arrive() {
+void WireSimulation::submitNewRequest() {
     const auto& classes = requestClasses();
     const auto& drawn =
         classes[static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(classes.size())))];
@@ -380,24 +398,24 @@
     if (!state.up) return;
     request.run = state.run;
     request.line = line;
-    sayTo(host, "INCOMING",
-          field("corr", static_cast<std::int64_t>(id)) + line + field("validUntilUs", request.deadline));
+    addMessage(host, "INCOMING",
+               field("corr", static_cast<std::int64_t>(id)) + line + field("validUntilUs", request.deadline));
     requests_[id] = request;
-    if (random_.chance(3)) leaveEarly(id);
+    if (random_.chance(3)) scheduleCancellation(id);
 }
 
-void WireSimulation::leaveEarly(std::uint64_t id) {
+void WireSimulation::scheduleCancellation(std::uint64_t id) {
     const std::int64_t longestWait = random_.chance(40) ? 3 : 400;
     at(now_ + random_.between(1, longestWait) * kMillisecond, [this, id] {
         Request& request = requests_.at(id);
         const Host& state = hosts_[static_cast<std::size_t>(request.host)];
         if (request.over || !state.up || state.run != request.run) return;
         request.over = true;
-        sayTo(request.host, "ABORTED", field("corr", static_cast<std::int64_t>(id)));
+        addMessage(request.host, "ABORTED", field("corr", static_cast<std::int64_t>(id)));
     });
 }
 
-void WireSimulation::turnedAway(const ReplyLine& action) {
+void WireSimulation::onRejected(const ReplyLine& action) {
     Request& request = requests_.at(static_cast<std::uint64_t>(action.integer("corr")));
     request.over = true;
     const Micros wait = action.fields.count("coolDownUs") ? action.integer("coolDownUs") : 100 * kMillisecond;
@@ -415,23 +433,23 @@
 
 // ---- actions
 
-void WireSimulation::act(const ReplyLine& action) {
+void WireSimulation::perform(const ReplyLine& action) {
     ++actionKinds_[action.name];
     if (action.name == "OK") return;
     if (action.name == "EXCEPTION") throw std::runtime_error("the module threw: " + action.fields.at("text"));
     const int host = std::stoi(action.fields.at("who").substr(5));
     if (action.name == "DISPATCH")
-        dispatch(host, action);
+        forwardRequest(host, action);
     else if (action.name == "TURN_AWAY")
-        turnedAway(action);
+        onRejected(action);
     else if (action.name == "ERROR")
         requests_.at(static_cast<std::uint64_t>(action.integer("corr"))).over = true;
     else if (action.name == "NOTIFY")
-        notify(host, action);
+        passPeerMessage(host, action);
     else if (action.name == "PROBE")
-        probe(host, action);
+        checkHealth(host, action);
     else if (action.name == "TAIL")
-        answerListRequest(host);
+        answerPoll(host);
     else if (action.name == "ABORT_ATTEMPT") {
         const Attempt attempt{static_cast<std::uint64_t>(action.integer("corr")),
                               static_cast<int>(action.integer("shot")), "", 0};
@@ -440,12 +458,12 @@
         const int run = hosts_[static_cast<std::size_t>(host)].run;
         at(now_ + action.integer("offsetUs"), [this, host, run, label = action.integer("label")] {
             if (hosts_[static_cast<std::size_t>(host)].run == run)
-                sayTo(host, "ELAPSED", field("label", label));
+                addMessage(host, "ELAPSED", field("label", label));
         });
     }
 }
 
-void WireSimulation::dispatch(int host, const ReplyLine& action) {
+void WireSimulation::forwardRequest(int host, const ReplyLine& action) {
     Attempt attempt;
     attempt.request = static_cast<std::uint64_t>(action.integer("corr"));
     attempt.node = action.fields.at("shelf");
@@ -454,33 +472,36 @@
     if (request.host != host) throw std::runtime_error("a request of another host was dispatched");
     attempt.number = request.attempts++;
     request.openAttempts.insert(attempt.number);
-    at(now_ + kCrossing, [this, attempt] { reachNode(attempt); });
+    at(now_ + kNetworkDelay, [this, attempt] { arriveAtNode(attempt); });
     at(request.deadline, [this, attempt] { endAttempt(attempt, "too_slow"); });
 }
 
-void WireSimulation::reachNode(const Attempt& attempt) {
+void WireSimulation::arriveAtNode(const Attempt& attempt) {
     const Request& request = requests_.at(attempt.request);
     Node& target = node(attempt.node);
     if (request.over && random_.chance(50)) return endAttempt(attempt, "stale_send");
     if (target.unreachable || target.readiness == "Gone") return endAttempt(attempt, "no_route");
     if (target.readiness == "Terminating" && now_ > target.drainsUntil - kDrainGrace / 4)
         return endAttempt(attempt, "no_room");
-    const bool cold = target.startedAt > 0 && now_ - target.startedAt < kWarmUp;
-    if (target.waiting >= settings_.lanes + (cold ? kColdQueueLimit : kQueueLimit))
-        return endAttempt(attempt, "no_room");
+    const int queueLimit = isInSlowStart(target) ? kSlowStartQueueLimit : kQueueLimit;
+    if (target.waiting >= settings_.lanes + queueLimit) return endAttempt(attempt, "no_room");
     if (random_.chance(target.fullPercent)) return endAttempt(attempt, "no_room");
     if (random_.chance(target.errorPercent)) return endAttempt(attempt, "fault");
     if (random_.chance(1)) return endAttempt(attempt, "cut");
     serve(attempt, target);
 }
 
-// Each of the lanes serves one request at a time. A cold node needs longer for each.
+bool WireSimulation::isInSlowStart(const Node& node) const {
+    return node.startedAt > 0 && now_ - node.startedAt < kSlowStartDuration;
+}
+
+// Each of the lanes serves one request at a time. A node in slow start needs longer for each.
 void WireSimulation::serve(const Attempt& attempt, Node& target) {
     const Request& request = requests_.at(attempt.request);
     const std::int64_t jitter = settings_.serviceJitterPercent;
     std::int64_t percent = target.slowdownPercent;
-    if (target.startedAt > 0 && now_ - target.startedAt < kWarmUp)
-        percent += 300 * (kWarmUp - (now_ - target.startedAt)) / kWarmUp;
+    if (isInSlowStart(target))
+        percent += 300 * (kSlowStartDuration - (now_ - target.startedAt)) / kSlowStartDuration;
     const Micros service = settings_.serviceTime * request.units * percent / 100 *
                            random_.between(100 - jitter, 100 + jitter) / 100;
     auto lane = std::min_element(target.laneFreeAt.begin(), target.laneFreeAt.end());
@@ -491,17 +512,17 @@
     if (random_.chance(1 + target.lossPercent)) return;  // its answer never arrives
     const std::string code = random_.chance(1) ? "fault" : "pass";
     if (request.qos == "bulk" || random_.chance(2))
-        at(begin + service / 2, [this, attempt] { beginAnswer(attempt); });
-    at(*lane + kCrossing, [this, attempt, code] { endAttempt(attempt, code); });
+        at(begin + service / 2, [this, attempt] { startResponse(attempt); });
+    at(*lane + kNetworkDelay, [this, attempt, code] { endAttempt(attempt, code); });
 }
 
-void WireSimulation::beginAnswer(const Attempt& attempt) {
+void WireSimulation::startResponse(const Attempt& attempt) {
     const Request& request = requests_.at(attempt.request);
     const Host& state = hosts_[static_cast<std::size_t>(request.host)];
     if (state.run != request.run || !request.openAttempts.contains(attempt.number)) return;
-    sayTo(request.host, "HEADERS",
-          field("corr", static_cast<std::int64_t>(attempt.request)) + field("shot", attempt.number) +
-              field("shelf", attempt.node) + field("waitTimeUs", now_ - attempt.sentAt));
+    addMessage(request.host, "HEADERS",
+               field("corr", static_cast<std::int64_t>(attempt.request)) + field("shot", attempt.number) +
+                   field("shelf", attempt.node) + field("waitTimeUs", now_ - attempt.sentAt));
 }
 
 void WireSimulation::endAttempt(const Attempt& attempt, const std::string& code) {
@@ -515,56 +536,60 @@
     const std::int64_t loadPercent = random_.below(100);
     const std::int64_t cpu = random_.below(100);
     const std::int64_t disk = random_.below(100);
-    sayTo(request.host, "ENDED",
-          field("corr", static_cast<std::int64_t>(attempt.request)) + field("shot", attempt.number) +
-              field("shelf", attempt.node) + field("code", code) +
-              field("waitTimeUs", attempt.sentAt > 0 ? now_ - attempt.sentAt : 0) +
-              field("closed", closes ? 1 : 0) + field("usePct", loadPercent) +
-              " elsewhere=0 metrics=" + std::to_string(cpu) + "," + std::to_string(disk));
+    addMessage(request.host, "ENDED",
+               field("corr", static_cast<std::int64_t>(attempt.request)) + field("shot", attempt.number) +
+                   field("shelf", attempt.node) + field("code", code) +
+                   field("waitTimeUs", attempt.sentAt > 0 ? now_ - attempt.sentAt : 0) +
+                   field("closed", closes ? 1 : 0) + field("usePct", loadPercent) +
+                   " elsewhere=0 metrics=" + std::to_string(cpu) + "," + std::to_string(disk));
 }
 
 // Messages between hosts are late, lost, doubled or damaged.
-void WireSimulation::notify(int host, const ReplyLine& action) {
+void WireSimulation::passPeerMessage(int host, const ReplyLine& action) {
     const std::string target = action.fields.at("to");
     for (int to = 0; to < settings_.hosts; ++to) {
         if (to == host || (target != "*" && std::stoi(target) != to)) continue;
         if (partitioned_ || random_.chance(4)) continue;
         std::string bytes;
         if (!wire::decodeBase64(action.fields.at("raw"), bytes)) throw std::runtime_error("not base64");
-        if (random_.chance(2) && !bytes.empty()) {
-            const auto place =
-                static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(bytes.size())));
-            if (random_.chance(50))
-                bytes.resize(place);
-            else
-                bytes[place] = static_cast<char>(random_.below(256));
-        }
+        if (random_.chance(2) && !bytes.empty()) damage(bytes);
         const int copies = random_.chance(2) ? 2 : 1;
-        for (int copy = 0; copy < copies; ++copy) {
-            const bool slow = random_.chance(5);
-            const Micros crossing = random_.between(1, 12) * kMillisecond / (slow ? 1 : 4);
-            at(now_ + crossing,
-               [this, host, to, bytes] { deliverMessage(host, to, wire::encodeBase64(bytes)); });
-        }
+        for (int copy = 0; copy < copies; ++copy)
+            schedulePeerMessage(host, to, bytes);
     }
 }
 
-void WireSimulation::deliverMessage(int from, int to, const std::string& base64) {
-    sayTo(to, "HEARD", field("from", from) + field("raw", base64));
+// Cuts the message short or changes one of its bytes.
+void WireSimulation::damage(std::string& bytes) {
+    const auto place = static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(bytes.size())));
+    if (random_.chance(50))
+        bytes.resize(place);
+    else
+        bytes[place] = static_cast<char>(random_.below(256));
+}
+
+void WireSimulation::schedulePeerMessage(int from, int to, const std::string& bytes) {
+    const bool slow = random_.chance(5);
+    const Micros delay = random_.between(1, 12) * kMillisecond / (slow ? 1 : 4);
+    at(now_ + delay, [this, from, to, bytes] { deliverPeerMessage(from, to, wire::encodeBase64(bytes)); });
+}
+
+void WireSimulation::deliverPeerMessage(int from, int to, const std::string& base64) {
+    addMessage(to, "HEARD", field("from", from) + field("raw", base64));
 }
 
-void WireSimulation::probe(int host, const ReplyLine& action) {
+void WireSimulation::checkHealth(int host, const ReplyLine& action) {
     const std::string id = action.fields.at("shelf");
     const int run = hosts_[static_cast<std::size_t>(host)].run;
     const Node& target = node(id);
     const Micros free = *std::min_element(target.laneFreeAt.begin(), target.laneFreeAt.end());
-    const Micros answered = std::max({free, now_, target.pausedUntil}) + 2 * kCrossing;
+    const Micros answered = std::max({free, now_, target.pausedUntil}) + 2 * kNetworkDelay;
     const bool reached = !target.unreachable && target.readiness != "Gone" && !random_.chance(10);
     at(answered, [this, host, run, id, reached, sentAt = now_] {
         if (hosts_[static_cast<std::size_t>(host)].run != run) return;
-        sayTo(host, "STATUS_BACK",
-              field("shelf", id) + field("code", reached ? "pass" : "too_slow") +
-                  field("waitTimeUs", now_ - sentAt) + " metrics=1,2");
+        addMessage(host, "STATUS_BACK",
+                   field("shelf", id) + field("code", reached ? "pass" : "too_slow") +
+                       field("waitTimeUs", now_ - sentAt) + " metrics=1,2");
     });
 }
 
--- a/tests/golden/wire_simulation.h
+++ b/tests/golden/wire_simulation.h
@@ -1,5 +1,6 @@
-// A small deterministic cluster that speaks the simulator's text wire: clients, storage nodes, the node list
-// and the network between the hosts. What it sends depends on its seed and on the actions it is given back.
+/// \file
+/// A small deterministic cluster that speaks the simulator's text wire: clients, storage nodes, the endpoint
+/// list and the network between the hosts. What it sends depends on its seed and on the actions that it gets.
 #pragma once
 
 #include <cstdint>
@@ -10,6 +11,7 @@
 #include <string_view>
 #include <vector>
 
+#include "golden/agenda.h"
 #include "golden/golden_file.h"
 #include "simulated_hosts.h"
 
@@ -24,7 +26,7 @@
     bool mayCheckHealth = true;
     bool mayCancel = true;
     bool hasRetryBudget = true;
-    /// The hosts ask for the node list, in place of being sent each change.
+    /// Whether hosts poll the endpoint list; otherwise each change is pushed to them.
     bool pollsEndpointList = false;
     /// Mean time between two requests while the load is ordinary.
     Micros arrivalGap = 4'000;
@@ -37,23 +39,28 @@
     std::int64_t newObjectPercent = 30;
     /// Volumes of each plan beside the busy one.
     std::int64_t quietVolumes = 8;
-    /// Whether the request classes state a time to answer in.
-    bool classesHaveAims = true;
+    /// Whether the request classes have a latency objective.
+    bool classesHaveObjectives = true;
 };
 
-/// One line of a reply, split.
+/// One line of a reply: the action's name on the wire and its fields.
 struct ReplyLine {
     explicit ReplyLine(std::string_view text);
+    /// \throws std::out_of_range if the field is missing
+    std::int64_t integer(const std::string& key) const { return std::stoll(fields.at(key)); }
+
     std::string name;
     std::map<std::string, std::string> fields;
-    std::int64_t integer(const std::string& key) const { return std::stoll(fields.at(key)); }
 };
 
+/// The cluster and its clock.
 class WireSimulation {
 public:
     explicit WireSimulation(const SimulationSettings& settings);
 
-    /// Runs to the end. `onBatch` sees the whole reply to each batch.
+    /// Runs to the end.
+    /// \param onBatch is called with the whole reply to each batch
+    /// \throws std::runtime_error if the program throws or answers what makes no sense
     void run(const std::function<void(const std::string& reply)>& onBatch);
 
     std::uint64_t batches() const { return batches_; }
@@ -64,7 +71,7 @@
 private:
     struct Host {
         bool up = false;
-        /// Counts the starts. What was meant for an earlier run of the host is dropped.
+        /// Number of its starts so far. What was meant for an earlier run is dropped.
         int run = 0;
     };
     struct Node {
@@ -102,45 +109,54 @@
     };
 
     void at(Micros time, std::function<void()> step);
-    void say(const std::string& line);
-    void sayTo(int host, const std::string& name, const std::string& fields);
-    std::string who(int host) const { return "head/" + std::to_string(host); }
+    void addLine(const std::string& line);
+    void addMessage(int host, const std::string& name, const std::string& fields);
+    std::string hostName(int host) const { return "head/" + std::to_string(host); }
 
     void startHost(int host);
     void stopHost(int host);
     std::string settingsOf(int host) const;
 
     void scheduleNodeScript(Micros from);
+    void scheduleNodeFaults(Micros from);
+    void scheduleNodeRestarts(Micros from);
+    void scheduleHostRestarts(Micros from);
+    void changeNodeAt(Micros time, int index, std::function<void(Node&)> change);
+    void drainNodeAt(Micros time, int index);
+    void restartNodeAt(Micros time, int index);
     void schedulePartition(Micros from);
     Node& node(const std::string& id);
+    [[nodiscard]] bool isInSlowStart(const Node& node) const;
     void changeNode(const std::string& id, const std::string& readiness);
     void restartNode(const std::string& id);
-    void announce(const std::vector<std::string>& changed);
-    int putList(const std::vector<const Node*>& nodes);
+    void announceChange(const std::vector<std::string>& changed);
+    int addEndpointList(const std::vector<const Node*>& nodes);
     void sendWholeList(int host, const std::string& how);
-    void answerListRequest(int host);
+    void answerPoll(int host);
 
     void scheduleArrival();
-    void arrive();
+    void submitNewRequest();
     void submit(int host, std::uint64_t id, const std::string& line, Request request);
-    void leaveEarly(std::uint64_t id);
-    Micros loadGap();
+    void scheduleCancellation(std::uint64_t id);
+    Micros nextArrivalGap();
 
-    void act(const ReplyLine& action);
-    void dispatch(int host, const ReplyLine& action);
-    void reachNode(const Attempt& attempt);
+    void perform(const ReplyLine& action);
+    void forwardRequest(int host, const ReplyLine& action);
+    void arriveAtNode(const Attempt& attempt);
     void serve(const Attempt& attempt, Node& node);
-    void beginAnswer(const Attempt& attempt);
+    void startResponse(const Attempt& attempt);
     void endAttempt(const Attempt& attempt, const std::string& code);
-    void turnedAway(const ReplyLine& action);
-    void notify(int host, const ReplyLine& action);
-    void deliverMessage(int from, int to, const std::string& base64);
-    void probe(int host, const ReplyLine& action);
+    void onRejected(const ReplyLine& action);
+    void passPeerMessage(int host, const ReplyLine& action);
+    void damage(std::string& bytes);
+    void schedulePeerMessage(int from, int to, const std::string& bytes);
+    void deliverPeerMessage(int from, int to, const std::string& base64);
+    void checkHealth(int host, const ReplyLine& action);
 
     SimulationSettings settings_;
     SeededRandom random_;
     wire::SimulatedHosts simulatedHosts_;
-    std::multimap<Micros, std::function<void()>> agenda_;
+    Agenda agenda_;
     std::vector<Host> hosts_;
     std::vector<Node> nodes_;
     std::map<std::uint64_t, Request> requests_;
--- a/tests/support/policy_support.h
+++ b/tests/support/policy_support.h
@@ -1,4 +1,5 @@
-// Settings, events and a host with a clock, for tests that feed events to a `Policy`.
+/// \file
+/// Settings, nodes, requests and a host with its clock, for tests that give a Policy its events themselves.
 #pragma once
 
 #include <map>
@@ -10,69 +11,80 @@
 
 namespace wingproxy::test {
 
-constexpr Micros kMs = 1000, kSecond = 1'000'000, kStart = 10'000'000;
+constexpr Micros kMs = 1000;
+constexpr Micros kSecond = 1'000'000;
+constexpr Micros kStart = 10'000'000;
 
+/// Settings with the four kinds of classes (0: idempotent, 1: idempotent with a key, 2: not idempotent, 3:
+/// ordered by key), and two plans (0: with a limit, 1: without).
 inline Settings settings(int host = 0, int hosts = 1) {
-    Settings s;
-    s.seed = 77 + static_cast<std::uint64_t>(host);
-    s.hostIndex = HostIndex(host);
-    s.hostCount = hosts;
+    Settings settings;
+    settings.seed = 77 + static_cast<std::uint64_t>(host);
+    settings.hostIndex = HostIndex(host);
+    settings.hostCount = hosts;
     ClassInfo safe{"safe", 500 * kMs, 2 * kSecond, 5 * kSecond, 2, 0.1};
     ClassInfo keyed{"keyed",       500 * kMs, 4 * kSecond, kSecond, 2, 0.1, RetrySafety::IdempotentWithKey,
                     KeyScope::Cell};
     ClassInfo unsafe{"unsafe", 500 * kMs, 2 * kSecond, 5 * kSecond, 2, 0.1, RetrySafety::NotIdempotent};
     ClassInfo ordered{"ordered", 500 * kMs, 2 * kSecond, 5 * kSecond, 2, 0.1};
     ordered.fifoByKey = true;
-    s.classes = {safe, keyed, unsafe, ordered};
-    s.plans = {{"limited", 4, 1, 1, 1, 20, 48, 8}, {"open", 4, 4, 1, 1, 0, 0, 0}};
-    s.maxAttempts = 3;
-    s.mayGossip = hosts > 1;
-    s.sendsRetryAfter = true;
-    s.maxRetryAfterUs = 500 * kMs;
-    s.responseSlackUs = 8 * kMs;
-    s.drainGraceUs = 500 * kMs;
-    s.slowStartCapacity = 0.25;
-    s.slowStartOverloadFactor = 2;
-    s.slowStartUnits = 12;
-    s.slowStartWindowUs = 2 * kSecond;
-    s.slowStartDurationUs = 10 * kSecond;
-    s.meanUnits = 2;
-    s.maxUnits = 6;
-    s.shareWeight = 0.3;
-    s.spareWeight = 0.1;
-    s.cellCount = 2;
-    s.keyCooldownUs = 300 * kMs;
-    return s;
+    settings.classes = {safe, keyed, unsafe, ordered};
+    settings.plans = {{"limited", 4, 1, 1, 1, 20, 48, 8}, {"open", 4, 4, 1, 1, 0, 0, 0}};
+    settings.maxAttempts = 3;
+    settings.mayGossip = hosts > 1;
+    settings.sendsRetryAfter = true;
+    settings.maxRetryAfterUs = 500 * kMs;
+    settings.responseSlackUs = 8 * kMs;
+    settings.drainGraceUs = 500 * kMs;
+    settings.slowStartCapacity = 0.25;
+    settings.slowStartOverloadFactor = 2;
+    settings.slowStartUnits = 12;
+    settings.slowStartWindowUs = 2 * kSecond;
+    settings.slowStartDurationUs = 10 * kSecond;
+    settings.meanUnits = 2;
+    settings.maxUnits = 6;
+    settings.shareWeight = 0.3;
+    settings.spareWeight = 0.1;
+    settings.cellCount = 2;
+    settings.keyCooldownUs = 300 * kMs;
+    return settings;
 }
 
+/// An endpoint list of version 1.
 inline EndpointList nodes(std::vector<NodeInfo> list, EndpointListKind kind = EndpointListKind::Full) {
     return {kind, 1, std::move(list)};
 }
+/// A node of zone "hall" with rating 1.
+/// \param started time of its start; 0: long ago
 inline NodeInfo node(std::string id, int cell, NodeState state = NodeState::Ready, Micros started = 0) {
     return {std::move(id), "hall", CellIndex(cell), 1, state, started};
 }
 
-inline Request request(RequestId id, int cls, int plan, Micros now, double units = 2, int cell = 0,
+/// A request with a key of its own for the volume of its plan; its deadline is 2 s after `now`.
+/// \param hosts over which the volume's requests are spread
+inline Request request(RequestId id, int classIndex, int plan, Micros now, double units = 2, int cell = 0,
                        int hosts = 1) {
-    Request r;
-    r.id = id;
-    r.classIndex = ClassIndex(cls);
-    r.planIndex = PlanIndex(plan);
-    r.key = std::string("k").append(std::to_string(id));
-    r.volume = plan == 0 ? "vol-limited" : "vol-open";
-    r.deadlineUs = now + 2 * kSecond;
-    r.units = units;
-    r.cell = CellIndex(cell);
-    r.volumeHosts = hosts;
-    return r;
+    Request request;
+    request.id = id;
+    request.classIndex = ClassIndex(classIndex);
+    request.planIndex = PlanIndex(plan);
+    request.key = std::string("k").append(std::to_string(id));
+    request.volume = plan == 0 ? "vol-limited" : "vol-open";
+    request.deadlineUs = now + 2 * kSecond;
+    request.units = units;
+    request.cell = CellIndex(cell);
+    request.volumeHosts = hosts;
+    return request;
 }
 
+/// The end of an attempt, without a load report.
+/// \param took from the attempt's start
 inline AttemptOutcome ended(RequestId id, int attempt, const std::string& node, Outcome outcome,
                             Micros took = 20 * kMs) {
     return {id, AttemptIndex(attempt), node, outcome, took, outcome == Outcome::Ok, 0, 0, {}};
 }
 
-// Any event of the policy, written without the wrappers of requests and endpoint lists.
+/// Any event of the policy, written without the wrappers of requests and endpoint lists.
 struct AnyEvent {
     template <typename T>
     AnyEvent(T value) : event(wrap(std::move(value))) {}  // implicit, so that a batch is a plain list
@@ -85,41 +97,46 @@
     Event event;
 };
 
-// One host under test: a policy, its clock and its due timers.
+/// One host under test: a policy, its clock and its timers.
 struct Host {
-    Host(const Settings& s, Micros at) : policy(s, at), now(at) {}
-    std::vector<Action> batch(std::vector<AnyEvent> events = {}) {
-        for (const auto& e : events)
-            policy.on(now, e.event);
+    Host(const Settings& settings, Micros start) : policy(settings, start), now(start) {}
+    /// Gives the policy a batch of events and notes the timers that it sets.
+    std::vector<Action> batch(const std::vector<AnyEvent>& events = {}) {
+        for (const auto& any : events)
+            policy.on(now, any.event);
         auto actions = policy.finish(now);
-        for (const auto& a : actions)
-            if (const auto* t = std::get_if<SetTimer>(&a)) timers.emplace(now + t->delayUs, t->token);
+        for (const auto& action : actions)
+            if (const auto* timer = std::get_if<SetTimer>(&action))
+                timers.emplace(now + timer->delayUs, timer->token);
         return actions;
     }
-    // Runs to `until`, firing timers, and gathers all actions on the way.
+    /// Runs to `until`, with each timer that is due as a batch of its own.
+    /// \return all actions on the way
     std::vector<Action> runTo(Micros until) {
         std::vector<Action> all;
         while (!timers.empty() && timers.begin()->first <= until) {
             now = timers.begin()->first;
             const TimerFired fired{timers.begin()->second};
             timers.erase(timers.begin());
-            for (auto& a : batch({fired}))
-                all.push_back(std::move(a));
+            for (auto& action : batch({fired}))
+                all.push_back(std::move(action));
         }
         now = until;
         return all;
     }
+
     Policy policy;
     Micros now;
-    std::multimap<Micros, std::uint64_t> timers;
+    std::multimap<Micros, std::uint64_t> timers;  ///< tokens by the time when they are due
 };
 
+/// The actions of one type, in their order.
 template <typename T>
 std::vector<T> only(const std::vector<Action>& actions) {
-    std::vector<T> out;
-    for (const auto& a : actions)
-        if (const auto* t = std::get_if<T>(&a)) out.push_back(*t);
-    return out;
+    std::vector<T> found;
+    for (const auto& action : actions)
+        if (const auto* typed = std::get_if<T>(&action)) found.push_back(*typed);
+    return found;
 }
 
 }  // namespace wingproxy::test
