--- a/tests/adapter/wire_line_test.cpp
+++ b/tests/adapter/wire_line_test.cpp
@@ -53,4 +53,12 @@
     EXPECT_NE(errorOf([] { WireLine("NAME =1", 1); }), "");
 }
 
+TEST(WireLine, AListHasTheItemsBetweenItsCommas) {
+    using Items = std::vector<std::string_view>;
+    EXPECT_EQ(splitList(""), Items());
+    EXPECT_EQ(splitList("a"), Items{"a"});
+    EXPECT_EQ(splitList("a,,b"), (Items{"a", "", "b"}));
+    EXPECT_EQ(splitList("a,b,"), (Items{"a", "b"}));
+}
+
 }  // namespace
--- a/tests/config/json_object_test.cpp
+++ b/tests/config/json_object_test.cpp
@@ -61,6 +61,16 @@
     CHECK(errorOf([&] { (void)outer.texts("texts"); }) == "outer.texts.1: not a text");
 }
 
+TEST_CASE("JSON object: milliseconds become microseconds, without a fraction of a millisecond") {
+    const Document document(R"({"time":1500.9,"text":"1"})");
+    Micros time = 7;
+    document.object.milliseconds("missing", time);
+    CHECK(time == 7);
+    document.object.milliseconds("time", time);
+    CHECK(time == 1'500'000);
+    CHECK(errorOf([&] { document.object.milliseconds("text", time); }) == "text: not a number");
+}
+
 TEST_CASE("JSON object: a choice is one of the format's names") {
     constexpr config::NamedValues<int, 2> kNames{"size", {{{"small", 1}, {"large", 2}}}};
     const Document document(R"({"known":"large","unknown":"huge"})");
