--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -127,7 +127,7 @@
 }
 
 TEST_CASE("admin metrics: requests are counted by their final answer, attempts when they are written") {
-    Rig rig(baseConfig(), 2);
+    Rig rig(testConfig(), 2);
     AdminFixture admin(rig);
     const auto served = rig.client();
     const auto retried = rig.client();
@@ -163,7 +163,7 @@
 TEST_CASE(
     "administrative drain: no new requests until it ends, even if the endpoint list has the node as up") {
     constexpr Micros kDrainGraceUs = 20'000;
-    auto config = baseConfig();
+    auto config = testConfig();
     config.settings.drainGraceUs = kDrainGraceUs;
     Rig rig(std::move(config));
     AdminFixture admin(rig);
--- a/tests/app/config_reload_test.cpp
+++ b/tests/app/config_reload_test.cpp
@@ -8,8 +8,9 @@
 #include <stdexcept>
 #include <vector>
 
-#include "hot_restart/temporary_folder.h"
 #include "support/captured_log.h"
+#include "support/temporary_folder.h"
+#include "support/test_config.h"
 
 using namespace wingproxy;
 
@@ -24,16 +25,14 @@
     [[nodiscard]] std::string path() const { return folder.file("config.json"); }
     void write(const std::string& content) const { std::ofstream(path()) << content; }
     void replace(const std::string& from, const std::string& to) {
-        const auto at = text.find(from);
-        REQUIRE(at != std::string::npos);
-        text.replace(at, from.size(), to);
+        text = test::replaced(text, from, to);
         write(text);
     }
     void reload() { reloader.reload(); }
     [[nodiscard]] std::string logged() const { return log.text(); }
 
     test::TemporaryFolder folder;
-    std::string text = config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json");
+    std::string text = test::testConfigText();
     config::Config atStart;
     test::CapturedLog log;
     log::Logger logger{log::Level::Info, log.stream()};
--- a/tests/cli/cli_test.cpp
+++ b/tests/cli/cli_test.cpp
@@ -5,6 +5,8 @@
 #include <string>
 
 #include "support/process_support.h"
+#include "support/temporary_folder.h"
+#include "support/test_config.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
@@ -30,31 +32,16 @@
     return result;
 }
 
-/// A folder with configuration files, removed at the end.
-struct ConfigFolder {
-    ConfigFolder() {
-        std::string pattern = (std::filesystem::temp_directory_path() / "wingproxy-cli-XXXXXX").string();
-        path = mkdtemp(pattern.data());
-    }
-    ~ConfigFolder() { std::filesystem::remove_all(path); }
-    std::string write(const char* name, const std::string& content) const {
-        std::ofstream(path / name) << content;
-        return (path / name).string();
-    }
-    std::filesystem::path path;
-};
-
 }  // namespace
 
 TEST_CASE("cli: each command line has its exit code, and an error names what is wrong") {
-    const std::string config = std::string(WINGPROXY_SOURCE) + "/tests/support/config.json";
-    const ConfigFolder folder;
-    auto invalidConfig = config::readFile(config);
-    invalidConfig.replace(invalidConfig.find(R"("discovery":)"), 12, R"("discovery":7,"was":)");
+    const std::string config = testConfigPath();
+    const TemporaryFolder folder;
+    const auto invalidConfig = replaced(testConfigText(), R"("discovery":)", R"("discovery":7,"was":)");
     const auto invalid = folder.write("bad.json", invalidConfig);
     const auto operatorFile = folder.write("good.json", R"({"health":{"listen":"127.0.0.1:0"}})");
     const auto invalidOperatorFile = folder.write("operator.json", R"({"health":{"listen":"nowhere"}})");
-    const auto missing = (folder.path / "none.json").string();
+    const auto missing = folder.file("none.json");
     const struct {
         std::string arguments;
         int exitCode;
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -7,7 +7,7 @@
 using namespace wingproxy::test;
 
 TEST_CASE("config: a valid file is accepted") {
-    CHECK(errorOf([] { config::parseConfig(validConfig()); }) == "");
+    CHECK(errorOf([] { config::parseConfig(testConfigText()); }) == "");
 }
 
 TEST_CASE("config: an error is one line that begins with the invalid field") {
@@ -26,11 +26,11 @@
         {"\"generation\":1", "\"generation\":\"x\"", "known.generation"},
         {"{\"name\"", "{name", "config"},
     };
-    checkErrors(validConfig(), cases, [](const std::string& json) { config::parseConfig(json); });
+    checkErrors(testConfigText(), cases, [](const std::string& json) { config::parseConfig(json); });
 }
 
 TEST_CASE("config: the settings reach the policy") {
-    const auto config = config::parseConfig(validConfig());
+    const auto config = testConfig();
     CHECK(config.settings.seed == 0x8c1f30d27a5be964ull);
     CHECK(config.settings.classes[1].retrySafety == RetrySafety::IdempotentWithKey);
     CHECK(config.settings.classes[1].keyScope == KeyScope::Cell);
@@ -40,13 +40,13 @@
 }
 
 TEST_CASE("config: endpoints of an earlier run are cached ones, even if their list was full") {
-    REQUIRE(validConfig().find("\"reset\":true") != std::string::npos);
-    CHECK(config::parseConfig(validConfig()).cachedEndpoints.list.kind == EndpointListKind::Cached);
+    REQUIRE(testConfigText().find("\"reset\":true") != std::string::npos);
+    CHECK(testConfig().cachedEndpoints.list.kind == EndpointListKind::Cached);
 }
 
 TEST_CASE("config: a missing optional field keeps its default") {
     const auto text =
-        replaced(validConfig(), R"("limits":{"cores":1.0,"memory_mb":192,"sockets":1024},)", "");
+        replaced(testConfigText(), R"("limits":{"cores":1.0,"memory_mb":192,"sockets":1024},)", "");
     const auto config = config::parseConfig(text);
     CHECK(config.maxDescriptors == config::Config().maxDescriptors);
     CHECK(config.memoryMb == config::Config().memoryMb);
--- a/tests/config/config_test_support.h
+++ b/tests/config/config_test_support.h
@@ -1,5 +1,5 @@
 /// \file
-/// Helpers of the configuration's tests: a valid configuration, changes to it, and the error that one causes.
+/// Helpers of the configuration's tests: the error that a change to a valid document causes.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -7,22 +7,11 @@
 #include <cstddef>
 #include <string>
 
-#include "config/config.h"
+#include "config/config_error.h"
+#include "support/test_config.h"
 
 namespace wingproxy::test {
 
-/// A valid configuration.
-inline std::string validConfig() {
-    return config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json");
-}
-
-/// `text` with the first `from` in it replaced, which must be there.
-inline std::string replaced(std::string text, const std::string& from, const std::string& to) {
-    const auto at = text.find(from);
-    REQUIRE(at != std::string::npos);
-    return text.replace(at, from.size(), to);
-}
-
 /// The text of the ConfigError that `function` throws; empty if it throws none.
 template <typename Function>
 std::string errorOf(Function&& function) {
--- a/tests/config/operator_config_test.cpp
+++ b/tests/config/operator_config_test.cpp
@@ -12,7 +12,7 @@
     R"({"rsync":{"listen":"127.0.0.1:0","modules":[{"name":"m","volume":"v","plan":"basico","cell":1,)"
     R"("pull_class":"lectura","push_class":"alta"}]},"agent":{"listen":"127.0.0.1:0"}})";
 
-Settings validSettings() { return config::parseConfig(validConfig()).settings; }
+Settings validSettings() { return testConfig().settings; }
 
 }  // namespace
 
--- a/tests/config/reload_differences_test.cpp
+++ b/tests/config/reload_differences_test.cpp
@@ -7,12 +7,12 @@
 using namespace wingproxy::test;
 
 TEST_CASE("reload: equal configurations have no differences") {
-    const auto config = config::parseConfig(validConfig());
+    const auto config = testConfig();
     CHECK(config::fieldsNeedingRestart(config, config) == "");
 }
 
 TEST_CASE("reload: what a running program can change needs no restart") {
-    const auto running = config::parseConfig(validConfig());
+    const auto running = testConfig();
     auto reloaded = running;
     reloaded.settings.seed += 1;
     reloaded.discovery.port += 1;
@@ -22,7 +22,7 @@
 }
 
 TEST_CASE("reload: fields that need a restart are named as in the file") {
-    const auto running = config::parseConfig(validConfig());
+    const auto running = testConfig();
     auto reloaded = running;
     reloaded.name = "other";
     reloaded.adminListen.port += 1;
--- a/tests/health/check_listeners_test.cpp
+++ b/tests/health/check_listeners_test.cpp
@@ -17,11 +17,7 @@
 health::GatewayStatus halfUsed() { return {.ready = true, .utilization = 0.5}; }
 
 WirePtr connectTo(asio::io_context& io, const net::SessionManager& server) {
-    tcp::socket socket(io);
-    socket.connect(net::tcpEndpoint(server.address()));
-    const auto wire = std::make_shared<Wire>(std::move(socket));
-    wire->start();
-    return wire;
+    return connectWire(io, net::tcpEndpoint(server.address()));
 }
 
 void stop(net::SessionManager& server) {
--- a/tests/hot_restart/atomic_file_test.cpp
+++ b/tests/hot_restart/atomic_file_test.cpp
@@ -5,7 +5,7 @@
 
 #include <filesystem>
 
-#include "hot_restart/temporary_folder.h"
+#include "support/temporary_folder.h"
 
 using namespace wingproxy::hot_restart;
 using wingproxy::test::TemporaryFolder;
--- a/tests/hot_restart/file_lock_test.cpp
+++ b/tests/hot_restart/file_lock_test.cpp
@@ -10,7 +10,7 @@
 #include <filesystem>
 #include <thread>
 
-#include "hot_restart/temporary_folder.h"
+#include "support/temporary_folder.h"
 
 using wingproxy::hot_restart::FileLock;
 using wingproxy::test::TemporaryFolder;
--- a/tests/hot_restart/hot_restart_process_test.cpp
+++ b/tests/hot_restart/hot_restart_process_test.cpp
@@ -166,7 +166,7 @@
     answerAll(platform);
     auto& old = platform.startReady();
     auto& next = platform.startReady();
-    std::ofstream(platform.folder / "wingproxy.snapshot") << "WPS1 half";
+    platform.folder.write("wingproxy.snapshot", "WPS1 half");
     old.signal(SIGKILL);
     platform.untilSaid(next, "snapshot rejected, truncated");
     platform.serve(platform.client(), "0000000000000001");
@@ -234,10 +234,7 @@
         clients.push_back(platform.client());
         clients.back()->say(Ask{.id = ids.next()}.text());
     }
-    tcp::socket socket(platform.rig.io);
-    socket.connect(net::tcpEndpoint(serving.mgmt));
-    const auto admin = std::make_shared<Wire>(std::move(socket));
-    admin->start();
+    const auto admin = platform.rig.connect(serving.mgmt);
     admin->say(fmt::format("POST /_chunk-servers/{} HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-0", call));
     serving.signal(SIGTERM);
     platform.rig.until([&] { return admin->ended; }, "the admin request is answered");
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -12,9 +12,9 @@
 
 #include "hot_restart/atomic_file.h"
 #include "hot_restart/checked_file.h"
-#include "hot_restart/temporary_folder.h"
 #include "net/clock.h"
 #include "support/captured_log.h"
+#include "support/temporary_folder.h"
 
 using namespace wingproxy;
 using namespace wingproxy::hot_restart;
--- a/tests/hot_restart/snapshot_test.cpp
+++ b/tests/hot_restart/snapshot_test.cpp
@@ -15,7 +15,7 @@
 
 /// A snapshot of an engine with three nodes, one of them drained by an operator.
 struct SnapshotOfThreeNodes {
-    Rig rig{baseConfig(), 3};
+    Rig rig{testConfig(), 3};
     Snapshot snapshot{"n0", rig.engine.now(), takeEngineSnapshot(), {"0000000000000001"}};
     std::string bytes = encode(snapshot);
 
--- a/tests/http/attempt_deadlines_test.cpp
+++ b/tests/http/attempt_deadlines_test.cpp
@@ -105,7 +105,7 @@
 }
 
 TEST_CASE("an attempt that took too long to connect writes nothing") {
-    auto config = baseConfig();
+    auto config = testConfig();
     Rig rig(std::move(config));
     const auto message = std::make_shared<http::RequestMessage>(boost::beast::http::verb::get, "/api", 11);
     // Its time is over already when the connection is up: the node may be draining by now.
--- a/tests/http/client_disconnects_test.cpp
+++ b/tests/http/client_disconnects_test.cpp
@@ -22,7 +22,7 @@
         }
     }
     static config::Config config() {
-        auto config = baseConfig();
+        auto config = testConfig();
         for (auto& c : config.settings.classes)
             c.latencyObjectiveUs = 20'000'000;
         return config;
@@ -121,7 +121,7 @@
 
 TEST_CASE("a request whose client disconnects while the node connection is being opened is not sent") {
     for (const bool reset : {false, true}) {
-        auto config = baseConfig();
+        auto config = testConfig();
         config.connectTimeoutUs = 10'000'000;
         config.settings.drainGraceUs = 0;
         Rig rig(std::move(config));
--- a/tests/http/connection_limits_test.cpp
+++ b/tests/http/connection_limits_test.cpp
@@ -6,7 +6,7 @@
 
 // Otherwise clients that keep a connection after one request would use up the budget.
 TEST_CASE("above 25% of the connection budget idle keep-alive connections are closed after 2 s") {
-    Rig rig(baseConfig(), 1, 12);
+    Rig rig(testConfig(), 1, 12);
     std::vector<WirePtr> stayed;
     for (int i = 0; i < 4; ++i) {
         stayed.push_back(rig.client());
@@ -24,7 +24,7 @@
 }
 
 TEST_CASE("above 50% of the connection budget responses close their connections, except during a shutdown") {
-    Rig rig(baseConfig(), 1, 4);
+    Rig rig(testConfig(), 1, 4);
     const auto first = rig.client(), second = rig.client(), third = rig.client();
     rig.until([&] { return rig.front.sessionManager().connections() == 3; });
     first->say("GET /up HTTP/1.1\r\n\r\n");
@@ -41,7 +41,7 @@
 // A client that finds all of its connections busy where no new one can be opened takes the front for dead.
 TEST_CASE(
     "when no new connections come, a queued request is shed to keep connections free, and none in flight") {
-    auto config = baseConfig();
+    auto config = testConfig();
     for (auto& c : config.settings.classes)
         c.latencyObjectiveUs = 20'000'000;
     Rig rig(std::move(config));
@@ -63,7 +63,7 @@
 }
 
 TEST_CASE("partial requests are evicted for new clients") {
-    Rig rig(baseConfig(), 1, 2);
+    Rig rig(testConfig(), 1, 2);
     const auto since = std::chrono::steady_clock::now();
     const auto first = rig.client(), second = rig.client();
     first->say("GET ");
@@ -76,7 +76,7 @@
 }
 
 TEST_CASE("at the connection limit the longest idle connection is evicted for a new client") {
-    Rig rig(baseConfig(), 1, 2);
+    Rig rig(testConfig(), 1, 2);
     const auto first = rig.client(), second = rig.client();
     rig.until([&] { return rig.front.sessionManager().connections() == 2; });
     const auto third = rig.client();
@@ -86,7 +86,7 @@
 }
 
 TEST_CASE("a partial request that is evicted is rejected with a response") {
-    Rig rig(baseConfig(), 1, 1);
+    Rig rig(testConfig(), 1, 1);
     const auto partial = rig.client();
     partial->say("GET /api HTTP/1.1\r\nReq-Id: ");
     rig.until([&] { return rig.front.sessionManager().connections() == 1; });
--- a/tests/http/discovery_watch_test.cpp
+++ b/tests/http/discovery_watch_test.cpp
@@ -30,7 +30,7 @@
 
 // What the agent has counts as published: a front that does not learn of it sends to a draining node.
 TEST_CASE("pushed lists: an agent that does not answer is polled again well within the drain grace period") {
-    auto config = baseConfig();
+    auto config = testConfig();
     config.settings.pollsEndpointList = false;
     config.settings.drainGraceUs = 800'000;
     Rig rig(std::move(config));
@@ -51,7 +51,7 @@
     "pushed lists: after a failed call a drain may be older than its answer, and the node gets no request") {
     for (const bool failed : {true, false}) {
         CAPTURE(failed);
-        auto config = baseConfig();
+        auto config = testConfig();
         config.settings.pollsEndpointList = false;
         config.settings.drainGraceUs = 10'000'000;  // nothing of it passes while the test runs
         Rig rig(std::move(config));
@@ -78,7 +78,7 @@
 TEST_CASE("a new discovery address whose first call fails is polled for the complete list again") {
     for (const bool onRequest : {true, false}) {
         CAPTURE(onRequest);
-        auto config = baseConfig();
+        auto config = testConfig();
         config.settings.pollsEndpointList = onRequest;
         Rig rig(std::move(config));
         rig.until([&] {
@@ -118,7 +118,7 @@
     using std::chrono::milliseconds;
     const net::WatchTiming watches{milliseconds(40), milliseconds(40), milliseconds(300)};
     const auto start = std::chrono::steady_clock::now();
-    Rig rig(baseConfig(), 1, 64, net::kMostRing, watches);
+    Rig rig(testConfig(), 1, 64, net::kMostRing, watches);
     const auto& counters = rig.discovery.counters();
     rig.until([&] { return counters.failed == 2 && counters.calls == 3; });
     CHECK(std::chrono::steady_clock::now() - start >= milliseconds(2 * (40 + 300)));
@@ -155,7 +155,7 @@
 }
 
 TEST_CASE("pushed lists: the front watches on its own, and again after a failure") {
-    auto config = baseConfig();
+    auto config = testConfig();
     config.settings.pollsEndpointList = false;
     Rig rig(std::move(config));
     rig.until([&] { return rig.discoveryServer.wires.size() == 1; });
@@ -165,7 +165,7 @@
 }
 
 TEST_CASE("a draining node gets no new requests, and those in flight may end") {
-    auto config = baseConfig();
+    auto config = testConfig();
     config.settings.drainGraceUs = 0;
     Rig rig(std::move(config));
     const auto client = rig.client(), other = rig.client();
--- a/tests/http/invalid_responses_test.cpp
+++ b/tests/http/invalid_responses_test.cpp
@@ -59,7 +59,7 @@
 
 // A fixed stall timeout of 250 ms would leave no time for the retry.
 TEST_CASE("with short latency objectives a stalled response is a reset sooner, and the retry is served") {
-    auto config = baseConfig();
+    auto config = testConfig();
     for (auto& c : config.settings.classes)
         c.latencyObjectiveUs = 100'000;
     Rig rig(std::move(config));
--- a/tests/http/keep_alive_test.cpp
+++ b/tests/http/keep_alive_test.cpp
@@ -27,7 +27,7 @@
 
 TEST_CASE("the longest buffered body and a response in parts pass through buffers of every size") {
     for (const auto ring : {net::kMostRing, net::kLeastRing}) {
-        Rig rig(baseConfig(), 1, 64, ring);
+        Rig rig(testConfig(), 1, 64, ring);
         const auto client = rig.client();
         const std::string body(64 * 1024, 'x');
         client->say(Ask{.kind = "alta", .body = body}.text());
--- a/tests/http/peers_test.cpp
+++ b/tests/http/peers_test.cpp
@@ -6,7 +6,7 @@
 using namespace wingproxy::test;
 
 TEST_CASE("datagrams are taken only from peers, and only up to 256 bytes") {
-    auto config = baseConfig();
+    auto config = testConfig();
     asio::io_context probeIo;
     asio::ip::udp::socket peer(probeIo, {asio::ip::make_address_v4("127.0.0.1"), 0});
     asio::ip::udp::socket stranger(probeIo, {asio::ip::make_address_v4("127.0.0.1"), 0});
--- a/tests/http/platform_request_support.h
+++ b/tests/http/platform_request_support.h
@@ -3,16 +3,13 @@
 
 #include <string>
 
-#include "config/config.h"
 #include "http/messages.h"
+#include "support/test_config.h"
 
 namespace wingproxy::test {
 
 /// Those of tests/support/config.json.
-inline Settings testSettings() {
-    const auto path = std::string(WINGPROXY_SOURCE) + "/tests/support/config.json";
-    return config::parseConfig(config::readFile(path)).settings;
-}
+inline Settings testSettings() { return testConfig().settings; }
 
 /// A request of the class "alta" that is valid with any method.
 inline http::RequestMessage platformRequest(boost::beast::http::verb method = boost::beast::http::verb::put) {
--- a/tests/http/request_rejections_test.cpp
+++ b/tests/http/request_rejections_test.cpp
@@ -94,7 +94,7 @@
 
 // The memory limit holds whatever clients and nodes send at one time.
 TEST_CASE("beyond the memory budget a request is rejected, and a response is a reset") {
-    auto config = baseConfig();
+    auto config = testConfig();
     config.memoryMb = 16;
     Rig rig(std::move(config));
     auto otherBodies = rig.engine.bodies().take(6 * 1024 * 1024 - 1000);
@@ -119,7 +119,7 @@
 
 TEST_CASE("Retry-After of the front's own rejections follows the settings") {
     for (const bool advice : {true, false}) {
-        auto config = baseConfig();
+        auto config = testConfig();
         config.settings.sendsRetryAfter = advice;
         config.settings.maxRetryAfterUs = 40'000;
         Rig rig(std::move(config), 1, 1);
--- a/tests/http/retries_test.cpp
+++ b/tests/http/retries_test.cpp
@@ -41,7 +41,7 @@
     for (const auto* head : {"HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.0 200 OK\r\n\r\n",
                              "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"}) {
         CAPTURE(head);
-        auto config = baseConfig();
+        auto config = testConfig();
         for (auto& c : config.settings.classes)
             c.latencyObjectiveUs = 20'000'000;  // patience with a pause: 250 ms
         Rig rig(std::move(config));
--- a/tests/http/streaming_bodies_test.cpp
+++ b/tests/http/streaming_bodies_test.cpp
@@ -74,7 +74,7 @@
 
 // 40 MB up and 40 MB down with a memory limit of 48 MB.
 TEST_CASE("bodies beyond the memory budget are streamed in both directions while small requests are served") {
-    auto config = baseConfig();
+    auto config = testConfig();
     config.memoryMb = 48;
     Rig rig(std::move(config), 2);
     constexpr std::size_t kBytes = 40'000'000;
@@ -216,7 +216,7 @@
 
 // What the client does not read is not read from the node either.
 TEST_CASE("a slow reader applies back-pressure to its own node only, and its response is not buffered") {
-    Rig rig(baseConfig(), 2);
+    Rig rig(testConfig(), 2);
     rig.node(1).greets = [](Wire& wire) { wire.reply = ok("x"); };
     tcp::socket slow(rig.io);
     slow.open(tcp::v4());
--- a/tests/net/engine_test.cpp
+++ b/tests/net/engine_test.cpp
@@ -3,6 +3,8 @@
 
 #include <doctest/doctest.h>
 
+#include "support/test_config.h"
+
 using namespace wingproxy;
 
 namespace {
@@ -36,8 +38,7 @@
 };
 
 config::Config configWithOneNode() {
-    auto config =
-        config::parseConfig(config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json"));
+    auto config = test::testConfig();
     config.cachedEndpoints.list.nodes.push_back({"node-0", "z", CellIndex(0), 1, NodeState::Ready, 0});
     config.cachedEndpoints.addresses.push_back({"127.0.0.1", 4711});
     return config;
--- a/tests/rsync/front_test.cpp
+++ b/tests/rsync/front_test.cpp
@@ -176,7 +176,7 @@
 }
 
 TEST_CASE("rsync front: a transfer continues while its node drains, and a cut after that is a failure") {
-    auto config = baseConfig();
+    auto config = testConfig();
     config.settings.drainGraceUs = 0;
     Rig rig(std::move(config));
     const auto transfer = startPull(rig);
@@ -200,7 +200,7 @@
 }
 
 TEST_CASE("rsync front: a push that may have run is retried in the same cell, if nothing was answered") {
-    Rig rig(baseConfig(), 2);
+    Rig rig(testConfig(), 2);
     const auto transfer = startPush(rig);
     transfer.acceptAtNode()->reset();  // after the arguments: it may have run
     const auto retry = transfer.acceptAtNode(1);
@@ -215,7 +215,7 @@
 }
 
 TEST_CASE("rsync front: a push that may have run is not retried after its idempotency window") {
-    auto config = baseConfig();
+    auto config = testConfig();
     config.settings.classes[1].keyWindowUs = 1;
     Rig rig(std::move(config));
     const auto transfer = startPush(rig);
--- a/tests/support/net_support.h
+++ b/tests/support/net_support.h
@@ -1,10 +1,12 @@
-// The one helper of the network tests: stand-ins and clients on the loop of the parts under test, all on
-// loopback ports that the system gives. Nothing sleeps: a test runs the loop until what it waits for is
-// there.
+/// \file
+/// Fixtures of the tests on sockets: a front with all its parts, servers in place of nodes and discovery, and
+/// clients, all on one event loop and on loopback ports that the system chooses. Nothing sleeps: a test runs
+/// the loop until what it waits for has come.
 #pragma once
 
 #include <doctest/doctest.h>
 
+#include <array>
 #include <boost/asio.hpp>
 #include <chrono>
 #include <deque>
@@ -18,31 +20,22 @@
 #include "net/discovery.h"
 #include "net/peers.h"
 #include "rsync/front.h"
+#include "support/test_config.h"
 
 namespace wingproxy::test {
 
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-// One end of a connection, driven by the test: what came is in `got`.
+/// One end of a connection, which the test drives. It reads all the time; what came is in `got`.
 struct Wire : std::enable_shared_from_this<Wire> {
-    explicit Wire(tcp::socket s) : socket(std::move(s)) {}
+    explicit Wire(tcp::socket connected) : socket(std::move(connected)) {}
     void start() {
-        socket.async_read_some(
-            asio::buffer(chunk),
-            [self = shared_from_this()](const boost::system::error_code& error, std::size_t n) {
-                self->got.append(self->chunk.data(), n);
-                if (error)
-                    self->ended = true;
-                else
-                    self->start();
-                // A whole request without a body, where the test wants it answered by itself.
-                if (!self->reply.empty() && self->has("\r\n\r\n")) {
-                    self->drop();
-                    self->say(self->reply);
-                }
-            });
+        socket.async_read_some(asio::buffer(chunk_), [self = shared_from_this()](
+                                                         const boost::system::error_code& error,
+                                                         std::size_t count) { self->onRead(error, count); });
     }
+    /// Starts to write; the text need not outlive the call.
     void say(std::string text) {
         const auto held = std::make_shared<std::string>(std::move(text));
         asio::async_write(socket, asio::buffer(*held), [held, self = shared_from_this()](auto, auto) {});
@@ -51,22 +44,52 @@
         boost::system::error_code ignored;
         socket.close(ignored);
     }
+    /// Closes so that the other end sees a reset.
     void reset() {
         boost::system::error_code ignored;
         socket.set_option(asio::socket_base::linger(true, 0), ignored);
         close();
     }
     bool has(std::string_view text) const { return got.find(text) != std::string::npos; }
-    // Forgets what came up to and with the text; for requests after the first on a connection.
+    /// Forgets what came so far, before the next message on the connection.
     void drop() { got.clear(); }
+
     tcp::socket socket;
-    std::array<char, 4096> chunk{};
-    std::string got, reply;
-    bool ended = false;
+    std::string got;
+    std::string reply;   ///< unless empty: the answer to each request without a body
+    bool ended = false;  ///< closed by the other end, reset, or closed here
+
+private:
+    void onRead(const boost::system::error_code& error, std::size_t count) {
+        got.append(chunk_.data(), count);
+        if (error)
+            ended = true;
+        else
+            start();
+        if (reply.empty() || !has("\r\n\r\n")) return;
+        drop();
+        say(reply);
+    }
+
+    std::array<char, 4096> chunk_{};
 };
 using WirePtr = std::shared_ptr<Wire>;
 
-// A server that does nothing by itself: the test answers on its connections.
+/// Reads from a connected socket from now on.
+inline WirePtr startWire(tcp::socket socket) {
+    auto wire = std::make_shared<Wire>(std::move(socket));
+    wire->start();
+    return wire;
+}
+
+/// Connects to a server that listens already, and reads from then on.
+inline WirePtr connectWire(asio::io_context& io, const tcp::endpoint& server) {
+    tcp::socket socket(io);
+    socket.connect(server);
+    return startWire(std::move(socket));
+}
+
+/// A server that answers nothing by itself: the test does, on its connections.
 struct StandIn {
     explicit StandIn(asio::io_context& io, const std::string& address = "127.0.0.1", std::uint16_t port = 0)
         : acceptor(io, tcp::endpoint(asio::ip::make_address(address), port)) {
@@ -75,8 +98,7 @@
     void accept() {
         acceptor.async_accept([this](const boost::system::error_code& error, tcp::socket socket) {
             if (error) return;
-            wires.push_back(std::make_shared<Wire>(std::move(socket)));
-            wires.back()->start();
+            wires.push_back(startWire(std::move(socket)));
             if (greets) greets(*wires.back());
             accept();
         });
@@ -85,35 +107,34 @@
         const auto bound = acceptor.local_endpoint();
         return {bound.address().to_string(), bound.port()};
     }
+
     tcp::acceptor acceptor;
-    std::deque<WirePtr> wires;
-    std::function<void(Wire&)> greets;
+    std::deque<WirePtr> wires;          ///< all connections that it accepted, the latest one last
+    std::function<void(Wire&)> greets;  ///< unless empty: called with each new connection
 };
 
-// Runs the loop until it is so; a test that waits in vain fails after this bound and does not hang.
-inline void runUntil(asio::io_context& io, const std::function<bool()>& so,
+/// Runs the loop until the condition holds. A test that waits in vain fails after 15 s and does not hang.
+/// \param what names the condition in the failure
+inline void runUntil(asio::io_context& io, const std::function<bool()>& condition,
                      const char* what = "what the test waits for") {
-    const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(15);
-    while (!so() && std::chrono::steady_clock::now() < end)
+    constexpr std::chrono::seconds kPatience{15};
+    const auto end = std::chrono::steady_clock::now() + kPatience;
+    while (!condition() && std::chrono::steady_clock::now() < end)
         io.run_one_for(std::chrono::milliseconds(50));
-    REQUIRE_MESSAGE(so(), std::string(what));
+    REQUIRE_MESSAGE(condition(), std::string(what));
 }
 
-inline config::Config baseConfig() {
-    return config::parseConfig(
-        config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json"));
-}
-
-// The stand-in for discovery answers no watch by itself: none is missed while a test runs.
+/// Nothing answers watches unless a test does: none may time out while a test runs.
 constexpr net::WatchTiming kLongWatches{std::chrono::seconds(60), std::chrono::seconds(1),
                                         std::chrono::seconds(1)};
 
-// A whole front but for the process: everything that main.cpp wires, on this loop.
+/// A whole front but for its process: the parts that src/app wires, with one server for each node, and one
+/// for discovery.
 struct Rig {
-    explicit Rig(config::Config c = baseConfig(), std::size_t nodeCount = 1, std::size_t mostClients = 64,
+    explicit Rig(config::Config base = testConfig(), std::size_t nodeCount = 1, std::size_t mostClients = 64,
                  std::size_t ring = net::kMostRing, net::WatchTiming watches = kLongWatches)
         : discoveryServer(io),
-          config(prepare(std::move(c), nodeCount)),
+          config(prepare(std::move(base), nodeCount)),
           engine(io, config, logger),
           pool(io, {64, std::chrono::microseconds(config.connectTimeoutUs), std::chrono::seconds(15), ring}),
           rsyncPool(io, {16, std::chrono::microseconds(config.connectTimeoutUs), std::chrono::seconds(0)}),
@@ -131,24 +152,26 @@
     }
     ~Rig() {
         engine.stop();
-        front.sessionManager().closeListener(), front.sessionManager().stop();
-        rsync.sessionManager().closeListener(), rsync.sessionManager().stop();
-        discovery.stop(), peers.stop(), pool.clear(), rsyncPool.clear();
-    }
-    void until(const std::function<bool()>& so, const char* what = "what the test waits for") {
-        runUntil(io, so, what);
+        for (auto* const sessionManager : {&front.sessionManager(), &rsync.sessionManager()}) {
+            sessionManager->closeListener();
+            sessionManager->stop();
+        }
+        discovery.stop();
+        peers.stop();
+        pool.clear();
+        rsyncPool.clear();
     }
-    WirePtr connect(const config::Endpoint& to) {
-        tcp::socket socket(io);
-        socket.connect(net::tcpEndpoint(to));
-        const auto wire = std::make_shared<Wire>(std::move(socket));
-        wire->start();
-        return wire;
+    Rig(const Rig&) = delete;
+    Rig& operator=(const Rig&) = delete;
+
+    void until(const std::function<bool()>& condition, const char* what = "what the test waits for") {
+        runUntil(io, condition, what);
     }
+    WirePtr connect(const config::Endpoint& to) { return connectWire(io, net::tcpEndpoint(to)); }
     WirePtr client() { return connect(front.sessionManager().address()); }
     WirePtr rsyncClient() { return connect(rsync.sessionManager().address()); }
     StandIn& node(std::size_t i = 0) { return *nodes.at(i); }
-    // The connection on which a node got this text, once it has.
+    /// The connection on which a node got this text, once it has.
     WirePtr nodeHas(std::string_view text, std::size_t i = 0) {
         WirePtr found;
         until([&] {
@@ -158,48 +181,63 @@
         });
         return found;
     }
-    // Discovery answers the watch that is open with a change of one node's state.
+    /// Answers the open watch with a change of one node's state, and waits until the front has read it.
+    /// \param id "s-" and the node's index
     void tellState(const std::string& id, const std::string& state) {
         until(
             [&] { return !discoveryServer.wires.empty() && discoveryServer.wires.back()->has("\r\n\r\n"); });
         const auto& wire = discoveryServer.wires.back();
         wire->drop();
-        const auto& at = nodes.at(std::size_t(id.back() - '0'))->address();
+        const int index = id.back() - '0';
+        const auto address = node(static_cast<std::size_t>(index)).address();
         const auto body = fmt::format(
-            R"({{"generation":{},"reset":false,"instances":[{{"instanceId":"{}","hostPort":"{}:{}","zone":"z","cell":{},"lifecycle":"{}","weight":1.0,"startedAtMs":0}}]}})",
-            ++generation, id, at.host, at.port, id.back() - '0', state);
+            R"({{"generation":{},"reset":false,"instances":[{{"instanceId":"{}","hostPort":"{}:{}",)"
+            R"("zone":"z","cell":{},"lifecycle":"{}","weight":1.0,"startedAtMs":0}}]}})",
+            ++generation, id, address.host, address.port, index, state);
         const auto answers = discovery.counters().answers;
         wire->say(fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(), body));
         until([&] { return discovery.counters().answers > answers; });
     }
-    std::uint64_t outcomes(Outcome o) const { return engine.counters().outcomes[std::size_t(o)]; }
+    std::uint64_t outcomes(Outcome outcome) const {
+        return engine.counters().outcomes[static_cast<std::size_t>(outcome)];
+    }
 
-    config::Config prepare(config::Config c, std::size_t nodeCount) {
-        c.discovery = discoveryServer.address();
+    /// Starts the nodes' servers, and names them and discovery's in the configuration. Node "s-0" is of cell
+    /// 0 and so on.
+    config::Config prepare(config::Config prepared, std::size_t nodeCount) {
+        prepared.discovery = discoveryServer.address();
+        auto& known = prepared.cachedEndpoints;
         for (std::size_t i = 0; i < nodeCount; ++i) {
             nodes.push_back(std::make_unique<StandIn>(io));
-            c.cachedEndpoints.list.nodes.push_back(
+            known.list.nodes.push_back(
                 {fmt::format("s-{}", i), "z", CellIndex::ofPosition(i), 1, NodeState::Ready, 0});
-            c.cachedEndpoints.addresses.push_back(nodes.back()->address());
+            known.addresses.push_back(nodes.back()->address());
         }
-        return c;
+        return prepared;
     }
+    /// Modules for pulls and pushes, one with a short deadline, one that is read-only, and one whose
+    /// transfers are large.
     static config::RsyncFront rsyncConfig() {
-        config::RsyncModule m;
-        m.name = "manuales";
-        m.comment = "bundles";
-        m.nodeModule = "bodega";
-        m.volume = "00000000000000aa";
-        m.plan = PlanIndex(0);
-        m.pullClass = ClassIndex(0);
-        m.pushClass = ClassIndex(1);
-        m.units = 2;
-        m.deadlineUs = 2'000'000;
-        auto quick = m, large = m, readOnly = m;
-        quick.name = "breve", quick.deadlineUs = 600'000;
-        readOnly.name = "lectura", readOnly.pushClass = ClassIndex();
-        large.name = "grande", large.units = 6;
-        return {{"127.0.0.1", 0}, 0, "", {m, quick, readOnly, large}};
+        config::RsyncModule usual;
+        usual.name = "manuales";
+        usual.comment = "bundles";
+        usual.nodeModule = "bodega";
+        usual.volume = "00000000000000aa";
+        usual.plan = PlanIndex(0);
+        usual.pullClass = ClassIndex(0);
+        usual.pushClass = ClassIndex(1);
+        usual.units = 2;
+        usual.deadlineUs = 2'000'000;
+        auto quick = usual;
+        quick.name = "breve";
+        quick.deadlineUs = 600'000;
+        auto readOnly = usual;
+        readOnly.name = "lectura";
+        readOnly.pushClass = ClassIndex();
+        auto large = usual;
+        large.name = "grande";
+        large.units = 6;
+        return {{"127.0.0.1", 0}, 0, "", {usual, quick, readOnly, large}};
     }
 
     asio::io_context io;
@@ -209,18 +247,26 @@
     std::int64_t generation = 1;
     config::Config config;
     net::Engine engine;
-    net::NodePool pool, rsyncPool;
+    net::NodePool pool;
+    net::NodePool rsyncPool;
     net::Discovery discovery;
     net::Peers peers;
     http::Front front;
     rsync::Front rsync;
 };
 
+/// A request of a client of the platform; class "lectura" is idempotent, "alta" has idempotency keys.
 struct Ask {
-    std::string id = "9b1f03aa5c7e2d41", kind = "lectura", tier = "prioritario", volume = "00000003b4d60021",
-                body = "";
-    int deadlineMs = 1500, shard = 0;
+    std::string id = "9b1f03aa5c7e2d41";
+    std::string kind = "lectura";
+    std::string tier = "prioritario";
+    std::string volume = "00000003b4d60021";
+    std::string body{};
+    int deadlineMs = 1500;
+    int shard = 0;
     double units = 2;
+
+    /// The HTTP message: a PUT with a key for "alta", else a GET.
     std::string text() const {
         return fmt::format(
             "{} /api?x=1 HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: {}\r\nReq-Kind: {}\r\nTier: {}\r\n"
@@ -230,17 +276,22 @@
             kind == "alta" ? "Idempotency-Key: k-1\r\n" : "", volume, units, shard, body);
     }
 };
+
+/// A 200 of a node.
+/// \param fields complete lines, besides Content-Length
 inline std::string ok(std::string_view body, std::string_view fields = "") {
     return fmt::format("HTTP/1.1 200 OK\r\n{}Content-Length: {}\r\n\r\n{}", fields, body.size(), body);
 }
+/// A response of a node without a body.
+/// \param fields complete lines, besides Content-Length
 inline std::string status(int code, std::string_view fields = "") {
     return fmt::format("HTTP/1.1 {} x\r\n{}Content-Length: 0\r\n\r\n", code, fields);
 }
 
-// Spends the store of a limited volume through the platform's front, and keeps account of what the limit
-// allows.
+/// Spends the burst of a limited volume through the platform's front, and keeps account of what the limit
+/// allows.
 struct Spending {
-    static constexpr double kUnits = 6;
+    static constexpr double kUnits = 6;  ///< of each request
     static Ask ask(int i) {
         return {
             .id = fmt::format("{:016x}", i), .tier = "basico", .volume = "00000000000000aa", .units = kUnits};
@@ -255,6 +306,7 @@
             units += kUnits;
         }
     }
+    /// Units that the limit allows since the first request, burst and slack included.
     double allowed() const {
         const auto& plan = rig.config.settings.plans[0];
         const std::chrono::duration<double> seconds = std::chrono::steady_clock::now() - since;
@@ -262,7 +314,7 @@
     }
     Rig& rig;
     std::chrono::steady_clock::time_point since;
-    double units = 0;
+    double units = 0;  ///< spent so far
 };
 
 }  // namespace wingproxy::test
--- a/tests/support/process_support.h
+++ b/tests/support/process_support.h
@@ -1,5 +1,6 @@
-// Whole processes of the front in tests: a listening socket of the test's as descriptor 7, one folder for
-// all.
+/// \file
+/// Whole processes of one front in tests. They inherit the test's listening socket and share one folder for
+/// their configuration, their locks and their logs.
 #pragma once
 
 #include <fcntl.h>
@@ -9,112 +10,124 @@
 
 #include <boost/asio/ip/udp.hpp>
 #include <csignal>
-#include <filesystem>
 #include <fstream>
 
 #include "support/net_support.h"
+#include "support/temporary_folder.h"
 
 namespace wingproxy::test {
 
-// A port for a process that starts later, over TCP and UDP: below those that the system gives by itself,
-// which any connection of a test that runs beside this one may take meanwhile, and another one for each test
-// process.
+/// The name of the configuration file in a process's folder.
+inline const std::string kConfigFile = "config.json";
+
+/// A port of 127.0.0.1 that is free over TCP and UDP, for a process that starts later.
+///
+/// It is below the system's ephemeral ports, which any connection of a test that runs beside this one may
+/// take meanwhile, and each test process begins at another one.
 inline std::uint16_t freePort(asio::io_context& io) {
-    constexpr int kFirst = 20'000, kMany = 12'000, kForEach = 64;
-    static int next = getpid() * kForEach % kMany;
-    for (int tries = 0; tries < kMany; ++tries) {
-        const auto port = std::uint16_t(kFirst + next++ % kMany);
-        const auto address = asio::ip::make_address("127.0.0.1");
-        boost::system::error_code taken;
+    constexpr int kFirst = 20'000;
+    constexpr int kCount = 12'000;
+    constexpr int kPerProcess = 64;
+    static int next = getpid() * kPerProcess % kCount;
+    const auto address = asio::ip::make_address("127.0.0.1");
+    for (int tries = 0; tries < kCount; ++tries) {
+        const auto port = static_cast<std::uint16_t>(kFirst + next++ % kCount);
+        boost::system::error_code error;
         tcp::acceptor stream(io, tcp::v4());
         asio::ip::udp::socket datagrams(io, asio::ip::udp::v4());
-        stream.bind({address, port}, taken);
-        if (!taken) datagrams.bind({address, port}, taken);
-        if (!taken) return port;
+        stream.bind({address, port}, error);
+        if (!error) datagrams.bind({address, port}, error);
+        if (!error) return port;
     }
     FAIL("no free port");
     return 0;
 }
 
-struct Process {
-    Process(const std::filesystem::path& folder, int index, int listening, std::uint16_t mgmt)
-        : log(folder / fmt::format("log{}", index)), mgmt{"127.0.0.1", mgmt} {
-        std::vector<std::string> environment{"PROXY_CONFIG=" + (folder / "config.json").string(),
-                                             "TMPDIR=" + folder.string(), "PROXY_FD=7",
-                                             fmt::format("PROXY_MGMT=127.0.0.1:{}", mgmt)};
-        std::vector<char*> env;
-        for (auto& e : environment)
-            env.push_back(e.data());
-        env.push_back(nullptr);
+/// A running front. It is killed, unless it has ended, when this object is destroyed.
+class Process {
+public:
+    /// \param folder has the configuration; the process writes its files and its log there
+    /// \param index number of the process in the folder
+    /// \param listening a socket that already listens for clients
+    /// \param adminPort where operators' requests are served
+    Process(const TemporaryFolder& folder, int index, int listening, std::uint16_t adminPort)
+        : log(folder.file(fmt::format("log{}", index))), mgmt{"127.0.0.1", adminPort} {
+        std::vector<std::string> environment{
+            "PROXY_CONFIG=" + folder.file(kConfigFile), "TMPDIR=" + folder.path(),
+            fmt::format("PROXY_FD={}", kInheritedFd), fmt::format("PROXY_MGMT=127.0.0.1:{}", adminPort)};
+        std::vector<char*> environmentPointers;
+        for (auto& variable : environment)
+            environmentPointers.push_back(variable.data());
+        environmentPointers.push_back(nullptr);
         std::string binary = WINGPROXY_BINARY;
-        char* arguments[] = {binary.data(), nullptr};
+        std::array<char*, 2> arguments{binary.data(), nullptr};
         posix_spawn_file_actions_t files;
         posix_spawn_file_actions_init(&files);
-        posix_spawn_file_actions_adddup2(&files, listening, 7);
-        posix_spawn_file_actions_addopen(&files, 2, log.c_str(), O_CREAT | O_WRONLY | O_TRUNC, 0600);
-        REQUIRE(posix_spawn(&pid, binary.c_str(), &files, nullptr, arguments, env.data()) == 0);
+        posix_spawn_file_actions_adddup2(&files, listening, kInheritedFd);
+        posix_spawn_file_actions_addopen(&files, STDERR_FILENO, log.c_str(), O_CREAT | O_WRONLY | O_TRUNC,
+                                         0600);
+        REQUIRE(posix_spawn(&pid, binary.c_str(), &files, nullptr, arguments.data(),
+                            environmentPointers.data()) == 0);
         posix_spawn_file_actions_destroy(&files);
     }
     ~Process() {
-        if (running()) signal(SIGKILL), waitpid(pid, nullptr, 0);
+        if (!running()) return;
+        signal(SIGKILL);
+        waitpid(pid, nullptr, 0);
     }
+    Process(const Process&) = delete;
+    Process& operator=(const Process&) = delete;
+
     void signal(int number) const { ::kill(pid, number); }
     bool running() {
         if (!ended && waitpid(pid, &status, WNOHANG) == pid) ended = true;
         return !ended;
     }
-    bool said(std::string_view text) const {
-        std::ifstream in(log);
-        return std::string(std::istreambuf_iterator<char>(in), {}).find(text) != std::string::npos;
+    /// Whether the text occurs in the process's log.
+    bool said(std::string_view text) const { return readLog().find(text) != std::string::npos; }
+    std::string readLog() const {
+        std::ifstream file(log);
+        return {std::istreambuf_iterator<char>(file), {}};
     }
-    std::filesystem::path log;
-    config::Endpoint mgmt;
+
+    const std::string log;  ///< path of its log
+    const config::Endpoint mgmt;
     pid_t pid = -1;
-    int status = 0;
+    int status = 0;  ///< as waitpid() reports it, once the process has ended
     bool ended = false;
+
+private:
+    static constexpr int kInheritedFd = 7;
 };
 
-// A platform that upgrades: it holds the clients' socket, and a stand-in node answers by itself.
+/// The platform around a front that is upgraded: it holds the clients' socket, starts processes that inherit
+/// it, and has one node, which answers if the test lets it.
 struct Platform {
-    // changes: texts of the configuration, and what stands in their place.
+    /// Texts of the configuration, and what stands in their place.
     using Changes = std::vector<std::pair<std::string, std::string>>;
     explicit Platform(int sockets = 384, const Changes& changes = {})
         : listening(rig.io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)) {
-        std::string pattern = (std::filesystem::temp_directory_path() / "wingproxy-XXXXXX").string();
-        folder = mkdtemp(pattern.data());
-        auto json = config::readFile(std::string(WINGPROXY_SOURCE) + "/tests/support/config.json");
-        const auto put = [&](const std::string& from, const std::string& to) {
-            const auto at = json.find(from);
-            REQUIRE(at != std::string::npos);
-            json.replace(at, from.size(), to);
-        };
-        put(R"("instances":[])",
-            fmt::format(
-                R"("instances":[{{"instanceId":"s-0","hostPort":"{}:{}","zone":"z","cell":0,"lifecycle":"up","weight":1.0,"startedAtMs":0}}])",
-                rig.node().address().host, rig.node().address().port));
-        put(R"("sockets":1024)", fmt::format(R"("sockets":{})", sockets));
-        put(R"("127.0.0.1:0")", fmt::format(R"("127.0.0.1:{}")", listening.local_endpoint().port()));
+        auto json = withKnownNode(testConfigText(), rig.node().address());
+        json = replaced(json, R"("sockets":1024)", fmt::format(R"("sockets":{})", sockets));
+        json = withClientPort(json, listening.local_endpoint().port());
         for (const auto& [from, to] : changes)
-            put(from, to);
-        std::ofstream(folder / "config.json") << json;
-    }
-    ~Platform() {
-        processes.clear();
-        std::filesystem::remove_all(folder);
+            json = replaced(json, from, to);
+        folder.write(kConfigFile, json);
     }
     Process& start() {
-        processes.push_back(std::make_unique<Process>(folder, int(processes.size()),
-                                                      listening.native_handle(), freePort(rig.io)));
+        const int index = static_cast<int>(processes.size());
+        processes.push_back(
+            std::make_unique<Process>(folder, index, listening.native_handle(), freePort(rig.io)));
         return *processes.back();
     }
-    // What a process answers to a call; empty where it cannot be reached.
+    /// What a process answers to an HTTP message at its operators' interface; empty if it cannot be reached.
     std::string call(const Process& to, const std::string& text) {
         tcp::socket socket(rig.io);
         boost::system::error_code error;
         socket.connect(net::tcpEndpoint(to.mgmt), error);
         if (error) return "";
-        const auto wire = std::make_shared<Wire>(std::move(socket));
-        wire->start(), wire->say(text);
+        const auto wire = startWire(std::move(socket));
+        wire->say(text);
         rig.until([&] { return wire->ended; }, text.c_str());
         return wire->got;
     }
@@ -122,35 +135,32 @@
         return call(to,
                     fmt::format("POST {} HTTP/1.1\r\nContent-Length: {}\r\n\r\n{}", path, body.size(), body));
     }
-    void untilReady(const Process& p) {
-        rig.until([&] { return call(p, "GET /_ready HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200 "); },
-                  "yes");
+    void untilReady(const Process& process) {
+        const auto isReady = [&] {
+            return call(process, "GET /_ready HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200 ");
+        };
+        rig.until(isReady, "the process is ready");
     }
     Process& startReady() {
-        auto& p = start();
-        untilReady(p);
-        return p;
+        auto& process = start();
+        untilReady(process);
+        return process;
     }
-    void untilSaid(const Process& p, const char* text) {
-        rig.until([&] { return p.said(text); }, text);
+    void untilSaid(const Process& process, const char* text) {
+        rig.until([&] { return process.said(text); }, text);
     }
-    WirePtr client() {
-        tcp::socket socket(rig.io);
-        socket.connect(listening.local_endpoint());
-        const auto wire = std::make_shared<Wire>(std::move(socket));
-        wire->start();
-        return wire;
-    }
-    // One request on a connection, which has its 200 in the end.
+    WirePtr client() { return connectWire(rig.io, listening.local_endpoint()); }
+    /// Sends one request on a connection and waits until it has its 200.
     void serve(const WirePtr& client, const std::string& id) {
         client->drop();
         client->say(Ask{.id = id}.text());
         rig.until([&] { return client->has("\r\n\r\nx"); }, id.c_str());
         CHECK(client->has("HTTP/1.1 200 "));
     }
+
     Rig rig;
     tcp::acceptor listening;
-    std::filesystem::path folder;
+    TemporaryFolder folder;  // outlives the processes
     std::vector<std::unique_ptr<Process>> processes;
 };
 
