--- a/tests/golden/golden_file.h
+++ b/tests/golden/golden_file.h
@@ -1,12 +1,13 @@
-// Golden files: text that an earlier version of the program produced, and that every later one must produce
-// again byte for byte. The tests compare. They write the files anew when the environment variable
-// WINGPROXY_WRITE_GOLDEN is 1, which is right only after an intended change of behaviour:
-//
-//     WINGPROXY_WRITE_GOLDEN=1 build-tests/wingproxy_tests --gtest_filter='Golden*'
-//     WINGPROXY_WRITE_GOLDEN=1 build-tests/wingproxy_front_tests --test-case='golden*'
-//
-// The module computes with doubles and calls exp, exp2 and log2. -O0 and -O2 give the same results on x86-64.
-// A compiler that contracts a*b+c into one operation, or another C library, may give others.
+/// \file
+/// Golden files: text that an earlier version of the program produced, and that every later one must produce
+/// again byte for byte. The tests compare. They write the files anew when the environment variable
+/// WINGPROXY_WRITE_GOLDEN is 1, which is right only after an intended change of behaviour:
+///
+///     WINGPROXY_WRITE_GOLDEN=1 build-tests/wingproxy_tests --gtest_filter='Golden*'
+///     WINGPROXY_WRITE_GOLDEN=1 build-tests/wingproxy_front_tests --test-case='golden*'
+///
+/// The policy computes with doubles and calls exp, exp2 and log2. -O0 and -O2 give the same results on
+/// x86-64. A compiler that contracts a*b+c into one operation, or another C library, may give others.
 #pragma once
 
 #include <algorithm>
@@ -44,8 +45,9 @@
 class RunningHash {
 public:
     void add(std::string_view bytes) {
+        constexpr std::uint64_t kPrime = 1099511628211ULL;
         for (const unsigned char byte : bytes)
-            value_ = (value_ ^ byte) * 1099511628211ull;
+            value_ = (value_ ^ byte) * kPrime;
     }
     std::string hex() const {
         std::ostringstream text;
@@ -54,14 +56,17 @@
     }
 
 private:
-    std::uint64_t value_ = 1469598103934665603ull;
+    static constexpr std::uint64_t kOffset = 1469598103934665603ULL;
+    std::uint64_t value_ = kOffset;
 };
 
+/// Whether the files are to be written anew.
 inline bool writesGoldenFiles() {
     const char* const value = std::getenv("WINGPROXY_WRITE_GOLDEN");
     return value != nullptr && std::string_view(value) == "1";
 }
 
+/// Two lower-case hexadecimal digits for each byte.
 inline std::string hexOf(const std::string& bytes) {
     constexpr std::string_view kDigits = "0123456789abcdef";
     std::string text;
@@ -72,6 +77,8 @@
     return text;
 }
 
+/// The bytes that hexOf() wrote.
+/// \throws std::invalid_argument if there is anything but hexadecimal digits
 inline std::string bytesOfHex(const std::string& text) {
     std::string bytes;
     for (std::size_t i = 0; i + 1 < text.size(); i += 2)
@@ -79,8 +86,10 @@
     return bytes;
 }
 
+/// \param name below tests/golden
 inline std::string goldenPath(const std::string& name) { return std::string(WINGPROXY_GOLDEN) + "/" + name; }
 
+/// The content of a golden file; empty if there is none.
 inline std::string readGoldenFile(const std::string& name) {
     std::ifstream in(goldenPath(name), std::ios::binary);
     return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
@@ -91,8 +100,8 @@
     out.write(bytes.data(), static_cast<std::streamsize>(bytes.size()));
 }
 
-/// Compares the lines with the golden file, or writes it. Returns an empty text where they are the same, else
-/// the first line that differs.
+/// Compares the lines with the golden file, or writes it.
+/// \return an empty text if they are the same, else the first line that differs
 inline std::string differenceFromGoldenFile(const std::string& name, const std::vector<std::string>& lines) {
     if (writesGoldenFiles()) {
         std::string text;
--- a/tests/golden/golden_stored_data_test.cpp
+++ b/tests/golden/golden_stored_data_test.cpp
@@ -196,8 +196,10 @@
 /// A host with many nodes in cell 0, which has run for so long that it lends and borrows.
 struct LongRunningHost : Host {
     LongRunningHost() : Host(settings(0, kHosts), kBegin) {
+        constexpr int kNodes = 30;
         std::vector<NodeInfo> list;
-        for (int i = 0; i < 30; ++i)
+        list.reserve(kNodes);
+        for (int i = 0; i < kNodes; ++i)
             list.push_back(node(std::string("n").append(std::to_string(i)), 0));
         batch({nodes(list)});
         runTo(kLendingStart);
@@ -319,7 +321,7 @@
         host.runTo(kLendingStart + 100 * kMs);
         std::vector<AnyEvent> burst;
         for (RequestId id = 2; id < 40; ++id)
-            burst.push_back(request(id, 0, 0, host.now, 2, 0, kHosts));
+            burst.emplace_back(request(id, 0, 0, host.now, 2, 0, kHosts));
         const auto actions = host.batch(burst);
         const auto asks = ofType<peer::LeaseRequest>(recordsTo(2, actions));
         CHECK(asks.size() == (heardOfMember ? 1 : 0));
--- a/tests/golden/golden_trace_test.cpp
+++ b/tests/golden/golden_trace_test.cpp
@@ -18,57 +18,55 @@
 constexpr Micros kSecond = 1'000'000;
 
 /// Clusters that differ in what is scarce or absent. All other settings have their defaults.
-std::vector<SimulationSettings> scenarios() {
-    return {
-        {.name = "four_hosts", .seed = 20261201, .duration = 64 * kSecond},
-        {.name = "ten_hosts_list_on_request",
-         .seed = 7,
-         .hosts = 10,
-         .duration = 24 * kSecond,
-         .mayCheckHealth = false,
-         .hasRetryBudget = false,
-         .pollsEndpointList = true},
-        {.name = "one_host_without_cancel",
-         .seed = 11,
-         .hosts = 1,
-         .duration = 30 * kSecond,
-         .mayCancel = false,
-         .arrivalGap = 6 * kMs},
-        // Nodes so slow that a queue of any length is too long: the shares of the volumes are contended.
-        {.name = "two_hosts_slow_nodes",
-         .seed = 5,
-         .hosts = 2,
-         .duration = 30 * kSecond,
-         .arrivalGap = 8 * kMs,
-         .serviceTime = 40 * kMs,
-         .quietVolumes = 120},
-        // Nodes with room for many requests at once, and classes without a latency objective.
-        {.name = "one_host_without_aims",
-         .seed = 3,
-         .hosts = 1,
-         .duration = 16 * kSecond,
-         .arrivalGap = 2 * kMs,
-         .serviceTime = 50 * kMs,
-         .serviceJitterPercent = 3,
-         .lanes = 60,
-         .newObjectPercent = 100,
-         .classesHaveObjectives = false},
-        // Only new objects and little load: a cell whose nodes failed is avoided until that is forgotten.
-        {.name = "one_host_new_objects",
-         .seed = 17,
-         .hosts = 1,
-         .duration = 12 * kSecond,
-         .arrivalGap = 8 * kMs,
-         .newObjectPercent = 100},
-        // So many volumes that gossip about them takes several datagrams.
-        {.name = "two_hosts_many_volumes",
-         .seed = 23,
-         .hosts = 2,
-         .duration = 5 * kSecond,
-         .arrivalGap = 800,
-         .quietVolumes = 400},
-    };
-}
+const std::vector<SimulationSettings> kScenarios{
+    {.name = "four_hosts", .seed = 20261201, .duration = 64 * kSecond},
+    {.name = "ten_hosts_list_on_request",
+     .seed = 7,
+     .hosts = 10,
+     .duration = 24 * kSecond,
+     .mayCheckHealth = false,
+     .hasRetryBudget = false,
+     .pollsEndpointList = true},
+    {.name = "one_host_without_cancel",
+     .seed = 11,
+     .hosts = 1,
+     .duration = 30 * kSecond,
+     .mayCancel = false,
+     .arrivalGap = 6 * kMs},
+    // Nodes so slow that a queue of any length is too long: the shares of the volumes are contended.
+    {.name = "two_hosts_slow_nodes",
+     .seed = 5,
+     .hosts = 2,
+     .duration = 30 * kSecond,
+     .arrivalGap = 8 * kMs,
+     .serviceTime = 40 * kMs,
+     .quietVolumes = 120},
+    // Nodes with room for many requests at once, and classes without a latency objective.
+    {.name = "one_host_without_aims",
+     .seed = 3,
+     .hosts = 1,
+     .duration = 16 * kSecond,
+     .arrivalGap = 2 * kMs,
+     .serviceTime = 50 * kMs,
+     .serviceJitterPercent = 3,
+     .lanes = 60,
+     .newObjectPercent = 100,
+     .classesHaveObjectives = false},
+    // Only new objects and little load: a cell whose nodes failed is avoided until that is forgotten.
+    {.name = "one_host_new_objects",
+     .seed = 17,
+     .hosts = 1,
+     .duration = 12 * kSecond,
+     .arrivalGap = 8 * kMs,
+     .newObjectPercent = 100},
+    // So many volumes that gossip about them takes several datagrams.
+    {.name = "two_hosts_many_volumes",
+     .seed = 23,
+     .hosts = 2,
+     .duration = 5 * kSecond,
+     .arrivalGap = 800,
+     .quietVolumes = 400},
+};
 
 /// One line for every hundred batches, then what occurred how often.
 std::vector<std::string> trace(const SimulationSettings& settings) {
@@ -97,7 +95,7 @@
 
 TEST(GoldenTrace, RepliesAreThoseOfTheVersionThatWroteTheFile) {
     std::vector<std::string> lines;
-    for (const auto& settings : scenarios())
+    for (const auto& settings : kScenarios)
         for (const auto& line : trace(settings))
             lines.push_back(line);
     EXPECT_EQ(differenceFromGoldenFile("golden_trace.txt", lines), "");
--- a/tests/golden/wire_simulation.cpp
+++ b/tests/golden/wire_simulation.cpp
@@ -78,6 +78,12 @@
 }
 std::string field(const std::string& key, const std::string& value) { return " " + key + "=" + value; }
 
+/// \param target as the wire names it: a host's number, or "*" for all but the sender
+bool isReceiver(int host, int sender, const std::string& target) {
+    if (host == sender) return false;
+    return target == "*" || std::stoi(target) == host;
+}
+
 }  // namespace
 
 ReplyLine::ReplyLine(std::string_view text) {
@@ -548,7 +554,7 @@
 void WireSimulation::passPeerMessage(int host, const ReplyLine& action) {
     const std::string target = action.fields.at("to");
     for (int to = 0; to < settings_.hosts; ++to) {
-        if (to == host || (target != "*" && std::stoi(target) != to)) continue;
+        if (!isReceiver(to, host, target)) continue;
         if (partitioned_ || random_.chance(4)) continue;
         std::string bytes;
         if (!wire::decodeBase64(action.fields.at("raw"), bytes)) throw std::runtime_error("not base64");
--- a/tests/support/process_support.h
+++ b/tests/support/process_support.h
@@ -56,6 +56,7 @@
             "PROXY_CONFIG=" + folder.file(kConfigFile), "TMPDIR=" + folder.path(),
             fmt::format("PROXY_FD={}", kInheritedFd), fmt::format("PROXY_MGMT=127.0.0.1:{}", adminPort)};
         std::vector<char*> environmentPointers;
+        environmentPointers.reserve(environment.size() + 1);
         for (auto& variable : environment)
             environmentPointers.push_back(variable.data());
         environmentPointers.push_back(nullptr);
