--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <utility>
 
-#include "net/http_step.h"
+#include "net/message_reader.h"
 
 namespace wingproxy::admin {
 namespace {
@@ -47,25 +47,25 @@
         parser_.body_limit(kMaxBodyBytes);
     }
 
-    bool idle() const override { return !responded_; }
+    bool isIdle() const override { return !responded_; }
 
-    void sweep() override {
+    void enforceTimeouts() override {
         const auto age = Clock::now() - phaseStart_;
-        if (!open() || age < (responded_ ? kCloseTimeout : kRequestTimeout)) return;
+        if (!isOpen() || age < (responded_ ? kCloseTimeout : kRequestTimeout)) return;
         if (!responded_) ++server_.counters_.timedOut;
         close();
     }
 
 protected:
-    void received() override {
+    void onReceived() override {
         if (responded_) return in_.clear();
         boost::system::error_code error;
-        while (in_.size() > 0 && !parser_.is_done() && net::step(parser_, in_, error)) {}
+        while (in_.size() > 0 && !parser_.is_done() && net::parseAvailable(parser_, in_, error)) {}
         if (error) return reject({statusOf(error), fmt::format("{}\n", error.message()), ""});
         if (parser_.is_done()) handle(parser_.get());
     }
 
-    void sent() override { linger(); }
+    void onOutputSent() override { startLingeringClose(); }
 
 private:
     void handle(const http::request<http::string_body>& message) {
@@ -99,6 +99,6 @@
           [this](net::SessionManager& sessionManager, boost::asio::ip::tcp::socket socket) {
               return std::make_shared<Connection>(*this, sessionManager, std::move(socket));
           },
-          net::kLeastRing) {}
+          net::kMinRingBytes) {}
 
 }  // namespace wingproxy::admin
--- a/src/app/hot_restart_coordinator.h
+++ b/src/app/hot_restart_coordinator.h
@@ -13,7 +13,7 @@
 #include "http/front.h"
 #include "log/log.h"
 #include "net/engine.h"
-#include "net/peers.h"
+#include "net/peer_transport.h"
 
 namespace wingproxy::app {
 
@@ -23,7 +23,7 @@
     /// The parts whose state passes between the processes. They and the logger outlive the coordinator.
     struct Parts {
         net::Engine& engine;
-        net::Peers& peers;
+        net::PeerTransport& peers;
         http::Front& front;
     };
     /// Called on the thread of the event loop.
--- a/src/app/metrics_report.cpp
+++ b/src/app/metrics_report.cpp
@@ -29,7 +29,8 @@
 }  // namespace
 
 ConnectionMetrics connectionMetrics(const net::SessionManager& sessions) {
-    return {sessions.accepted(), sessions.connections(), sessions.closedIdle(), sessions.detectHangUp()};
+    return {sessions.accepted(), sessions.activeConnections(), sessions.evictions(),
+            sessions.detectedDisconnects()};
 }
 
 MetricGroup describeRequests(const core::Counters& counters, std::uint64_t openRequests) {
@@ -101,7 +102,7 @@
     return {"nodes", {{"connections", pool.open}, {"opened", pool.opened}, {"reused", pool.reused}}};
 }
 
-MetricGroup describeDiscovery(const net::Discovery::Counters& counters) {
+MetricGroup describeDiscovery(const net::DiscoveryClient::Counters& counters) {
     return {"discovery",
             {{"calls", counters.calls},
              {"answers", counters.answers},
@@ -154,7 +155,7 @@
     return {"reloads", {{"done", counters.applied}, {"bad", counters.rejected}}};
 }
 
-MetricGroup describePeers(const net::Peers::Counters& counters) {
+MetricGroup describePeers(const net::PeerTransport::Counters& counters) {
     return {"peers",
             {{"sent", counters.sent},
              {"received", counters.received},
--- a/src/app/metrics_report.h
+++ b/src/app/metrics_report.h
@@ -16,9 +16,9 @@
 #include "fleet/restart_recovery.h"
 #include "hot_restart/hot_restart.h"
 #include "http/front.h"
-#include "net/discovery.h"
+#include "net/discovery_client.h"
 #include "net/node_pool.h"
-#include "net/peers.h"
+#include "net/peer_transport.h"
 #include "rsync/front.h"
 
 namespace wingproxy::app {
@@ -78,7 +78,7 @@
 /// The line "nodes": connections of the HTTP front to nodes.
 [[nodiscard]] MetricGroup describeNodePool(const NodePoolMetrics& pool);
 /// The line "discovery": requests for the endpoint list, by result.
-[[nodiscard]] MetricGroup describeDiscovery(const net::Discovery::Counters& counters);
+[[nodiscard]] MetricGroup describeDiscovery(const net::DiscoveryClient::Counters& counters);
 /// The line "tables": sizes, which must not grow over the day.
 [[nodiscard]] MetricGroup describeTables(const TableMetrics& tables);
 /// The line "admin": operators' requests, by result.
@@ -92,7 +92,7 @@
 /// The line "reloads": reads of the configuration on SIGHUP, by result.
 [[nodiscard]] MetricGroup describeReloads(const ConfigReload::Counters& counters);
 /// The line "peers": datagrams between the hosts.
-[[nodiscard]] MetricGroup describePeers(const net::Peers::Counters& counters);
+[[nodiscard]] MetricGroup describePeers(const net::PeerTransport::Counters& counters);
 
 /// "counters GROUP: NAME=VALUE NAME=VALUE ..."
 [[nodiscard]] std::string formatLine(const MetricGroup& group);
--- a/src/app/metrics_snapshot.h
+++ b/src/app/metrics_snapshot.h
@@ -9,10 +9,10 @@
 #include "app/metrics_report.h"
 #include "hot_restart/hot_restart.h"
 #include "http/front.h"
-#include "net/discovery.h"
+#include "net/discovery_client.h"
 #include "net/engine.h"
 #include "net/node_pool.h"
-#include "net/peers.h"
+#include "net/peer_transport.h"
 #include "rsync/front.h"
 
 namespace wingproxy::app {
@@ -23,11 +23,11 @@
     http::Front& http;
     rsync::Front* rsync;  ///< null: not configured
     const net::NodePool& httpNodes;
-    const net::Discovery& discovery;
+    const net::DiscoveryClient& discovery;
     admin::AdminServer* admin;                  ///< null: not configured
     const hot_restart::HotRestart* hotRestart;  ///< null: not enabled
     const ConfigReload& reload;
-    const net::Peers& peers;
+    const net::PeerTransport& peers;
 };
 
 /// The counters of each part that there is, in the order of the log lines.
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -185,7 +185,7 @@
 }
 
 void Proxy::applyConfig(const config::Config& fresh) {
-    discovery_.moveTo(fresh.discovery);
+    discovery_.setAddress(fresh.discovery);
     peers_.setPeers(fresh);
     configuredDescriptors_ = fresh.maxDescriptors;
     redistribute();
@@ -196,7 +196,7 @@
 health::GatewayStatus Proxy::gatewayStatus() {
     const auto& sessions = front_.sessionManager();
     const double usedCapacity =
-        static_cast<double>(sessions.connections()) / static_cast<double>(sessions.capacity());
+        static_cast<double>(sessions.activeConnections()) / static_cast<double>(sessions.capacity());
     return {engine_.nodeCount() > 0, shutdown_.scheduled(), usedCapacity};
 }
 
@@ -296,7 +296,7 @@
     io_.stop();
 }
 
-std::size_t Proxy::activeClients() { return front_.sessionManager().connections(); }
+std::size_t Proxy::activeClients() { return front_.sessionManager().activeConnections(); }
 
 std::size_t Proxy::allConnections() {
     const std::size_t rsyncConnections = rsync_ ? rsync_->sessionManager().sessionCount() : 0;
--- a/src/app/proxy.h
+++ b/src/app/proxy.h
@@ -22,9 +22,9 @@
 #include "hot_restart/hot_restart.h"
 #include "http/front.h"
 #include "log/log.h"
-#include "net/discovery.h"
+#include "net/discovery_client.h"
 #include "net/node_pool.h"
-#include "net/peers.h"
+#include "net/peer_transport.h"
 #include "rsync/front.h"
 
 namespace wingproxy::app {
@@ -102,8 +102,8 @@
     net::Engine engine_;
     net::NodePool httpPool_;
     net::NodePool rsyncPool_;
-    net::Discovery discovery_;
-    net::Peers peers_;
+    net::DiscoveryClient discovery_;
+    net::PeerTransport peers_;
     http::Front front_;
     std::unique_ptr<rsync::Front> rsync_;                ///< where the operator's file has it
     std::unique_ptr<net::SessionManager> healthHttp_;    ///< where the operator's file has it
--- a/src/app/resource_budget.cpp
+++ b/src/app/resource_budget.cpp
@@ -29,7 +29,7 @@
     budget.httpClients = connections * 3 / 5 - budget.rsyncClients;
     budget.httpNodes = connections * 2 / 5 - budget.rsyncNodes;
     const std::size_t ringMemory = static_cast<std::size_t>(limits.memoryMb) * 1024 * 1024 / 4;
-    budget.ringBytes = std::clamp(ringMemory / (2 * connections), net::kLeastRing, net::kMostRing);
+    budget.ringBytes = std::clamp(ringMemory / (2 * connections), net::kMinRingBytes, net::kMaxRingBytes);
     return budget;
 }
 
--- a/src/health/check_listeners.cpp
+++ b/src/health/check_listeners.cpp
@@ -21,11 +21,11 @@
     AgentSession(net::SessionManager& sessionManager, tcp::socket socket, StatusSource source)
         : Session(sessionManager, std::move(socket)), source_(std::move(source)) {}
     void start() override { send(renderAgentLine(source_())); }
-    bool idle() const override { return false; }
+    bool isIdle() const override { return false; }
 
 protected:
-    void received() override { in_.clear(); }
-    void sent() override { linger(); }
+    void onReceived() override { in_.clear(); }
+    void onOutputSent() override { startLingeringClose(); }
 
 private:
     StatusSource source_;
@@ -36,16 +36,16 @@
 public:
     HttpSession(net::SessionManager& sessionManager, tcp::socket socket, StatusSource source)
         : Session(sessionManager, std::move(socket)), source_(std::move(source)) {}
-    bool idle() const override { return !responded_; }
+    bool isIdle() const override { return !responded_; }
 
 protected:
-    void received() override {
+    void onReceived() override {
         std::string line;
-        while (in_.line(line))
+        while (in_.readLine(line))
             handleLine(line);
-        if (in_.space() == 0) close();
+        if (in_.freeSpace() == 0) close();
     }
-    void sent() override { linger(); }
+    void onOutputSent() override { startLingeringClose(); }
 
 private:
     void handleLine(const std::string& line) {
--- a/src/http/buffered_body.h
+++ b/src/http/buffered_body.h
@@ -16,15 +16,15 @@
 class BufferedBody {
 public:
     /// The reservation is given back when the last byte is consumed, or with this object.
-    void setReservation(net::ByteBudget::Hold reservation) { reservation_ = std::move(reservation); }
+    void setReservation(net::ByteBudget::Reservation reservation) { reservation_ = std::move(reservation); }
     bool hasReservation() const { return reservation_ != nullptr; }
-    net::ByteBudget::Hold releaseReservation() { return std::exchange(reservation_, nullptr); }
+    net::ByteBudget::Reservation releaseReservation() { return std::exchange(reservation_, nullptr); }
 
     /// Appends what has arrived, until the body is longer than may be buffered.
-    /// \param reader net::MessageReader or net::AnswerReader, past the head
+    /// \param reader net::MessageReader or net::ResponseReader, past the head
     template <typename Reader>
     void readFrom(Reader& reader, net::RingBuffer& in, boost::system::error_code& error) {
-        reader.append(in, bytes_, kMaxBufferedBody, error);
+        reader.appendBody(in, bytes_, kMaxBufferedBody, error);
     }
 
     bool empty() const { return bytes_.empty(); }
@@ -43,7 +43,7 @@
 
 private:
     std::string bytes_;
-    net::ByteBudget::Hold reservation_;
+    net::ByteBudget::Reservation reservation_;
 };
 
 }  // namespace wingproxy::http
--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -45,7 +45,7 @@
     reader_.reset();
 }
 
-void ClientConnection::received() {
+void ClientConnection::onReceived() {
     lastReceivedAt_ = Clock::now();
     if (phase_ == Phase::ReceivingRequest) {
         if (!reader_.hasParsedAny()) phaseStartedAt_ = lastReceivedAt_;
@@ -55,7 +55,7 @@
         if (phase_ == Phase::AwaitingResponse || isStreaming()) discardPipelined();
         return;
     }
-    if (drained_) bufferEmptiedAt_ = context_.engine().now();
+    if (readDrainedSocket_) bufferEmptiedAt_ = context_.engine().now();
     if (phase_ == Phase::SendingResponse) {
         in_.clear();  // the response did not wait for the rest of the body
     } else if (onBody_) {
@@ -64,20 +64,20 @@
     }
 }
 
-void ClientConnection::disconnected() {
+void ClientConnection::onDisconnected() {
     if (phase_ == Phase::AwaitingResponse) context_.onRequestNoLongerWaiting();
     if (phase_ == Phase::AwaitingResponse || isStreaming()) context_.engine().clientDisconnected(requestId_);
 }
 
-void ClientConnection::progressed() {
+void ClientConnection::onWriteProgress() {
     if (phase_ == Phase::SendingResponse) phaseStartedAt_ = Clock::now();
 }
 
-void ClientConnection::sent() {
+void ClientConnection::onOutputSent() {
     if (phase_ != Phase::SendingResponse || isStreaming()) return;  // that was "100 Continue", or a piece
     if (!keepAlive_) {
-        if (bodyIncomplete_) return linger(kUnreadBodyLinger);
-        return linger();
+        if (bodyIncomplete_) return startLingeringClose(kUnreadBodyLinger);
+        return startLingeringClose();
     }
     awaitNextRequest();
     markActive();
@@ -115,7 +115,7 @@
         return false;
     }
     const bool isLong = reader_.announcesLongBody();
-    if (!isLong && !reader_.reserveBody(context_.engine().bodies())) {
+    if (!isLong && !reader_.reserveBody(context_.engine().bodyBudget())) {
         reject(rejectForMemory(context_.engine().settings()));
         return false;
     }
@@ -162,7 +162,7 @@
     auto pending = std::make_shared<PendingRequest>(context_, self(), std::move(message), streamed,
                                                     std::move(reservation));
     requestId_ = context_.engine().submit(std::move(parsed.request), std::move(pending));
-    context_.keepConnectionsFree(sessionManager_.connections());
+    context_.keepConnectionsFree(sessionManager_.activeConnections());
 }
 
 Micros ClientConnection::deadline() const {
@@ -170,13 +170,13 @@
 }
 
 std::size_t ClientConnection::consumeBody(char* to, std::size_t capacity) {
-    if (!open() || phase_ != Phase::AwaitingResponse) return 0;
+    if (!isOpen() || phase_ != Phase::AwaitingResponse) return 0;
     sendContinue();
     const bool wasBuffered = !reader_.body().empty();
     boost::system::error_code error;
     const auto count = reader_.consumeBody(to, capacity, error);
     if (wasBuffered) return count;
-    const bool stuck = count == 0 && in_.space() == 0 && !reader_.isComplete();
+    const bool stuck = count == 0 && in_.freeSpace() == 0 && !reader_.isComplete();
     if (error || stuck) {
         // Not from within: the attempt that consumes the body ends with the request.
         boost::asio::post(sessionManager_.io(), [self = self()] { self->onBodyUnreadable(); });
@@ -194,7 +194,7 @@
 }
 
 void ClientConnection::onBodyUnreadable() {
-    if (!open() || phase_ != Phase::AwaitingResponse) return;
+    if (!isOpen() || phase_ != Phase::AwaitingResponse) return;
     context_.engine().clientDisconnected(requestId_);
     reject(rejectUnreadableBody());
 }
@@ -237,8 +237,8 @@
 }
 
 void ClientConnection::respond(int status, std::string_view fields, std::string_view body,
-                               net::ByteBudget::Hold reservation) {
-    if (!open()) return;
+                               net::ByteBudget::Reservation reservation) {
+    if (!isOpen()) return;
     if (isStreaming()) return abortStreaming();
     if (bodyIncomplete_) keepAlive_ = false;
     onBody_ = nullptr;
@@ -256,19 +256,19 @@
 }
 
 void ClientConnection::startStreaming(const StreamedHead& head, BodySource source) {
-    if (!open() || phase_ != Phase::AwaitingResponse) return;
+    if (!isOpen() || phase_ != Phase::AwaitingResponse) return;
     leaveAwaitingResponse();
     stream_.emplace(head, std::move(source), isHttp10_);
     if (closesAfterResponse() || stream_->framing() == ResponseFraming::UntilClose) keepAlive_ = false;
     send(stream_->serializeHead(keepAlive_));
-    feed([this](net::RingBuffer& out) { stream_->fill(out); });
+    setOutputSource([this](net::RingBuffer& out) { stream_->fill(out); });
 }
 
 void ClientConnection::completeStreaming() {
-    if (!open() || !isStreaming()) return;
+    if (!isOpen() || !isStreaming()) return;
     stream_->end();
     ++context_.counters().ok;
-    endFeed();
+    clearOutputSource();
     if (!stream_->trailer().empty()) send(std::string(stream_->trailer()));
 }
 
@@ -286,7 +286,7 @@
     }
 }
 
-bool ClientConnection::idle() const {
+bool ClientConnection::isIdle() const {
     if (phase_ != Phase::ReceivingRequest) return false;
     return !reader_.hasBegun() || sinceLastByte() > kPartialRequestIdle;
 }
@@ -301,7 +301,7 @@
     if (reader_.hasBegun())
         reject(rejectPartialRequest(context_.engine().settings()));
     else
-        linger();
+        startLingeringClose();
 }
 
 void ClientConnection::evict() {
@@ -309,53 +309,53 @@
     close();
 }
 
-void ClientConnection::sweep() {
-    if (!open()) return;
+void ClientConnection::enforceTimeouts() {
+    if (!isOpen()) return;
     switch (phase_) {
         case Phase::ReceivingRequest:
-            return sweepReceivingRequest();
+            return enforceRequestTimeouts();
         case Phase::AwaitingResponse:
-            return sweepAwaitingResponse();
+            return enforceBodyTimeout();
         case Phase::SendingResponse:
-            return sweepSendingResponse();
+            return enforceSendTimeout();
     }
 }
 
-void ClientConnection::sweepReceivingRequest() {
+void ClientConnection::enforceRequestTimeouts() {
     if (reader_.hasBegun()) {
         if (isRequestOverdue(phaseAge(), sinceLastByte(), reader_.body().size()))
             reject(rejectOverdueRequest());
         return;
     }
-    if (unread() > 0 || phaseAge() <= idleTimeout(hasSentRequest_, isCrowded())) return;
+    if (unreadBytes() > 0 || phaseAge() <= idleTimeout(hasSentRequest_, isCrowded())) return;
     ++context_.counters().silent;
-    linger();
+    startLingeringClose();
 }
 
 // The request is the engine's to end, but for a client that stopped sending its body.
-void ClientConnection::sweepAwaitingResponse() {
-    if (!bodyIncomplete_ || in_.space() == 0 || sinceLastByte() < kStalledClientTimeout) return;
+void ClientConnection::enforceBodyTimeout() {
+    if (!bodyIncomplete_ || in_.freeSpace() == 0 || sinceLastByte() < kStalledClientTimeout) return;
     context_.engine().clientDisconnected(requestId_);
     reject(rejectStalledBody());
 }
 
-void ClientConnection::sweepSendingResponse() {
+void ClientConnection::enforceSendTimeout() {
     if (phaseAge() <= kStalledClientTimeout) return;
     ++context_.counters().unread;
-    disconnected();
+    onDisconnected();
     close();
 }
 
 // While the program stops no new connection could be opened, so that none is closed for being one of many.
 bool ClientConnection::isCrowded() const {
     return !context_.hasResponseDeadline() &&
-           http::isCrowded(sessionManager_.connections(), sessionManager_.capacity());
+           http::isCrowded(sessionManager_.activeConnections(), sessionManager_.capacity());
 }
 
 bool ClientConnection::closesAfterResponse() const {
     if (context_.isDraining()) return true;
     return !context_.hasResponseDeadline() &&
-           isHalfFull(sessionManager_.connections(), sessionManager_.capacity());
+           isHalfFull(sessionManager_.activeConnections(), sessionManager_.capacity());
 }
 
 }  // namespace wingproxy::http
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <optional>
 
-#include "http/downstream.h"
+#include "http/client_stream.h"
 #include "http/front_context.h"
 #include "http/messages.h"
 #include "http/request_parser.h"
@@ -27,17 +27,17 @@
 /// | ReceivingRequest | connecting, or a sent response | a complete head, or an error |
 /// | AwaitingResponse | a valid request | a response, or the client's leaving |
 /// | SendingResponse | the first byte of a response | its last byte: the next request, or the close |
-class ClientConnection : public net::Session, public Downstream {
+class ClientConnection : public net::Session, public ClientStream {
 public:
     /// \param context has to outlive the connection
     ClientConnection(FrontContext& context, net::SessionManager& sessionManager,
                      boost::asio::ip::tcp::socket socket);
 
-    bool idle() const override;
+    bool isIdle() const override;
     /// First a connection that never sent a request, unless it is new; then one that did; then one with a
     /// partial request.
     int evictionPriority() const override;
-    void sweep() override;
+    void enforceTimeouts() override;
     /// A request of which a part has arrived is rejected, as its rest would be lost.
     void closeGracefully() override;
     void evict() override;
@@ -46,16 +46,16 @@
     bool isBodyConsumed() const override { return !bodyIncomplete_ && reader_.body().empty(); }
     void awaitBody(std::function<void()> onBody) override { onBody_ = std::move(onBody); }
     void startStreaming(const StreamedHead& head, BodySource source) override;
-    void resumeStreaming() override { resumeFeed(); }
+    void resumeStreaming() override { resumeOutput(); }
     void completeStreaming() override;
     void respond(int status, std::string_view fields, std::string_view body,
-                 net::ByteBudget::Hold reservation = nullptr) override;
+                 net::ByteBudget::Reservation reservation = nullptr) override;
 
 protected:
-    void received() override;
-    void disconnected() override;
-    void progressed() override;
-    void sent() override;
+    void onReceived() override;
+    void onDisconnected() override;
+    void onWriteProgress() override;
+    void onOutputSent() override;
 
 private:
     using Clock = std::chrono::steady_clock;
@@ -82,9 +82,9 @@
     void abortStreaming();
 
     // Limits of time and connections.
-    void sweepAwaitingResponse();
-    void sweepSendingResponse();
-    void sweepReceivingRequest();
+    void enforceBodyTimeout();
+    void enforceSendTimeout();
+    void enforceRequestTimeouts();
     bool isCrowded() const;
     bool closesAfterResponse() const;
     Clock::duration phaseAge() const { return Clock::now() - phaseStartedAt_; }
@@ -110,7 +110,7 @@
     Micros bufferEmptiedAt_ = 0;        // engine's clock; the body's last byte had not been sent before
     Micros responseTimeoutUs_ = 0;      // from the body's last byte
     std::function<void()> onBody_;
-    net::ByteBudget::Hold responseReservation_;
+    net::ByteBudget::Reservation responseReservation_;
 };
 
 }  // namespace wingproxy::http
--- a/src/http/downstream.h
+++ b/src/http/client_stream.h
@@ -13,7 +13,7 @@
 namespace wingproxy::http {
 
 /// The client side of one request. All calls are made on the event loop.
-class Downstream {
+class ClientStream {
 public:
     /// The part of a streamed response's head that reaches the client.
     struct StreamedHead {
@@ -23,7 +23,7 @@
     /// Moves up to `capacity` bytes to `to`; returns their number, 0 if none has arrived.
     using BodySource = std::function<std::size_t(char* to, std::size_t capacity)>;
 
-    virtual ~Downstream() = default;
+    virtual ~ClientStream() = default;
 
     /// Moves request body bytes that have arrived to `to`. No other attempt can send them after that.
     virtual std::size_t consumeBody(char* to, std::size_t capacity) = 0;
@@ -43,7 +43,7 @@
     /// \param fields header lines, each with its line end
     /// \param reservation the body's share of the memory budget, given back when the client has taken it
     virtual void respond(int status, std::string_view fields, std::string_view body,
-                         net::ByteBudget::Hold reservation = nullptr) = 0;
+                         net::ByteBudget::Reservation reservation = nullptr) = 0;
 };
 
 }  // namespace wingproxy::http
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -21,7 +21,7 @@
     /// \param ringBytes buffer size of each direction of a connection
     /// \param inheritedListener file descriptor of a listener from another process, or -1 to open one
     Front(net::Engine& engine, net::NodePool& pool, const config::Endpoint& listen, std::size_t maxClients,
-          std::size_t ringBytes = net::kMostRing, int inheritedListener = -1);
+          std::size_t ringBytes = net::kMaxRingBytes, int inheritedListener = -1);
 
     /// From now on every response closes its connection.
     void startDraining() { context_.startDraining(); }
--- a/src/http/health_check.cpp
+++ b/src/http/health_check.cpp
@@ -9,7 +9,7 @@
 
 #include "http/messages.h"
 #include "http/node_response.h"
-#include "net/exchange.h"
+#include "net/http_exchange.h"
 
 namespace wingproxy::http {
 namespace {
@@ -33,7 +33,7 @@
         timer_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
             if (!error) self->complete(Outcome::Timeout, {});
         });
-        ticket_ =
+        acquisition_ =
             pool_.acquire(address_, [self = shared_from_this()](std::shared_ptr<net::Connection> connection) {
                 if (connection)
                     self->sendRequest(std::move(connection));
@@ -46,17 +46,17 @@
     void sendRequest(std::shared_ptr<net::Connection> connection) {
         auto request =
             fmt::format("GET /metrics/load HTTP/1.1\r\nHost: {}:{}\r\n\r\n", address_.host, address_.port);
-        exchange_ = std::make_shared<net::Exchange>(
+        exchange_ = std::make_shared<net::HttpExchange>(
             std::move(connection), std::move(request), kMaxBufferedBody,
-            [self = shared_from_this()](net::Exchange::Result result, const ResponseMessage& response) {
+            [self = shared_from_this()](net::HttpExchange::Result result, const ResponseMessage& response) {
                 self->onResponse(result, response);
             });
         exchange_->start();
     }
 
-    void onResponse(net::Exchange::Result result, const ResponseMessage& response) {
-        if (result != net::Exchange::Result::Answered) return complete(Outcome::Reset, {});
-        if (auto connection = exchange_->reusable()) pool_.release(std::move(connection));
+    void onResponse(net::HttpExchange::Result result, const ResponseMessage& response) {
+        if (result != net::HttpExchange::Result::Completed) return complete(Outcome::Reset, {});
+        if (auto connection = exchange_->takeReusableConnection()) pool_.release(std::move(connection));
         const bool isOk = response.result() == boost::beast::http::status::ok;
         complete(isOk ? Outcome::Ok : Outcome::Error, parseLoadReport(response.body(), engine_.settings()));
     }
@@ -64,8 +64,8 @@
     void complete(Outcome outcome, std::vector<double> report) {
         if (std::exchange(completed_, true)) return;
         timer_.cancel();
-        ticket_ = nullptr;
-        if (exchange_) exchange_->abandon();
+        acquisition_ = nullptr;
+        if (exchange_) exchange_->cancel();
         exchange_ = nullptr;
         engine_.healthCheckCompleted({node_, outcome, engine_.now() - startedAt_, std::move(report)});
     }
@@ -76,8 +76,8 @@
     config::Endpoint address_;
     Micros startedAt_;
     boost::asio::steady_timer timer_;
-    std::shared_ptr<net::NodePool::Ticket> ticket_;
-    std::shared_ptr<net::Exchange> exchange_;
+    std::shared_ptr<net::NodePool::Acquisition> acquisition_;
+    std::shared_ptr<net::HttpExchange> exchange_;
     bool completed_ = false;
 };
 
--- a/src/http/pending_request.cpp
+++ b/src/http/pending_request.cpp
@@ -6,13 +6,13 @@
 
 #include "http/field_values.h"
 #include "http/message_writer.h"
-#include "http/node_attempt.h"
+#include "http/request_attempt.h"
 
 namespace wingproxy::http {
 
-PendingRequest::PendingRequest(FrontContext& context, std::weak_ptr<Downstream> client,
+PendingRequest::PendingRequest(FrontContext& context, std::weak_ptr<ClientStream> client,
                                std::shared_ptr<const RequestMessage> message,
-                               std::optional<BodyFraming> streamed, net::ByteBudget::Hold reservation)
+                               std::optional<BodyFraming> streamed, net::ByteBudget::Reservation reservation)
     : context_(context),
       client_(std::move(client)),
       message_(std::move(message)),
@@ -23,24 +23,24 @@
 
 PendingRequest::~PendingRequest() { context_.requestIds().remove(requestId()); }
 
-std::shared_ptr<net::Attempt> PendingRequest::start(const net::AttemptParams& params) {
+std::shared_ptr<net::Attempt> PendingRequest::startAttempt(const net::AttemptParams& params) {
     // The engine drops the attempts of a request before the request itself, so `this` outlives the callback.
     auto onResponse = [this](AttemptIndex attempt, ResponseMessage response,
-                             net::ByteBudget::Hold reservation) {
+                             net::ByteBudget::Reservation reservation) {
         keepResponse(attempt, std::move(response), std::move(reservation));
     };
-    auto attempt = std::make_shared<NodeAttempt>(context_.engine(), context_.pool(), params, message_,
-                                                 streamed_, client_, std::move(onResponse));
+    auto attempt = std::make_shared<RequestAttempt>(context_.engine(), context_.pool(), params, message_,
+                                                    streamed_, client_, std::move(onResponse));
     attempt->start();
     return attempt;
 }
 
 void PendingRequest::keepResponse(AttemptIndex attempt, ResponseMessage response,
-                                  net::ByteBudget::Hold reservation) {
+                                  net::ByteBudget::Reservation reservation) {
     responses_[attempt] = {std::move(response), std::move(reservation)};
 }
 
-void PendingRequest::deliver(AttemptIndex attempt) {
+void PendingRequest::deliverResponse(AttemptIndex attempt) {
     const auto found = responses_.find(attempt);
     if (found == responses_.end()) {  // it was streamed
         if (const auto client = client_.lock()) client->completeStreaming();
@@ -53,14 +53,14 @@
     respond(200, fields, body, std::move(response.reservation));
 }
 
-void PendingRequest::refuse(Micros retryAfterUs) {
+void PendingRequest::sendRejection(Micros retryAfterUs) {
     respond(503, retryAfterField(context_.engine().settings(), retryAfterUs), "");
 }
 
-void PendingRequest::fail() { respond(500, "", ""); }
+void PendingRequest::sendFailure() { respond(500, "", ""); }
 
 void PendingRequest::respond(int status, std::string_view fields, std::string_view body,
-                             net::ByteBudget::Hold reservation) {
+                             net::ByteBudget::Reservation reservation) {
     if (const auto client = client_.lock()) client->respond(status, fields, body, std::move(reservation));
 }
 
--- a/src/http/pending_request.h
+++ b/src/http/pending_request.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <string>
 
-#include "http/downstream.h"
+#include "http/client_stream.h"
 #include "http/front_context.h"
 #include "http/messages.h"
 #include "net/engine.h"
@@ -15,39 +15,40 @@
 namespace wingproxy::http {
 
 /// Owned by the engine until the request and all of its attempts have ended. Its client may be gone before.
-class PendingRequest : public net::Transfer {
+class PendingRequest : public net::RequestHandler {
 public:
     /// \param context has to outlive the request
     /// \param streamed the framing of a body that is not part of `message`
     /// \param reservation the memory budget's share of the body in `message`
-    PendingRequest(FrontContext& context, std::weak_ptr<Downstream> client,
+    PendingRequest(FrontContext& context, std::weak_ptr<ClientStream> client,
                    std::shared_ptr<const RequestMessage> message, std::optional<BodyFraming> streamed,
-                   net::ByteBudget::Hold reservation);
+                   net::ByteBudget::Reservation reservation);
     ~PendingRequest() override;
 
-    std::shared_ptr<net::Attempt> start(const net::AttemptParams& params) override;
-    void deliver(AttemptIndex attempt) override;
-    void refuse(Micros retryAfterUs) override;
-    void fail() override;
+    std::shared_ptr<net::Attempt> startAttempt(const net::AttemptParams& params) override;
+    void deliverResponse(AttemptIndex attempt) override;
+    void sendRejection(Micros retryAfterUs) override;
+    void sendFailure() override;
 
     /// Keeps the complete response of an attempt until the engine delivers one. Streamed responses are not
     /// kept.
-    void keepResponse(AttemptIndex attempt, ResponseMessage response, net::ByteBudget::Hold reservation);
+    void keepResponse(AttemptIndex attempt, ResponseMessage response,
+                      net::ByteBudget::Reservation reservation);
 
 private:
     struct BufferedResponse {
         ResponseMessage message;
-        net::ByteBudget::Hold reservation;
+        net::ByteBudget::Reservation reservation;
     };
     std::string requestId() const { return std::string((*message_)["Req-Id"]); }
     void respond(int status, std::string_view fields, std::string_view body,
-                 net::ByteBudget::Hold reservation = nullptr);
+                 net::ByteBudget::Reservation reservation = nullptr);
 
     FrontContext& context_;
-    std::weak_ptr<Downstream> client_;
+    std::weak_ptr<ClientStream> client_;
     std::shared_ptr<const RequestMessage> message_;
     std::optional<BodyFraming> streamed_;
-    net::ByteBudget::Hold reservation_;
+    net::ByteBudget::Reservation reservation_;
     std::map<AttemptIndex, BufferedResponse> responses_;
 };
 
--- a/src/http/node_attempt.cpp
+++ b/src/http/request_attempt.cpp
@@ -1,4 +1,4 @@
-#include "http/node_attempt.h"
+#include "http/request_attempt.h"
 
 #include <fmt/format.h>
 
@@ -7,7 +7,7 @@
 
 #include "http/message_writer.h"
 #include "http/node_response.h"
-#include "net/exchange.h"
+#include "net/http_exchange.h"
 
 namespace wingproxy::http {
 namespace {
@@ -23,9 +23,10 @@
 
 }  // namespace
 
-NodeAttempt::NodeAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptParams& params,
-                         std::shared_ptr<const RequestMessage> message, std::optional<BodyFraming> streamed,
-                         std::weak_ptr<Downstream> client, OnResponse onResponse)
+RequestAttempt::RequestAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptParams& params,
+                               std::shared_ptr<const RequestMessage> message,
+                               std::optional<BodyFraming> streamed, std::weak_ptr<ClientStream> client,
+                               OnResponse onResponse)
     : net::NodeAttempt(engine, pool, params),
       message_(std::move(message)),
       streamed_(streamed),
@@ -33,68 +34,72 @@
       onResponse_(std::move(onResponse)),
       stallTimer_(engine.io()) {}
 
-void NodeAttempt::late(std::shared_ptr<net::Connection> connection) { pool_.release(std::move(connection)); }
+void RequestAttempt::onConnectedTooLate(std::shared_ptr<net::Connection> connection) {
+    pool_.release(std::move(connection));
+}
 
-void NodeAttempt::connected(std::shared_ptr<net::Connection> connection) {
+void RequestAttempt::onConnected(std::shared_ptr<net::Connection> connection) {
     connection_ = std::move(connection);
-    const auto host = fmt::format("{}:{}", order_.node.host, order_.node.port);
-    const auto remainingUs = order_.timeoutAt - engine_.now();
+    const auto host = fmt::format("{}:{}", params_.node.host, params_.node.port);
+    const auto remainingUs = params_.timeoutAt - engine_.now();
     requestText_ = serializeNodeRequest(*message_, host, remainingUs, streamed_ ? &*streamed_ : nullptr);
     bodyQueued_ = !streamed_;
     reader_.emplace(connection_->in, kMaxBody);
     write();
     // The response to a buffered request is read once it is sent; a streamed one may be answered before.
-    if (streamed_ && !over_) read();
+    if (streamed_ && !ended_) read();
 }
 
-void NodeAttempt::fillSendBuffer() {
-    requestTextQueued_ += connection_->out.put(std::string_view(requestText_).substr(requestTextQueued_));
+void RequestAttempt::fillSendBuffer() {
+    requestTextQueued_ += connection_->out.append(std::string_view(requestText_).substr(requestTextQueued_));
     if (requestTextQueued_ < requestText_.size()) return;
     std::string().swap(requestText_);  // frees its memory
     requestTextQueued_ = 0;
     const auto client = client_.lock();
-    while (!bodyQueued_ && client && connection_->out.space() > net::kFrame)
+    while (!bodyQueued_ && client && connection_->out.freeSpace() > net::kMaxChunkOverhead)
         if (!queueBodyPiece(*client)) return;
 }
 
 // False: no more can be queued now.
-bool NodeAttempt::queueBodyPiece(Downstream& client) {
+bool RequestAttempt::queueBodyPiece(ClientStream& client) {
     auto& out = connection_->out;
     char piece[16 * 1024];
-    const auto count = client.consumeBody(piece, std::min(sizeof piece, out.space() - net::kFrame));
-    if (over_) return false;
+    const auto count =
+        client.consumeBody(piece, std::min(sizeof piece, out.freeSpace() - net::kMaxChunkOverhead));
+    if (ended_) return false;
     if (count > 0) {
         bodyConsumed_ = true;
-        net::putPiece(out, {piece, count}, streamed_->chunked);
+        net::appendBodyPiece(out, {piece, count}, streamed_->chunked);
     }
     if (client.isBodyConsumed()) {
-        if (out.space() < net::kFrame) return false;  // the last chunk follows when a part is written
-        if (streamed_->chunked) out.put(kLastChunk);
+        if (out.freeSpace() < net::kMaxChunkOverhead)
+            return false;  // the last chunk follows when a part is written
+        if (streamed_->chunked) out.append(kLastChunk);
         bodyQueued_ = true;
         return false;
     }
     if (count > 0) return true;
     client.awaitBody([weak = weak_from_this()] {
-        if (const auto attempt = weak.lock()) static_cast<NodeAttempt&>(*attempt).write();
+        if (const auto attempt = weak.lock()) static_cast<RequestAttempt&>(*attempt).write();
     });
     return false;
 }
 
-void NodeAttempt::write() {
-    if (over_ || writing_ || requestSent_) return;
+void RequestAttempt::write() {
+    if (ended_ || writing_ || requestSent_) return;
     fillSendBuffer();
-    if (over_) return;
+    if (ended_) return;
     auto& out = connection_->out;
     if (out.size() == 0) {
         if (bodyQueued_) onRequestSent();
         return;  // otherwise the client has to send more of the body
     }
-    if (engine_.now() > order_.lastByteBy) return fail();  // the rest would be past the idempotency window
+    if (engine_.now() > params_.lastByteBy) return fail();  // the rest would be past the idempotency window
     writing_ = true;
     connection_->socket.async_write_some(
         out.data(), [self = self()](const boost::system::error_code& error, std::size_t count) {
             self->writing_ = false;
-            if (self->over_) return;
+            if (self->ended_) return;
             self->connection_->out.consume(count);
             if (error)
                 self->fail();
@@ -103,19 +108,20 @@
         });
 }
 
-void NodeAttempt::onRequestSent() {
+void RequestAttempt::onRequestSent() {
     requestSent_ = true;
-    engine_.attemptRequestSent(order_.id, order_.attempt);
+    engine_.attemptRequestSent(params_.id, params_.attempt);
     read();
 }
 
-void NodeAttempt::read() {
-    if (over_ || reading_ || nodeClosed_ || connection_->in.space() == 0) return;
+void RequestAttempt::read() {
+    if (ended_ || reading_ || nodeClosed_ || connection_->in.freeSpace() == 0) return;
     reading_ = true;
     connection_->socket.async_read_some(
-        connection_->in.room(), [self = self()](const boost::system::error_code& error, std::size_t count) {
+        connection_->in.prepare(),
+        [self = self()](const boost::system::error_code& error, std::size_t count) {
             self->reading_ = false;
-            if (self->over_) return;
+            if (self->ended_) return;
             self->connection_->in.commit(count);
             self->stallTimer_.cancel();
             if (error && error != boost::asio::error::eof) return self->fail();
@@ -124,67 +130,67 @@
         });
 }
 
-void NodeAttempt::processReceived() {
+void RequestAttempt::processReceived() {
     boost::system::error_code error;
-    if (!headReceived_ && reader_->head(connection_->in, error)) {
+    if (!headReceived_ && reader_->readHead(connection_->in, error)) {
         processHead();
-        if (over_ || streaming_) return;
+        if (ended_ || streaming_) return;
     }
     if (headReceived_ && !streaming_) readBufferedBody(error);
-    if (over_) return;
+    if (ended_) return;
     if (!streaming_) return processBufferedBody(error);
     if (const auto client = client_.lock()) client->resumeStreaming();
 }
 
 // Chooses between streaming and buffering by the announced length.
-void NodeAttempt::processHead() {
+void RequestAttempt::processHead() {
     headReceived_ = true;
     const auto length = reader_->parser().content_length();
     if (isStatusOk() && requestSent_ && length && *length > kMaxBufferedBody) return startStreaming();
-    responseBody_.setReservation(net::holdBody(reader_->parser(), engine_.bodies(), kMaxBufferedBody));
+    responseBody_.setReservation(net::reserveBody(reader_->parser(), engine_.bodyBudget(), kMaxBufferedBody));
     if (!responseBody_.hasReservation()) fail();
 }
 
-void NodeAttempt::readBufferedBody(boost::system::error_code& error) {
+void RequestAttempt::readBufferedBody(boost::system::error_code& error) {
     responseBody_.readFrom(*reader_, connection_->in, error);
     if (!responseBody_.exceedsLimit()) return;
     if (isStatusOk() && requestSent_) return startStreaming();
     error = boost::beast::http::error::body_limit;
 }
 
-void NodeAttempt::processBufferedBody(boost::system::error_code error) {
-    if (!error && nodeClosed_) reader_->closed(error);
-    if (!error && reader_->done()) return finish();
-    if (error || nodeClosed_ || connection_->in.space() == 0) return fail();
+void RequestAttempt::processBufferedBody(boost::system::error_code error) {
+    if (!error && nodeClosed_) reader_->onEndOfStream(error);
+    if (!error && reader_->isComplete()) return finish();
+    if (error || nodeClosed_ || connection_->in.freeSpace() == 0) return fail();
     reportHead();
-    if (over_) return;
-    if (reader_->gotSome()) startStallTimer(stallTimeout());
+    if (ended_) return;
+    if (reader_->hasParsedAny()) startStallTimer(stallTimeout());
     read();
 }
 
 // Tells the engine once that the node has done its work: how slowly the body arrives says nothing about that.
-void NodeAttempt::reportHead() {
+void RequestAttempt::reportHead() {
     if (headReported_ || !headReceived_ || !requestSent_ || !isStatusOk()) return;
     headReported_ = true;
-    engine_.responseHeadReceived(order_.id, order_.attempt);
+    engine_.responseHeadReceived(params_.id, params_.attempt);
 }
 
-std::chrono::microseconds NodeAttempt::stallTimeout() const {
-    const std::chrono::microseconds longest = net::Exchange::kStall;
+std::chrono::microseconds RequestAttempt::stallTimeout() const {
+    const std::chrono::microseconds longest = net::HttpExchange::kStallTimeout;
     const auto objective = engine_.settings().shortestLatencyObjective();
     if (objective <= 0) return longest;
     return std::min(longest, std::chrono::microseconds(Micros(kStallShareOfObjective * double(objective))));
 }
 
-void NodeAttempt::startStallTimer(std::chrono::microseconds timeout) {
+void RequestAttempt::startStallTimer(std::chrono::microseconds timeout) {
     stallTimer_.expires_after(timeout);
     stallTimer_.async_wait([self = self(), timeout](const boost::system::error_code& cancelled) {
-        if (!cancelled && !self->over_ && self->connection_) self->onStallTimer(timeout);
+        if (!cancelled && !self->ended_ && self->connection_) self->onStallTimer(timeout);
     });
 }
 
 // Where this process was slow and not the node, the timer was set anew in this turn, or unread bytes wait.
-void NodeAttempt::onStallTimer(std::chrono::microseconds timeout) {
+void RequestAttempt::onStallTimer(std::chrono::microseconds timeout) {
     if (stallTimer_.expiry() > std::chrono::steady_clock::now()) return;
     boost::system::error_code error;
     const auto unread = connection_->socket.available(error);
@@ -195,38 +201,38 @@
 }
 
 // From now on the response is the client's: no other attempt can replace it.
-void NodeAttempt::startStreaming() {
+void RequestAttempt::startStreaming() {
     const auto client = client_.lock();
     if (!client) return fail();
     streaming_ = true;
     const auto& parser = reader_->parser();
-    Downstream::StreamedHead head;
+    ClientStream::StreamedHead head;
     head.contentType = std::string(parser.get()[boost::beast::http::field::content_type]);
     if (const auto length = parser.content_length()) head.contentLength = *length;
-    engine_.responseForwardingStarted(order_.id, order_.attempt, true);
-    if (over_) return;
+    engine_.responseForwardingStarted(params_.id, params_.attempt, true);
+    if (ended_) return;
     client->startStreaming(head, [weak = weak_from_this()](char* to, std::size_t capacity) -> std::size_t {
         const auto attempt = weak.lock();
-        return attempt ? static_cast<NodeAttempt&>(*attempt).consumeResponse(to, capacity) : 0;
+        return attempt ? static_cast<RequestAttempt&>(*attempt).consumeResponse(to, capacity) : 0;
     });
 }
 
-std::size_t NodeAttempt::consumeResponse(char* to, std::size_t capacity) {
-    if (over_) return 0;
+std::size_t RequestAttempt::consumeResponse(char* to, std::size_t capacity) {
+    if (ended_) return 0;
     if (!responseBody_.empty()) return responseBody_.consume(to, capacity);
     boost::system::error_code error;
-    const auto count = reader_->body(connection_->in, to, capacity, error);
+    const auto count = reader_->readBody(connection_->in, to, capacity, error);
     continueStreaming(count, error);
     return count;
 }
 
-void NodeAttempt::continueStreaming(std::size_t consumed, boost::system::error_code error) {
+void RequestAttempt::continueStreaming(std::size_t consumed, boost::system::error_code error) {
     const bool isBufferEmpty = connection_->in.size() == 0;
-    if (!error && nodeClosed_ && isBufferEmpty) reader_->closed(error);
+    if (!error && nodeClosed_ && isBufferEmpty) reader_->onEndOfStream(error);
     if (error) return fail();
-    if (reader_->done()) return finish();
+    if (reader_->isComplete()) return finish();
     const bool isTruncated = nodeClosed_ && consumed == 0;
-    const bool isChunkHeaderTooLong = connection_->in.space() == 0 && consumed == 0;
+    const bool isChunkHeaderTooLong = connection_->in.freeSpace() == 0 && consumed == 0;
     if (isTruncated || isChunkHeaderTooLong) return fail();
     // No read while bytes are left that a later turn takes: one under way at the end would cost the
     // connection.
@@ -234,7 +240,7 @@
     if (consumed == 0 || isBufferEmpty) read();
 }
 
-void NodeAttempt::finish() {
+void RequestAttempt::finish() {
     const auto& head = reader_->parser().get();
     core::AttemptFinished result = interpretNodeResponse(head, engine_.settings());
     // A response before the complete request was sent: the request was not served, whatever the node says,
@@ -244,26 +250,26 @@
     if (result.outcome == Outcome::Ok && !streaming_) {
         ResponseMessage response{ResponseHead(head)};
         response.body() = responseBody_.releaseBytes();
-        onResponse_(order_.attempt, std::move(response), responseBody_.releaseReservation());
+        onResponse_(params_.attempt, std::move(response), responseBody_.releaseReservation());
     }
     if (isConnectionReusable()) pool_.release(std::exchange(connection_, nullptr));
-    end(std::move(result));
+    finishAttempt(std::move(result));
 }
 
-bool NodeAttempt::isConnectionReusable() const {
+bool RequestAttempt::isConnectionReusable() const {
     const bool isQuiet = !nodeClosed_ && !reading_ && connection_->in.size() == 0;
     return requestSent_ && isQuiet && reader_->keepAlive();
 }
 
 // The connection broke, or what came on it cannot be read.
-void NodeAttempt::fail() {
+void RequestAttempt::fail() {
     core::AttemptFinished result;
     result.outcome = requestSent_ ? Outcome::Reset : Outcome::ConnectFailed;
     result.requestSpent = bodyConsumed_;
-    end(std::move(result));
+    finishAttempt(std::move(result));
 }
 
-void NodeAttempt::drop() {
+void RequestAttempt::closeConnection() {
     stallTimer_.cancel();
     boost::system::error_code ignored;
     if (connection_) connection_->socket.close(ignored);  // its buffers stay until the handlers have run
--- a/src/http/node_attempt.h
+++ b/src/http/request_attempt.h
@@ -10,35 +10,35 @@
 #include <string>
 
 #include "http/buffered_body.h"
-#include "http/downstream.h"
+#include "http/client_stream.h"
 #include "http/messages.h"
-#include "net/answer_reader.h"
 #include "net/node_attempt.h"
+#include "net/response_reader.h"
 
 namespace wingproxy::http {
 
 /// Responses of up to `kMaxBufferedBody` are buffered and can still be discarded for another attempt's;
 /// longer ones are streamed to the client, which ends the choice.
-class NodeAttempt : public net::NodeAttempt {
+class RequestAttempt : public net::NodeAttempt {
 public:
     /// Takes a complete buffered response. Called before the engine learns of its outcome Ok.
     using OnResponse = std::function<void(AttemptIndex attempt, ResponseMessage response,
-                                          net::ByteBudget::Hold reservation)>;
+                                          net::ByteBudget::Reservation reservation)>;
 
     /// \param streamed if set, the message has no body and the client streams it in this framing
-    NodeAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptParams& params,
-                std::shared_ptr<const RequestMessage> message, std::optional<BodyFraming> streamed,
-                std::weak_ptr<Downstream> client, OnResponse onResponse);
+    RequestAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptParams& params,
+                   std::shared_ptr<const RequestMessage> message, std::optional<BodyFraming> streamed,
+                   std::weak_ptr<ClientStream> client, OnResponse onResponse);
 
 private:
-    void connected(std::shared_ptr<net::Connection> connection) override;
-    void late(std::shared_ptr<net::Connection> connection) override;
-    void drop() override;
+    void onConnected(std::shared_ptr<net::Connection> connection) override;
+    void onConnectedTooLate(std::shared_ptr<net::Connection> connection) override;
+    void closeConnection() override;
 
     // Sending the request.
     void write();
     void fillSendBuffer();
-    bool queueBodyPiece(Downstream& client);
+    bool queueBodyPiece(ClientStream& client);
     void onRequestSent();
 
     // Receiving the response.
@@ -63,16 +63,18 @@
     bool isConnectionReusable() const;
     void fail();
 
-    std::shared_ptr<NodeAttempt> self() { return std::static_pointer_cast<NodeAttempt>(shared_from_this()); }
+    std::shared_ptr<RequestAttempt> self() {
+        return std::static_pointer_cast<RequestAttempt>(shared_from_this());
+    }
 
     std::shared_ptr<const RequestMessage> message_;
     std::optional<BodyFraming> streamed_;
-    std::weak_ptr<Downstream> client_;
+    std::weak_ptr<ClientStream> client_;
     OnResponse onResponse_;
     std::shared_ptr<net::Connection> connection_;
     std::string requestText_;  // of which the send buffer has not taken all
     std::size_t requestTextQueued_ = 0;
-    std::optional<net::AnswerReader> reader_;
+    std::optional<net::ResponseReader> reader_;
     BufferedBody responseBody_;
     boost::asio::steady_timer stallTimer_;
     bool bodyQueued_ = false;    // the complete request is in the send buffer
--- a/src/http/request_reader.cpp
+++ b/src/http/request_reader.cpp
@@ -24,7 +24,7 @@
 }
 
 bool RequestReader::readHead(boost::system::error_code& error) {
-    if (in_.size() == 0 || !reader_->head(in_, error)) return false;
+    if (in_.size() == 0 || !reader_->readHead(in_, error)) return false;
     headComplete_ = true;
     return true;
 }
@@ -35,7 +35,7 @@
 }
 
 bool RequestReader::reserveBody(net::ByteBudget& budget) {
-    body_.setReservation(net::holdBody(reader_->parser(), budget, kMaxBufferedBody));
+    body_.setReservation(net::reserveBody(reader_->parser(), budget, kMaxBufferedBody));
     return body_.hasReservation();
 }
 
@@ -44,8 +44,8 @@
     body_.readFrom(*reader_, in_, error);
     if (body_.exceedsLimit()) return RequestProgress::Streaming;
     if (error) return RequestProgress::Invalid;
-    if (reader_->done()) return RequestProgress::Complete;
-    if (in_.space() > 0) return RequestProgress::NeedsMore;
+    if (reader_->isComplete()) return RequestProgress::Complete;
+    if (in_.freeSpace() > 0) return RequestProgress::NeedsMore;
     error = beast::http::error::bad_chunk;  // a chunk header that is longer than the buffer
     return RequestProgress::Invalid;
 }
@@ -57,7 +57,7 @@
 
 std::size_t RequestReader::consumeBody(char* to, std::size_t capacity, boost::system::error_code& error) {
     if (!body_.empty()) return body_.consume(to, capacity);
-    return reader_->body(in_, to, capacity, error);
+    return reader_->readBody(in_, to, capacity, error);
 }
 
 }  // namespace wingproxy::http
--- a/src/http/request_reader.h
+++ b/src/http/request_reader.h
@@ -8,7 +8,7 @@
 #include "http/buffered_body.h"
 #include "http/messages.h"
 #include "net/byte_budget.h"
-#include "net/http_step.h"
+#include "net/message_reader.h"
 
 namespace wingproxy::http {
 
@@ -58,11 +58,11 @@
 
     /// Whether the announced length alone says that the body will be streamed.
     bool announcesLongBody() const;
-    bool isComplete() const { return reader_->done(); }
+    bool isComplete() const { return reader_->isComplete(); }
     /// Whether any byte of the request has arrived.
-    bool hasBegun() const { return in_.size() > 0 || reader_->gotSome(); }
+    bool hasBegun() const { return in_.size() > 0 || reader_->hasParsedAny(); }
     /// Whether any byte of the request has been parsed.
-    bool hasParsedAny() const { return reader_->gotSome(); }
+    bool hasParsedAny() const { return reader_->hasParsedAny(); }
 
     const Parser& parser() const { return reader_->parser(); }
     const RequestHead& head() const { return reader_->parser().get().base(); }
--- a/src/http/streamed_response.cpp
+++ b/src/http/streamed_response.cpp
@@ -6,19 +6,19 @@
 #include <utility>
 
 #include "http/message_writer.h"
-#include "net/http_step.h"
+#include "net/message_reader.h"
 
 namespace wingproxy::http {
 namespace {
 
-ResponseFraming framingOf(const Downstream::StreamedHead& head, bool isHttp10) {
+ResponseFraming framingOf(const ClientStream::StreamedHead& head, bool isHttp10) {
     if (head.contentLength) return ResponseFraming::ContentLength;
     return isHttp10 ? ResponseFraming::UntilClose : ResponseFraming::Chunked;
 }
 
 }  // namespace
 
-StreamedResponse::StreamedResponse(Downstream::StreamedHead head, Downstream::BodySource source,
+StreamedResponse::StreamedResponse(ClientStream::StreamedHead head, ClientStream::BodySource source,
                                    bool isHttp10)
     : head_(std::move(head)), source_(std::move(source)), framing_(framingOf(head_, isHttp10)) {}
 
@@ -32,10 +32,10 @@
 
 void StreamedResponse::fill(net::RingBuffer& out) {
     char piece[16 * 1024];
-    while (active_ && out.space() > net::kFrame) {
-        const auto count = source_(piece, std::min(sizeof piece, out.space() - net::kFrame));
+    while (active_ && out.freeSpace() > net::kMaxChunkOverhead) {
+        const auto count = source_(piece, std::min(sizeof piece, out.freeSpace() - net::kMaxChunkOverhead));
         if (count == 0) break;
-        net::putPiece(out, {piece, count}, framing_ == ResponseFraming::Chunked);
+        net::appendBodyPiece(out, {piece, count}, framing_ == ResponseFraming::Chunked);
     }
 }
 
--- a/src/http/streamed_response.h
+++ b/src/http/streamed_response.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "http/downstream.h"
+#include "http/client_stream.h"
 #include "net/ring_buffer.h"
 
 namespace wingproxy::http {
@@ -20,7 +20,7 @@
 /// Frames the body pieces of one response. It owns their source until it is replaced.
 class StreamedResponse {
 public:
-    StreamedResponse(Downstream::StreamedHead head, Downstream::BodySource source, bool isHttp10);
+    StreamedResponse(ClientStream::StreamedHead head, ClientStream::BodySource source, bool isHttp10);
 
     ResponseFraming framing() const { return framing_; }
     /// The status line and the header fields.
@@ -36,8 +36,8 @@
     std::string_view trailer() const;
 
 private:
-    Downstream::StreamedHead head_;
-    Downstream::BodySource source_;
+    ClientStream::StreamedHead head_;
+    ClientStream::BodySource source_;
     ResponseFraming framing_;
     bool active_ = true;
 };
--- a/src/net/byte_budget.h
+++ b/src/net/byte_budget.h
@@ -14,21 +14,21 @@
 public:
     /// A reservation. Its bytes return to the budget when the last copy is destroyed, which may be after the
     /// budget itself is gone.
-    using Hold = std::shared_ptr<void>;
+    using Reservation = std::shared_ptr<void>;
 
     /// \param limit in bytes
     explicit ByteBudget(std::size_t limit) : limit_(limit), reserved_(std::make_shared<std::size_t>(0)) {}
 
     /// Reserves `bytes`.
     /// \return an empty pointer if they do not fit beside what is reserved already
-    Hold take(std::size_t bytes) {
+    Reservation reserve(std::size_t bytes) {
         if (bytes > limit_ || *reserved_ > limit_ - bytes) return nullptr;
         *reserved_ += bytes;
-        return Hold(reserved_.get(), [reserved = reserved_, bytes](void*) { *reserved -= bytes; });
+        return Reservation(reserved_.get(), [reserved = reserved_, bytes](void*) { *reserved -= bytes; });
     }
 
     /// The bytes reserved now.
-    std::size_t held() const { return *reserved_; }
+    std::size_t reservedBytes() const { return *reserved_; }
 
 private:
     std::size_t limit_;
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -14,7 +14,7 @@
 Connection::Connection(asio::io_context& io, std::size_t ringBytes)
     : socket(io), in(ringBytes), out(ringBytes) {}
 
-bool Connection::isQuiet() {
+bool Connection::isReusable() {
     char byte = 0;
     boost::system::error_code error;
     socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error);
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -21,7 +21,7 @@
 
     /// Whether an idle connection may carry another request: it is open, and nothing came on it. Bytes that
     /// came unasked belong to an earlier response, and would be taken for the next one.
-    bool isQuiet();
+    bool isReusable();
     /// Sets a socket that has just connected to non-blocking and without delay of small segments.
     void configureSocket();
 
--- a/src/net/discovery.cpp
+++ b/src/net/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "net/discovery.h"
+#include "net/discovery_client.h"
 
 #include <fmt/format.h>
 
@@ -10,13 +10,13 @@
 constexpr std::size_t kMaxListBytes = std::size_t{1024} * 1024;
 constexpr unsigned kStatusOk = 200;
 
-// One connection, and a second one for a poll that starts before the handlers of an abandoned one have run.
+// One connection, and a second one for a poll that starts before the handlers of a cancelled one have run.
 constexpr NodePool::Limits kPoolLimits{
     .maxConnections = 2, .connectTimeout = std::chrono::seconds(1), .idleTimeout = std::chrono::seconds(10)};
 
 }  // namespace
 
-Discovery::Discovery(Engine& engine, const config::Endpoint& address, WatchTiming timing)
+DiscoveryClient::DiscoveryClient(Engine& engine, const config::Endpoint& address, WatchTiming timing)
     : engine_(engine),
       address_(address),
       listIsPushed_(!engine.settings().pollsEndpointList),
@@ -27,50 +27,50 @@
     if (listIsPushed_) setWatching(true);
 }
 
-void Discovery::setWatching(bool enabled) {
+void DiscoveryClient::setWatching(bool enabled) {
     watching_ = enabled;
     if (!enabled) {
-        abandonPoll();
+        cancelPoll();
     } else if (!pollInFlight_) {
         poll();
     }
 }
 
-void Discovery::moveTo(const config::Endpoint& address) {
+void DiscoveryClient::setAddress(const config::Endpoint& address) {
     if (address == address_) return;
-    abandonPoll();
+    cancelPoll();
     pool_.forget(address_);
     address_ = address;
     needsFullList_ = true;  // versions may count differently there
     if (watching_) poll();
 }
 
-void Discovery::abandonPoll() {
+void DiscoveryClient::cancelPoll() {
     pollInFlight_ = false;
     continuesWatch_ = false;
     acquisition_ = nullptr;
-    if (exchange_) exchange_->abandon();
+    if (exchange_) exchange_->cancel();
     exchange_ = nullptr;
     timeoutTimer_.cancel();
     retryTimer_.cancel();
 }
 
-void Discovery::stop() {
+void DiscoveryClient::stop() {
     watching_ = false;
-    abandonPoll();
+    cancelPoll();
     pool_.clear();
 }
 
-std::chrono::milliseconds Discovery::nextWait() const {
+std::chrono::milliseconds DiscoveryClient::nextWait() const {
     const bool answeredAtOnce = needsFullList_ || (listIsPushed_ && !continuesWatch_);
     return answeredAtOnce ? std::chrono::milliseconds(0) : timing_.watch.wait;
 }
 
-std::chrono::milliseconds Discovery::nextTimeout() const {
+std::chrono::milliseconds DiscoveryClient::nextTimeout() const {
     return nextWait() + (continuesWatch_ ? timing_.watch.continuedTimeout : timing_.watch.firstTimeout);
 }
 
-void Discovery::poll() {
+void DiscoveryClient::poll() {
     pollInFlight_ = true;
     ++counters_.calls;
     timeoutTimer_.expires_after(nextTimeout());
@@ -85,24 +85,24 @@
     });
 }
 
-void Discovery::send(std::shared_ptr<Connection> connection) {
+void DiscoveryClient::send(std::shared_ptr<Connection> connection) {
     const auto query =
         needsFullList_ ? "" : fmt::format("?after={}&wait_ms={}", engine_.listVersion(), nextWait().count());
     const auto request =
         fmt::format("GET /discovery/hosts{} HTTP/1.1\r\nHost: {}:{}\r\nAccept: application/json\r\n\r\n",
                     query, address_.host, address_.port);
-    exchange_ =
-        std::make_shared<Exchange>(std::move(connection), request, kMaxListBytes,
-                                   [this](Exchange::Result result, const Exchange::Response& response) {
-                                       onResponse(result, response);
-                                   });
+    exchange_ = std::make_shared<HttpExchange>(
+        std::move(connection), request, kMaxListBytes,
+        [this](HttpExchange::Result result, const HttpExchange::Response& response) {
+            onResponse(result, response);
+        });
     exchange_->start();
 }
 
-void Discovery::onResponse(Exchange::Result result, const Exchange::Response& response) {
+void DiscoveryClient::onResponse(HttpExchange::Result result, const HttpExchange::Response& response) {
     const auto exchange = std::exchange(exchange_, nullptr);
-    if (auto connection = exchange->reusable()) pool_.release(std::move(connection));
-    if (result != Exchange::Result::Answered) return fail(DiscoveryError::ConnectionLost);
+    if (auto connection = exchange->takeReusableConnection()) pool_.release(std::move(connection));
+    if (result != HttpExchange::Result::Completed) return fail(DiscoveryError::ConnectionLost);
     if (response.result_int() != kStatusOk) return fail(DiscoveryError::UnexpectedStatus);
     try {
         engine_.endpointListReceived(config::parseEndpointListing(response.body()));
@@ -119,15 +119,15 @@
 
 // The policy is told, as it must assume that the next list's changes were announced before. Where lists are
 // polled it orders the retry; where they are pushed it never does.
-void Discovery::fail(DiscoveryError error) {
+void DiscoveryClient::fail(DiscoveryError error) {
     ++counters_.failed;
-    abandonPoll();
+    cancelPoll();
     engine_.logger().warn("discovery: poll failed, {}", describe(error));
     engine_.endpointListUnavailable();
     if (listIsPushed_) retryLater();
 }
 
-void Discovery::retryLater() {
+void DiscoveryClient::retryLater() {
     retryTimer_.expires_after(timing_.retryDelay);
     retryTimer_.async_wait([this](const boost::system::error_code& error) {
         if (!error && watching_ && !pollInFlight_) poll();
--- a/src/net/discovery.h
+++ b/src/net/discovery_client.h
@@ -7,13 +7,13 @@
 
 #include "net/discovery_error.h"
 #include "net/engine.h"
-#include "net/exchange.h"
+#include "net/http_exchange.h"
 #include "net/watch_timing.h"
 
 namespace wingproxy::net {
 
 /// Gets endpoint lists and passes them to the engine. Single-threaded; the engine must outlive it.
-class Discovery {
+class DiscoveryClient {
 public:
     /// Totals since the start.
     struct Counters {
@@ -24,21 +24,21 @@
     };
 
     /// Starts to watch at once where lists are pushed; else the policy orders it.
-    Discovery(Engine& engine, const config::Endpoint& address, WatchTiming timing = {});
+    DiscoveryClient(Engine& engine, const config::Endpoint& address, WatchTiming timing = {});
 
     /// Starts a request unless one is in flight, or ends the watch.
     void setWatching(bool enabled);
-    /// Changes the address of discovery: abandons the request in flight and gets the full list from there.
-    void moveTo(const config::Endpoint& address);
+    /// Changes the address of discovery: cancels the request in flight and gets the full list from there.
+    void setAddress(const config::Endpoint& address);
     /// Ends the watch and closes the connections.
     void stop();
     const Counters& counters() const { return counters_; }
 
 private:
     void poll();
-    void abandonPoll();
+    void cancelPoll();
     void send(std::shared_ptr<Connection> connection);
-    void onResponse(Exchange::Result result, const Exchange::Response& response);
+    void onResponse(HttpExchange::Result result, const HttpExchange::Response& response);
     void fail(DiscoveryError error);
     void retryLater();
     std::chrono::milliseconds nextWait() const;
@@ -51,8 +51,8 @@
     NodePool pool_;
     boost::asio::steady_timer timeoutTimer_;
     boost::asio::steady_timer retryTimer_;
-    std::shared_ptr<NodePool::Ticket> acquisition_;
-    std::shared_ptr<Exchange> exchange_;
+    std::shared_ptr<NodePool::Acquisition> acquisition_;
+    std::shared_ptr<HttpExchange> exchange_;
     bool watching_ = false;
     bool pollInFlight_ = false;
     bool continuesWatch_ = false;  // the next request follows a response, and does not queue
--- a/src/net/engine.cpp
+++ b/src/net/engine.cpp
@@ -17,7 +17,7 @@
 Engine::Engine(boost::asio::io_context& io, const config::Config& config, log::Logger& logger)
     : io_(io),
       logger_(logger),
-      bodies_(bodyBytes(config)),
+      bodyBudget_(bodyBytes(config)),
       settings_(config.settings),
       initialEndpoints_(config.cachedEndpoints),
       state_(config.settings, core::Limits{config.connectTimeoutUs}, clock_.now()),
@@ -34,14 +34,14 @@
     timer_.cancel();
     for (auto& [id, request] : requests_)
         for (auto& [number, attempt] : request.attempts)
-            if (attempt) attempt->abandon();
+            if (attempt) attempt->cancel();
     requests_.clear();
 }
 
-RequestId Engine::submit(Request request, std::shared_ptr<Transfer> transfer) {
+RequestId Engine::submit(Request request, std::shared_ptr<RequestHandler> handler) {
     request.id = ++lastId_;
     const auto id = request.id;
-    requests_[id].transfer = std::move(transfer);
+    requests_[id].handler = std::move(handler);
     process(RequestReceived{std::move(request)});
     return id;
 }
@@ -138,14 +138,15 @@
 void Engine::apply(const core::StartAttempt& effect) {
     const auto request = requests_.find(effect.id);
     const auto address = addresses_.find(effect.node);
-    if (request == requests_.end() || !request->second.transfer || address == addresses_.end()) {
+    if (request == requests_.end() || !request->second.handler || address == addresses_.end()) {
         process(core::AttemptFinished{effect.id, effect.attempt, Outcome::ConnectFailed, 0, 0, {}});
         return;
     }
     request->second.attempts[effect.attempt] = nullptr;
-    auto attempt = request->second.transfer->start({effect.id, effect.attempt, address->second,
-                                                    effect.firstByteBy, effect.timeoutAt, effect.lastByteBy});
-    // The attempt, and with it the request, may have finished before start() returned.
+    auto attempt =
+        request->second.handler->startAttempt({effect.id, effect.attempt, address->second, effect.firstByteBy,
+                                               effect.timeoutAt, effect.lastByteBy});
+    // The attempt, and with it the request, may have finished before startAttempt() returned.
     const auto current = requests_.find(effect.id);
     if (current == requests_.end()) return;
     auto& attempts = current->second.attempts;
@@ -155,20 +156,20 @@
 
 void Engine::apply(const core::StopAttempt& effect) {
     const auto attempt = removeAttempt(effect.id, effect.attempt);
-    if (attempt) attempt->abandon();
+    if (attempt) attempt->cancel();
     eraseIfComplete(effect.id);
 }
 
 void Engine::apply(const core::DeliverResponse& effect) {
-    if (const auto transfer = markAnswered(effect.id)) transfer->deliver(effect.attempt);
+    if (const auto handler = markAnswered(effect.id)) handler->deliverResponse(effect.attempt);
 }
 
 void Engine::apply(const core::SendRejection& effect) {
-    if (const auto transfer = markAnswered(effect.id)) transfer->refuse(effect.retryAfterUs);
+    if (const auto handler = markAnswered(effect.id)) handler->sendRejection(effect.retryAfterUs);
 }
 
 void Engine::apply(const core::SendFailure& effect) {
-    if (const auto transfer = markAnswered(effect.id)) transfer->fail();
+    if (const auto handler = markAnswered(effect.id)) handler->sendFailure();
 }
 
 void Engine::apply(const SendPeerMessage& effect) {
@@ -187,13 +188,13 @@
 
 void Engine::apply(const LogLine& effect) { logger_.info("policy: {}", effect.text); }
 
-std::shared_ptr<Transfer> Engine::markAnswered(RequestId id) {
+std::shared_ptr<RequestHandler> Engine::markAnswered(RequestId id) {
     const auto request = requests_.find(id);
     if (request == requests_.end() || request->second.answered) return nullptr;
     request->second.answered = true;
-    auto transfer = request->second.transfer;
+    auto handler = request->second.handler;
     eraseIfComplete(id);
-    return transfer;
+    return handler;
 }
 
 std::shared_ptr<Attempt> Engine::removeAttempt(RequestId id, AttemptIndex attempt) {
--- a/src/net/engine.h
+++ b/src/net/engine.h
@@ -30,27 +30,28 @@
     Micros lastByteBy = core::StartAttempt::kNever;  ///< later the request's last byte may not be sent
 };
 
-/// One attempt on the wire. It calls `Engine::attemptFinished` once, unless it is abandoned first.
+/// One attempt on the wire. It calls `Engine::attemptFinished` once, unless it is cancelled first.
 class Attempt {
 public:
     virtual ~Attempt() = default;
     /// Closes the connection; the attempt reports nothing more.
-    virtual void abandon() = 0;
+    virtual void cancel() = 0;
 };
 
 /// The front's side of one request: how to send it to a node, and how to answer the client. Each request gets
-/// exactly one of `deliver`, `refuse` and `fail`, unless its client disconnected before.
-class Transfer {
+/// exactly one of `deliverResponse`, `sendRejection` and `sendFailure`, unless its client disconnected
+/// before.
+class RequestHandler {
 public:
-    virtual ~Transfer() = default;
+    virtual ~RequestHandler() = default;
     /// Starts an attempt. It may finish before this returns.
-    virtual std::shared_ptr<Attempt> start(const AttemptParams& params) = 0;
+    virtual std::shared_ptr<Attempt> startAttempt(const AttemptParams& params) = 0;
     /// Answers with the response of that attempt, which finished as `Outcome::Ok`.
-    virtual void deliver(AttemptIndex attempt) = 0;
+    virtual void deliverResponse(AttemptIndex attempt) = 0;
     /// Rejects the request: nothing ran, and the client may retry after that time.
-    virtual void refuse(Micros retryAfterUs) = 0;
+    virtual void sendRejection(Micros retryAfterUs) = 0;
     /// Answers that the request failed.
-    virtual void fail() = 0;
+    virtual void sendFailure() = 0;
 };
 
 /// What a successor process starts from; see `Engine::takeSnapshot`.
@@ -77,13 +78,13 @@
     void setEffectHandlers(EffectHandlers handlers) { effectHandlers_ = std::move(handlers); }
     /// Applies the cached endpoint list and lets the policy decide for the first time.
     void start();
-    /// Abandons all attempts. Later inputs are ignored.
+    /// Cancels all attempts. Later inputs are ignored.
     void stop();
 
     /// Takes in a request.
     /// \return the id, which is assigned here
-    RequestId submit(Request request, std::shared_ptr<Transfer> transfer);
-    /// The client of an unanswered request is gone: its transfer is not called any more.
+    RequestId submit(Request request, std::shared_ptr<RequestHandler> handler);
+    /// The client of an unanswered request is gone: its handler is not called any more.
     void clientDisconnected(RequestId id);
     void capacityNeeded(int connections) { process(CapacityNeeded{connections}); }
     void shutdownStarted(Micros servesUntilUs) { process(ShutdownStarted{servesUntilUs}); }
@@ -128,7 +129,7 @@
     Micros now() const { return clock_.now(); }
     const Clock& clock() const { return clock_; }
     /// Memory for the bodies of all requests and responses.
-    ByteBudget& bodies() { return bodies_; }
+    ByteBudget& bodyBudget() { return bodyBudget_; }
     const Settings& settings() const { return settings_; }
     log::Logger& logger() { return logger_; }
     std::size_t openRequests() const { return state_.openRequests(); }
@@ -144,8 +145,8 @@
 
 private:
     struct InFlightRequest {
-        std::shared_ptr<Transfer> transfer;
-        std::map<AttemptIndex, std::shared_ptr<Attempt>> attempts;  // null while its start() runs
+        std::shared_ptr<RequestHandler> handler;
+        std::map<AttemptIndex, std::shared_ptr<Attempt>> attempts;  // null while its startAttempt() runs
         bool answered = false;                                      // or its client disconnected
     };
 
@@ -163,15 +164,15 @@
     void apply(const WatchEndpointList& effect);
     void apply(const StartHealthCheck& effect);
     void apply(const LogLine& effect);
-    // Returns the transfer if the request had no answer yet, else null.
-    std::shared_ptr<Transfer> markAnswered(RequestId id);
+    // Returns the handler if the request had no answer yet, else null.
+    std::shared_ptr<RequestHandler> markAnswered(RequestId id);
     std::shared_ptr<Attempt> removeAttempt(RequestId id, AttemptIndex attempt);
     void eraseIfComplete(RequestId id);
 
     boost::asio::io_context& io_;
     log::Logger& logger_;
     Clock clock_;
-    ByteBudget bodies_;
+    ByteBudget bodyBudget_;
     Settings settings_;
     config::EndpointListing initialEndpoints_;
     core::State state_;
--- a/src/net/linger_deadline.h
+++ b/src/net/lingering_close.h
@@ -11,7 +11,7 @@
 /// the last response and to close. A close while the client still sends, as with a request body that is too
 /// long, would reset the connection and could take the response back. The connection is closed after a period
 /// without bytes, and in any case at a limit.
-class LingerDeadline {
+class LingeringClose {
 public:
     using Clock = std::chrono::steady_clock;
 
@@ -25,11 +25,11 @@
         until_ = now + limit;
     }
     /// Whether lingering has started.
-    bool active() const { return active_; }
+    bool isActive() const { return active_; }
     /// When to close if no byte comes after `now`.
     Clock::time_point closeAt(Clock::time_point now) const { return std::min(now + kQuietPeriod, until_); }
     /// Whether it has lasted so long that the connection may be closed in favour of a new client.
-    bool evictable(Clock::time_point now) const { return now - since_ > kQuietPeriod; }
+    bool isEvictable(Clock::time_point now) const { return now - since_ > kQuietPeriod; }
 
 private:
     bool active_ = false;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -17,8 +17,9 @@
 
 }  // namespace
 
-Listener::Listener(boost::asio::io_context& io, const config::Endpoint& address, Hooks hooks, int inherited)
-    : acceptor_(io), retryTimer_(io), hooks_(std::move(hooks)) {
+Listener::Listener(boost::asio::io_context& io, const config::Endpoint& address, Callbacks callbacks,
+                   int inherited)
+    : acceptor_(io), retryTimer_(io), callbacks_(std::move(callbacks)) {
     if (inherited >= 0) {
         acceptor_.assign(tcp::v4(), inherited);
         acceptor_.non_blocking(true);
@@ -53,14 +54,14 @@
 
 void Listener::acceptClient() {
     // Without capacity clients stay in the system's queue: better than accepting one and dropping it.
-    if (hooks_.full() && !hooks_.evictOne()) return retryLater();
+    if (callbacks_.isFull() && !callbacks_.evictOne()) return retryLater();
     tcp::socket socket(acceptor_.get_executor());
     boost::system::error_code error;
     acceptor_.accept(socket, error);
     if (!error) {
-        handOn(std::move(socket));
+        handleAccepted(std::move(socket));
     } else if (!nothingToAccept(error)) {
-        hooks_.evictOne();  // out of descriptors, or the client is gone again
+        callbacks_.evictOne();  // out of descriptors, or the client is gone again
         return retryLater();
     }
     waitForClient();
@@ -73,11 +74,11 @@
     });
 }
 
-void Listener::handOn(tcp::socket socket) {
+void Listener::handleAccepted(tcp::socket socket) {
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     socket.non_blocking(true, ignored);
-    hooks_.accepted(std::move(socket));
+    callbacks_.onAccepted(std::move(socket));
 }
 
 void Listener::close() {
@@ -88,7 +89,7 @@
         tcp::socket socket(acceptor_.get_executor());
         acceptor_.accept(socket, error);
         if (error) break;
-        handOn(std::move(socket));
+        handleAccepted(std::move(socket));
     }
     acceptor_.close(error);
     retryTimer_.cancel();
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -15,11 +15,11 @@
 class Listener {
 public:
     /// The owner of the accepted connections; it holds their limit.
-    struct Hooks {
+    struct Callbacks {
         /// Takes a connection, non-blocking and without delay of small segments.
-        std::function<void(boost::asio::ip::tcp::socket)> accepted;
+        std::function<void(boost::asio::ip::tcp::socket)> onAccepted;
         /// Whether no further connection is allowed.
-        std::function<bool()> full;
+        std::function<bool()> isFull;
         /// Closes an idle connection to make capacity. Returns false: there is none.
         std::function<bool()> evictOne;
     };
@@ -27,7 +27,8 @@
     /// Binds and listens; throws boost::system::system_error if that fails.
     /// \param inherited the descriptor of a socket that listens already, below 0: none. Another process may
     /// have it as well, so it is neither bound nor shut down here.
-    Listener(boost::asio::io_context& io, const config::Endpoint& address, Hooks hooks, int inherited = -1);
+    Listener(boost::asio::io_context& io, const config::Endpoint& address, Callbacks callbacks,
+             int inherited = -1);
 
     /// Starts to accept.
     void open();
@@ -42,11 +43,11 @@
     void waitForClient();
     void acceptClient();
     void retryLater();
-    void handOn(boost::asio::ip::tcp::socket socket);
+    void handleAccepted(boost::asio::ip::tcp::socket socket);
 
     boost::asio::ip::tcp::acceptor acceptor_;
     boost::asio::steady_timer retryTimer_;
-    Hooks hooks_;
+    Callbacks callbacks_;
 };
 
 }  // namespace wingproxy::net
--- a/src/net/activity_list.h
+++ b/src/net/lru_list.h
@@ -12,7 +12,7 @@
 /// Owns its items; the one that has been inactive the longest comes first. Each operation takes constant
 /// time. Iterators stay valid while other items are added, moved or removed.
 template <typename Item>
-class ActivityList {
+class LruList {
 public:
     using Items = std::list<std::shared_ptr<Item>>;
 
@@ -22,7 +22,7 @@
         positions_[key] = items_.insert(items_.end(), std::move(item));
     }
     /// Moves an item behind all others; ignored if it is not in the list.
-    void markActive(const Item& item) {
+    void touch(const Item& item) {
         if (const auto it = positions_.find(&item); it != positions_.end())
             items_.splice(items_.end(), items_, it->second);
     }
--- a/src/net/http_step.h
+++ b/src/net/message_reader.h
@@ -31,7 +31,7 @@
 /// \param error set if the bytes are no valid message
 /// \return false: nothing more can be parsed from the bytes that are here
 template <typename Parser>
-bool step(Parser& parser, RingBuffer& in, boost::system::error_code& error) {
+bool parseAvailable(Parser& parser, RingBuffer& in, boost::system::error_code& error) {
     // An eager parser loses the error of a length over the limit if the body's first bytes are here already.
     parser.eager(parser.is_header_done());
     const auto used = parser.put(in.data(), error);
@@ -43,14 +43,14 @@
 
 /// The most bytes that the chunked coding adds to one piece: its size in hexadecimal digits and two line
 /// ends.
-constexpr std::size_t kFrame = 16;
+constexpr std::size_t kMaxChunkOverhead = 16;
 
 /// Appends a piece of a body to `out`, framed as one chunk if `chunked`. The caller makes sure that the piece
-/// fits, with `kFrame` bytes more if chunked.
-inline void putPiece(RingBuffer& out, std::string_view piece, bool chunked) {
-    if (chunked) out.put(fmt::format("{:x}\r\n", piece.size()));
-    out.put(piece);
-    if (chunked) out.put("\r\n");
+/// fits, with `kMaxChunkOverhead` bytes more if chunked.
+inline void appendBodyPiece(RingBuffer& out, std::string_view piece, bool chunked) {
+    if (chunked) out.append(fmt::format("{:x}\r\n", piece.size()));
+    out.append(piece);
+    if (chunked) out.append("\r\n");
 }
 
 /// Reads one message: first its head, then its body in pieces of any size, as far as the ring has the bytes.
@@ -68,14 +68,14 @@
 
     /// Goes on with the head.
     /// \return true once it is complete
-    bool head(RingBuffer& in, boost::system::error_code& error) {
-        while (in.size() > 0 && !parser_.is_header_done() && step(parser_, in, error)) {}
+    bool readHead(RingBuffer& in, boost::system::error_code& error) {
+        while (in.size() > 0 && !parser_.is_header_done() && parseAvailable(parser_, in, error)) {}
         return !error && parser_.is_header_done();
     }
 
     /// Moves up to `count` bytes of the body to `to`.
     /// \return how many were moved; 0: none is here, the body is complete, or `error` says what is wrong
-    std::size_t body(RingBuffer& in, char* to, std::size_t count, boost::system::error_code& error) {
+    std::size_t readBody(RingBuffer& in, char* to, std::size_t count, boost::system::error_code& error) {
         auto& body = parser_.get().body();
         body.data = to;
         body.size = count;
@@ -83,7 +83,7 @@
         parser_.eager(true);
         // Goes on until the parser is done even if no byte of the body is left to come: the end may follow
         // the last byte, as the last chunk does.
-        while (in.size() > 0 && body.size > 0 && !parser_.is_done() && bodyStep(in, error)) {}
+        while (in.size() > 0 && body.size > 0 && !parser_.is_done() && parseBodyBytes(in, error)) {}
         const auto moved = count - body.size;
         body.data = nullptr;
         body.size = 0;
@@ -91,31 +91,31 @@
     }
 
     /// Appends what is here of the body to `to`; stops once `to` is longer than `maxBytes`.
-    void append(RingBuffer& in, std::string& to, std::size_t maxBytes, boost::system::error_code& error) {
+    void appendBody(RingBuffer& in, std::string& to, std::size_t maxBytes, boost::system::error_code& error) {
         // Zeroing 16 KiB on each call would cost more than reading a short body.
-        // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init): only bytes that body() wrote are read
+        // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init): only bytes that readBody() wrote are read
         std::array<char, std::size_t{16} * 1024> piece;
         auto count = piece.size();
         while (count == piece.size() && to.size() <= maxBytes && !error) {
-            count = body(in, piece.data(), piece.size(), error);
+            count = readBody(in, piece.data(), piece.size(), error);
             to.append(piece.data(), count);
         }
     }
 
     /// The sender closed its side, which ends a body without a length.
     /// \param error set if the message is incomplete
-    void ended(boost::system::error_code& error) { parser_.put_eof(error); }
+    void onEndOfStream(boost::system::error_code& error) { parser_.put_eof(error); }
     /// Whether head and body are complete.
-    bool done() const { return parser_.is_done(); }
+    bool isComplete() const { return parser_.is_done(); }
     /// Whether any byte of the message has been read.
-    bool gotSome() const { return parser_.got_some(); }
+    bool hasParsedAny() const { return parser_.got_some(); }
     /// Gives access to the head.
     const Parser& parser() const { return parser_; }
     Parser& parser() { return parser_; }
 
 private:
     // Returns false where the parser needs another buffer, more bytes, or found an error.
-    bool bodyStep(RingBuffer& in, boost::system::error_code& error) {
+    bool parseBodyBytes(RingBuffer& in, boost::system::error_code& error) {
         const auto used = parser_.put(in.data(), error);
         in.consume(used);
         if (error == boost::beast::http::error::need_buffer) {
@@ -136,9 +136,9 @@
 /// \param maxBytes reserved where the head names no length
 /// \return an empty pointer if the budget has not so much left
 template <typename Parser>
-ByteBudget::Hold holdBody(Parser& parser, ByteBudget& budget, std::size_t maxBytes) {
-    if (const auto length = parser.content_length()) return budget.take(std::size_t(*length));
-    return budget.take(parser.is_done() ? 0 : maxBytes);
+ByteBudget::Reservation reserveBody(Parser& parser, ByteBudget& budget, std::size_t maxBytes) {
+    if (const auto length = parser.content_length()) return budget.reserve(std::size_t(*length));
+    return budget.reserve(parser.is_done() ? 0 : maxBytes);
 }
 
 }  // namespace wingproxy::net
--- a/src/net/node_attempt.h
+++ b/src/net/node_attempt.h
@@ -12,33 +12,33 @@
 class NodeAttempt : public Attempt, public std::enable_shared_from_this<NodeAttempt> {
 public:
     NodeAttempt(Engine& engine, NodePool& pool, const AttemptParams& params)
-        : engine_(engine), pool_(pool), order_(params) {}
+        : engine_(engine), pool_(pool), params_(params) {}
 
     /// Acquires a connection; one that is not up by `AttemptParams::firstByteBy` ends the attempt as
     /// `Outcome::ConnectFailed`.
     void start();
-    void abandon() override;
+    void cancel() override;
 
 protected:
     /// The connection is up in time: bytes may be sent.
-    virtual void connected(std::shared_ptr<Connection> connection) = 0;
+    virtual void onConnected(std::shared_ptr<Connection> connection) = 0;
     /// The connection is up too late, and no byte may be sent. It is closed unless this keeps it.
-    virtual void late(std::shared_ptr<Connection> connection) { connection.reset(); }
+    virtual void onConnectedTooLate(std::shared_ptr<Connection> connection) { connection.reset(); }
     /// Closes what is open. Called once, at the end.
-    virtual void drop() = 0;
+    virtual void closeConnection() = 0;
     /// Ends the attempt and reports its result to the engine, unless it has ended before. The ids are filled
     /// in here.
-    void end(core::AttemptFinished result);
+    void finishAttempt(core::AttemptFinished result);
 
     Engine& engine_;
     NodePool& pool_;
-    AttemptParams order_;
-    bool over_ = false;  ///< ended or abandoned
+    AttemptParams params_;
+    bool ended_ = false;  ///< ended or cancelled
 
 private:
     void onAcquired(std::shared_ptr<Connection> connection);
 
-    std::shared_ptr<NodePool::Ticket> acquisition_;
+    std::shared_ptr<NodePool::Acquisition> acquisition_;
 };
 
 }  // namespace wingproxy::net
--- a/src/net/node_pool.cpp
+++ b/src/net/node_pool.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "net/pool_tickets.h"
+#include "net/pool_acquisitions.h"
 
 namespace wingproxy::net {
 namespace {
@@ -20,26 +20,29 @@
     closeExpired();
 }
 
-std::shared_ptr<NodePool::Ticket> NodePool::acquire(const config::Endpoint& to, Ready ready) {
-    if (auto idle = takeIdle(to)) return reuse(std::move(idle), std::move(ready));
+std::shared_ptr<NodePool::Acquisition> NodePool::acquire(const config::Endpoint& to, OnAcquired onAcquired) {
+    if (auto idle = takeIdle(to)) return reuse(std::move(idle), std::move(onAcquired));
     auto connection = openConnection(to);
     if (!connection) {
-        const auto ticket = std::make_shared<PendingFailure>(io_, std::move(ready));
-        ticket->start();
-        return ticket;
+        const auto acquisition = std::make_shared<FailedAcquisition>(io_, std::move(onAcquired));
+        acquisition->start();
+        return acquisition;
     }
     ++opened_;
-    const auto ticket = std::make_shared<PendingConnect>(io_, std::move(connection), std::move(ready));
-    ticket->start(limits_.connectTimeout);
-    return ticket;
+    const auto acquisition =
+        std::make_shared<ConnectAcquisition>(io_, std::move(connection), std::move(onAcquired));
+    acquisition->start(limits_.connectTimeout);
+    return acquisition;
 }
 
-std::shared_ptr<NodePool::Ticket> NodePool::reuse(std::shared_ptr<Connection> connection, Ready ready) {
+std::shared_ptr<NodePool::Acquisition> NodePool::reuse(std::shared_ptr<Connection> connection,
+                                                       OnAcquired onAcquired) {
     ++reused_;
     const auto cooldownEnd = connection->idleSince + limits_.cooldown;
-    const auto ticket = std::make_shared<PendingReuse>(io_, *this, std::move(connection), std::move(ready));
-    ticket->start(cooldownEnd);
-    return ticket;
+    const auto acquisition =
+        std::make_shared<ReuseAcquisition>(io_, *this, std::move(connection), std::move(onAcquired));
+    acquisition->start(cooldownEnd);
+    return acquisition;
 }
 
 // Returns null at the limit of connections or of the process's descriptors.
@@ -74,7 +77,7 @@
         const auto position = cooling == idle.begin() ? cooling : std::prev(cooling);
         auto connection = std::move(*position);
         idle.erase(position);
-        if (connection->isQuiet()) return connection;
+        if (connection->isReusable()) return connection;
     }
     return nullptr;
 }
@@ -109,7 +112,7 @@
     const auto expired = std::chrono::steady_clock::now() - limits_.idleTimeout;
     for (auto it = idle_.begin(); it != idle_.end();) {
         std::erase_if(it->second, [expired](const auto& connection) {
-            return connection->idleSince < expired || !connection->isQuiet();
+            return connection->idleSince < expired || !connection->isReusable();
         });
         it = it->second.empty() ? idle_.erase(it) : std::next(it);
     }
--- a/src/net/node_pool.h
+++ b/src/net/node_pool.h
@@ -20,7 +20,7 @@
         std::size_t maxConnections = 400;                   ///< open ones, idle ones included
         std::chrono::microseconds connectTimeout{250'000};  ///< a connect that takes longer has failed
         std::chrono::microseconds idleTimeout{15'000'000};  ///< an idle connection is closed after it
-        std::size_t ringBytes = kMostRing;                  ///< of each direction of a connection
+        std::size_t ringBytes = kMaxRingBytes;              ///< of each direction of a connection
         /// For so long after a response a connection carries no other request; a request that finds only such
         /// connections waits for one of them. If a node sends a response twice, the second copy comes some
         /// milliseconds late, and without the cool-down it would be taken for the next response.
@@ -28,18 +28,18 @@
     };
 
     /// A pending acquisition. Destroying it cancels it: a connect's socket is closed, and nothing is called.
-    struct Ticket {
-        virtual ~Ticket() = default;
+    struct Acquisition {
+        virtual ~Acquisition() = default;
     };
 
     /// Receives the connection, or null if none could be had. Called once, and never from within acquire().
-    using Ready = std::function<void(std::shared_ptr<Connection>)>;
+    using OnAcquired = std::function<void(std::shared_ptr<Connection>)>;
 
     NodePool(boost::asio::io_context& io, Limits limits);
 
     /// Takes an idle connection to `to`, or connects. At the limit, the connection that has been idle the
     /// longest is closed to make capacity; if none is idle, the acquisition fails.
-    std::shared_ptr<Ticket> acquire(const config::Endpoint& to, Ready ready);
+    std::shared_ptr<Acquisition> acquire(const config::Endpoint& to, OnAcquired onAcquired);
     /// Returns a connection for reuse: its last exchange is complete, and no byte of it is unread.
     void release(std::shared_ptr<Connection> connection);
     /// Closes the idle connections to `to`.
@@ -59,7 +59,7 @@
 private:
     using IdleConnections = std::deque<std::shared_ptr<Connection>>;  // the longest idle first
 
-    std::shared_ptr<Ticket> reuse(std::shared_ptr<Connection> connection, Ready ready);
+    std::shared_ptr<Acquisition> reuse(std::shared_ptr<Connection> connection, OnAcquired onAcquired);
     std::shared_ptr<Connection> openConnection(const config::Endpoint& to);
     std::shared_ptr<Connection> makeConnection();
     std::shared_ptr<Connection> takeIdle(const config::Endpoint& to);
--- a/src/net/peers.cpp
+++ b/src/net/peer_transport.cpp
@@ -1,4 +1,4 @@
-#include "net/peers.h"
+#include "net/peer_transport.h"
 
 namespace wingproxy::net {
 namespace {
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-Peers::Peers(Engine& engine, const config::Config& config, bool opened)
+PeerTransport::PeerTransport(Engine& engine, const config::Config& config, bool opened)
     : engine_(engine),
       socket_(engine.io()),
       listenAddress_(config.peerListen),
@@ -22,7 +22,7 @@
     if (opened) open();
 }
 
-void Peers::open() {
+void PeerTransport::open() {
     if (listenAddress_.port == 0) return;
     socket_.open(udp::v4());
     socket_.bind(udpEndpoint(listenAddress_));
@@ -30,7 +30,7 @@
     receive();
 }
 
-void Peers::setPeers(const config::Config& config) {
+void PeerTransport::setPeers(const config::Config& config) {
     broadcast_ = udpEndpoint(config.peersAll);
     peerIndexes_.clear();
     peers_.clear();
@@ -40,12 +40,12 @@
     }
 }
 
-bool Peers::isSendable(PeerRecipient to, const std::string& bytes) const {
+bool PeerTransport::isSendable(PeerRecipient to, const std::string& bytes) const {
     const bool known = to.isEveryPeer() || to.host().position() < peers_.size();
     return known && to.host() != selfIndex_ && !bytes.empty() && bytes.size() <= kMaxDatagramBytes;
 }
 
-void Peers::send(PeerRecipient to, const std::string& bytes) {
+void PeerTransport::send(PeerRecipient to, const std::string& bytes) {
     if (!socket_.is_open()) return;
     if (!isSendable(to, bytes)) {
         ++counters_.unsent;
@@ -57,13 +57,13 @@
         sendTo(peers_[to.host().position()], bytes);
 }
 
-void Peers::sendToAll(const std::string& bytes) {
+void PeerTransport::sendToAll(const std::string& bytes) {
     if (broadcast_.port() != 0) return sendTo(broadcast_, bytes);
     for (std::size_t i = 0; i < peers_.size(); ++i)
         if (i != selfIndex_.position()) sendTo(peers_[i], bytes);
 }
 
-void Peers::sendTo(const udp::endpoint& target, const std::string& bytes) {
+void PeerTransport::sendTo(const udp::endpoint& target, const std::string& bytes) {
     boost::system::error_code error;
     socket_.send_to(boost::asio::buffer(bytes), target, 0, error);
     // A full buffer loses the datagram, as the network may.
@@ -73,7 +73,7 @@
         ++counters_.sent;
 }
 
-void Peers::receive() {
+void PeerTransport::receive() {
     socket_.async_receive_from(boost::asio::buffer(buffer_), sender_,
                                [this](const boost::system::error_code& error, std::size_t count) {
                                    if (error == boost::asio::error::operation_aborted || !socket_.is_open())
@@ -83,7 +83,7 @@
                                });
 }
 
-void Peers::onReceived(const boost::system::error_code& error, std::size_t count) {
+void PeerTransport::onReceived(const boost::system::error_code& error, std::size_t count) {
     const auto from = peerIndexes_.find(sender_);
     const bool fromPeer = from != peerIndexes_.end() && from->second != selfIndex_;
     if (!error && count > kMaxDatagramBytes) {
@@ -96,7 +96,7 @@
     }
 }
 
-void Peers::stop() {
+void PeerTransport::stop() {
     boost::system::error_code ignored;
     socket_.close(ignored);
 }
--- a/src/net/peers.h
+++ b/src/net/peer_transport.h
@@ -16,7 +16,7 @@
 
 /// Sends and receives peer messages. A message that is lost is not repeated. Single-threaded; the engine must
 /// outlive it.
-class Peers {
+class PeerTransport {
 public:
     /// The largest datagram, in bytes, by the protocol: it discards a longer one as a whole.
     static constexpr std::size_t kMaxDatagramBytes = 256;
@@ -31,7 +31,7 @@
     };
 
     /// \param opened whether to bind at once
-    Peers(Engine& engine, const config::Config& config, bool opened = true);
+    PeerTransport(Engine& engine, const config::Config& config, bool opened = true);
 
     /// Binds; throws boost::system::system_error while another process of this front holds the port. Without
     /// a configured port it does nothing.
--- a/src/net/pending_output.cpp
+++ b/src/net/pending_output.cpp
@@ -9,7 +9,7 @@
 }
 
 void PendingOutput::fill(RingBuffer& out) {
-    moved_ += out.put(std::string_view(text_).substr(moved_));
+    moved_ += out.append(std::string_view(text_).substr(moved_));
     if (moved_ < text_.size()) return;
     text_.clear();
     moved_ = 0;
--- a/src/net/pool_tickets.cpp
+++ b/src/net/pool_acquisitions.cpp
@@ -1,4 +1,4 @@
-#include "net/pool_tickets.h"
+#include "net/pool_acquisitions.h"
 
 #include <utility>
 
@@ -6,16 +6,16 @@
 
 namespace asio = boost::asio;
 
-PendingConnect::PendingConnect(asio::io_context& io, std::shared_ptr<Connection> connection,
-                               NodePool::Ready ready)
-    : connection_(std::move(connection)), ready_(std::move(ready)), timeout_(io) {}
+ConnectAcquisition::ConnectAcquisition(asio::io_context& io, std::shared_ptr<Connection> connection,
+                                       NodePool::OnAcquired onAcquired)
+    : connection_(std::move(connection)), onAcquired_(std::move(onAcquired)), timeout_(io) {}
 
-PendingConnect::~PendingConnect() {
+ConnectAcquisition::~ConnectAcquisition() {
     boost::system::error_code ignored;
     if (connection_) connection_->socket.close(ignored);
 }
 
-void PendingConnect::start(std::chrono::microseconds timeout) {
+void ConnectAcquisition::start(std::chrono::microseconds timeout) {
     const auto weak = weak_from_this();
     timeout_.expires_after(timeout);
     timeout_.async_wait([weak](const boost::system::error_code& error) {
@@ -28,8 +28,8 @@
         });
 }
 
-void PendingConnect::complete(const boost::system::error_code& error) {
-    if (!ready_) return;
+void ConnectAcquisition::complete(const boost::system::error_code& error) {
+    if (!onAcquired_) return;
     timeout_.cancel();
     const auto keepAlive = shared_from_this();  // the owner drops this once it has the connection
     auto connection = std::exchange(connection_, nullptr);
@@ -40,36 +40,36 @@
     } else {
         connection->configureSocket();
     }
-    std::exchange(ready_, nullptr)(std::move(connection));
+    std::exchange(onAcquired_, nullptr)(std::move(connection));
 }
 
-PendingReuse::PendingReuse(asio::io_context& io, NodePool& pool, std::shared_ptr<Connection> connection,
-                           NodePool::Ready ready)
-    : pool_(pool), cooldown_(io), connection_(std::move(connection)), ready_(std::move(ready)) {}
+ReuseAcquisition::ReuseAcquisition(asio::io_context& io, NodePool& pool,
+                                   std::shared_ptr<Connection> connection, NodePool::OnAcquired onAcquired)
+    : pool_(pool), cooldown_(io), connection_(std::move(connection)), onAcquired_(std::move(onAcquired)) {}
 
-void PendingReuse::start(std::chrono::steady_clock::time_point cooldownEnd) {
+void ReuseAcquisition::start(std::chrono::steady_clock::time_point cooldownEnd) {
     cooldown_.expires_at(cooldownEnd);
     cooldown_.async_wait([weak = weak_from_this()](const boost::system::error_code&) {
         if (const auto self = weak.lock()) self->complete();
     });
 }
 
-void PendingReuse::complete() {
+void ReuseAcquisition::complete() {
     const auto connection = std::move(connection_);
-    auto ready = std::exchange(ready_, nullptr);
-    if (connection->isQuiet())
-        ready(connection);
+    auto onAcquired = std::exchange(onAcquired_, nullptr);
+    if (connection->isReusable())
+        onAcquired(connection);
     else
-        replacement_ = pool_.acquire(connection->to, std::move(ready));
+        replacement_ = pool_.acquire(connection->to, std::move(onAcquired));
 }
 
-PendingFailure::PendingFailure(asio::io_context& io, NodePool::Ready ready)
-    : timer_(io), ready_(std::move(ready)) {}
+FailedAcquisition::FailedAcquisition(asio::io_context& io, NodePool::OnAcquired onAcquired)
+    : timer_(io), onAcquired_(std::move(onAcquired)) {}
 
-void PendingFailure::start() {
+void FailedAcquisition::start() {
     timer_.expires_at({});
     timer_.async_wait([weak = weak_from_this()](const boost::system::error_code&) {
-        if (const auto self = weak.lock()) std::exchange(self->ready_, nullptr)(nullptr);
+        if (const auto self = weak.lock()) std::exchange(self->onAcquired_, nullptr)(nullptr);
     });
 }
 
--- a/src/net/pool_tickets.h
+++ b/src/net/pool_acquisitions.h
@@ -13,13 +13,14 @@
 
 /// Connects an open socket. Only its owner keeps it alive: destroyed before it has completed, it closes the
 /// socket and calls nothing.
-class PendingConnect : public NodePool::Ticket, public std::enable_shared_from_this<PendingConnect> {
+class ConnectAcquisition : public NodePool::Acquisition,
+                           public std::enable_shared_from_this<ConnectAcquisition> {
 public:
-    PendingConnect(boost::asio::io_context& io, std::shared_ptr<Connection> connection,
-                   NodePool::Ready ready);
-    ~PendingConnect() override;
-    PendingConnect(const PendingConnect&) = delete;
-    PendingConnect& operator=(const PendingConnect&) = delete;
+    ConnectAcquisition(boost::asio::io_context& io, std::shared_ptr<Connection> connection,
+                       NodePool::OnAcquired onAcquired);
+    ~ConnectAcquisition() override;
+    ConnectAcquisition(const ConnectAcquisition&) = delete;
+    ConnectAcquisition& operator=(const ConnectAcquisition&) = delete;
 
     /// Connects, and fails after `timeout`.
     void start(std::chrono::microseconds timeout);
@@ -28,16 +29,16 @@
     void complete(const boost::system::error_code& error);
 
     std::shared_ptr<Connection> connection_;
-    NodePool::Ready ready_;
+    NodePool::OnAcquired onAcquired_;
     boost::asio::steady_timer timeout_;
 };
 
 /// Waits for the end of an idle connection's cool-down. If bytes have come on it until then, they belong to
 /// an earlier response, and another connection is acquired instead.
-class PendingReuse : public NodePool::Ticket, public std::enable_shared_from_this<PendingReuse> {
+class ReuseAcquisition : public NodePool::Acquisition, public std::enable_shared_from_this<ReuseAcquisition> {
 public:
-    PendingReuse(boost::asio::io_context& io, NodePool& pool, std::shared_ptr<Connection> connection,
-                 NodePool::Ready ready);
+    ReuseAcquisition(boost::asio::io_context& io, NodePool& pool, std::shared_ptr<Connection> connection,
+                     NodePool::OnAcquired onAcquired);
 
     /// Completes at `cooldownEnd`, or on a later turn of the loop if that is past.
     void start(std::chrono::steady_clock::time_point cooldownEnd);
@@ -48,20 +49,21 @@
     NodePool& pool_;
     boost::asio::steady_timer cooldown_;
     std::shared_ptr<Connection> connection_;
-    std::shared_ptr<NodePool::Ticket> replacement_;
-    NodePool::Ready ready_;
+    std::shared_ptr<NodePool::Acquisition> replacement_;
+    NodePool::OnAcquired onAcquired_;
 };
 
 /// Reports a failure on a later turn of the loop, as acquire() never calls back from within.
-class PendingFailure : public NodePool::Ticket, public std::enable_shared_from_this<PendingFailure> {
+class FailedAcquisition : public NodePool::Acquisition,
+                          public std::enable_shared_from_this<FailedAcquisition> {
 public:
-    PendingFailure(boost::asio::io_context& io, NodePool::Ready ready);
+    FailedAcquisition(boost::asio::io_context& io, NodePool::OnAcquired onAcquired);
 
     void start();
 
 private:
     boost::asio::steady_timer timer_;
-    NodePool::Ready ready_;
+    NodePool::OnAcquired onAcquired_;
 };
 
 }  // namespace wingproxy::net
--- a/src/net/answer_reader.h
+++ b/src/net/response_reader.h
@@ -6,24 +6,24 @@
 #include <optional>
 #include <string>
 
-#include "net/http_step.h"
+#include "net/message_reader.h"
 
 namespace wingproxy::net {
 
 /// An incremental response reader over a connection's ring buffer, which it does not own.
-class AnswerReader {
+class ResponseReader {
 public:
     using Parser = MessageReader<false>::Parser;
 
     /// \param maxBodyBytes a longer body is an error
-    AnswerReader(const RingBuffer& in, std::size_t maxBodyBytes) : maxBodyBytes_(maxBodyBytes) {
+    ResponseReader(const RingBuffer& in, std::size_t maxBodyBytes) : maxBodyBytes_(maxBodyBytes) {
         startResponse(in);
     }
 
     /// Goes on with the head and skips interim ones (1xx but for 101, which ends HTTP on the connection).
     /// \return true once the final one is complete
-    bool head(RingBuffer& in, boost::system::error_code& error) {
-        while (reader_->head(in, error)) {
+    bool readHead(RingBuffer& in, boost::system::error_code& error) {
+        while (reader_->readHead(in, error)) {
             if (!isInterim() || interimCount_ >= kMaxInterimResponses) return true;
             ++interimCount_;
             startResponse(in);
@@ -31,31 +31,31 @@
         return false;
     }
 
-    /// See `MessageReader::body`.
-    std::size_t body(RingBuffer& in, char* to, std::size_t count, boost::system::error_code& error) {
-        return reader_->body(in, to, count, error);
+    /// See `MessageReader::readBody`.
+    std::size_t readBody(RingBuffer& in, char* to, std::size_t count, boost::system::error_code& error) {
+        return reader_->readBody(in, to, count, error);
     }
 
-    /// See `MessageReader::append`.
-    void append(RingBuffer& in, std::string& to, std::size_t maxBytes, boost::system::error_code& error) {
-        reader_->append(in, to, maxBytes, error);
+    /// See `MessageReader::appendBody`.
+    void appendBody(RingBuffer& in, std::string& to, std::size_t maxBytes, boost::system::error_code& error) {
+        reader_->appendBody(in, to, maxBytes, error);
     }
 
     /// The node closed its side in order. In every version of HTTP that completes a body which has neither a
     /// length nor chunks, and truncates any other that is incomplete. Not to be called after a reset, which
     /// completes nothing.
     /// \param error set if the response is truncated
-    void closed(boost::system::error_code& error) {
-        if (!done() && gotSome()) reader_->ended(error);
+    void onEndOfStream(boost::system::error_code& error) {
+        if (!isComplete() && hasParsedAny()) reader_->onEndOfStream(error);
     }
 
     /// Whether the response is complete.
-    bool done() const { return reader_->done(); }
+    bool isComplete() const { return reader_->isComplete(); }
     /// Whether any byte of the current response, interim or final, has been read.
-    bool gotSome() const { return reader_->gotSome(); }
+    bool hasParsedAny() const { return reader_->hasParsedAny(); }
     /// Whether the response allows another exchange on its connection.
     bool keepAlive() const {
-        return done() && !reader_->parser().need_eof() && reader_->parser().keep_alive();
+        return isComplete() && !reader_->parser().need_eof() && reader_->parser().keep_alive();
     }
     /// Gives access to the head.
     const Parser& parser() const { return reader_->parser(); }
--- a/src/net/ring_buffer.h
+++ b/src/net/ring_buffer.h
@@ -14,13 +14,13 @@
 namespace wingproxy::net {
 
 /// The largest ring, in bytes: a larger one does not raise the throughput.
-constexpr std::size_t kMostRing = std::size_t{16} * 1024;
+constexpr std::size_t kMaxRingBytes = std::size_t{16} * 1024;
 /// The smallest ring, in bytes: a message head of ordinary length fits. The size between the two follows from
 /// the configured memory and descriptors.
-constexpr std::size_t kLeastRing = std::size_t{4} * 1024;
+constexpr std::size_t kMinRingBytes = std::size_t{4} * 1024;
 
 /// A first-in, first-out queue of bytes with a fixed capacity. Asynchronous reads and writes work directly on
-/// its memory: `room()` stays valid while bytes are consumed, and `data()` while bytes are committed.
+/// its memory: `prepare()` stays valid while bytes are consumed, and `data()` while bytes are committed.
 class RingBuffer {
 public:
     /// \param capacity in bytes, above 0
@@ -29,7 +29,7 @@
     /// The number of bytes held.
     std::size_t size() const { return size_; }
     /// The number of bytes that still fit.
-    std::size_t space() const { return capacity_ - size_; }
+    std::size_t freeSpace() const { return capacity_ - size_; }
     /// The number of bytes that fit into an empty ring.
     std::size_t capacity() const { return capacity_; }
     /// Consumes all bytes.
@@ -43,15 +43,15 @@
     }
 
     /// The free memory, for a read into it; `commit()` the bytes that were read.
-    std::array<boost::asio::mutable_buffer, 2> room() {
+    std::array<boost::asio::mutable_buffer, 2> prepare() {
         const auto tail = (head_ + size_) % capacity_;
-        const auto first = size_ == capacity_ ? 0 : std::min(space(), capacity_ - tail);
+        const auto first = size_ == capacity_ ? 0 : std::min(freeSpace(), capacity_ - tail);
         return {boost::asio::mutable_buffer(bytes_.get() + tail, first),
-                boost::asio::mutable_buffer(bytes_.get(), space() - first)};
+                boost::asio::mutable_buffer(bytes_.get(), freeSpace() - first)};
     }
 
-    /// Adds the first `count` bytes of `room()`, at most `space()`, to the bytes held.
-    void commit(std::size_t count) { size_ += std::min(count, space()); }
+    /// Adds the first `count` bytes of `prepare()`, at most `freeSpace()`, to the bytes held.
+    void commit(std::size_t count) { size_ += std::min(count, freeSpace()); }
 
     /// Drops the oldest `count` bytes, at most `size()`.
     void consume(std::size_t count) {
@@ -77,7 +77,7 @@
 
     /// Moves the oldest line, without its "\n" or "\r\n", to `into`.
     /// \return false: no complete line is here, nothing was consumed, and `into` has no meaning
-    bool line(std::string& into) {
+    bool readLine(std::string& into) {
         std::size_t scanned = 0;
         into.clear();
         for (const auto& part : newest(size_)) {
@@ -95,8 +95,8 @@
 
     /// Appends as much of `text` as fits.
     /// \return the number of bytes appended
-    std::size_t put(std::string_view text) {
-        const auto taken = boost::asio::buffer_copy(room(), boost::asio::buffer(text.data(), text.size()));
+    std::size_t append(std::string_view text) {
+        const auto taken = boost::asio::buffer_copy(prepare(), boost::asio::buffer(text.data(), text.size()));
         commit(taken);
         return taken;
     }
--- a/src/net/session.cpp
+++ b/src/net/session.cpp
@@ -11,23 +11,23 @@
 using boost::asio::ip::tcp;
 
 // Reads of unread bytes before a close, at most: a client that floods is reset.
-constexpr int kMaxDroppedReads = 16;
+constexpr int kMaxDiscardedReads = 16;
 
 }  // namespace
 
 Session::Session(SessionManager& sessionManager, tcp::socket socket)
     : sessionManager_(sessionManager),
       socket_(std::move(socket)),
-      in_(sessionManager.ring()),
-      out_(sessionManager.ring()),
+      in_(sessionManager.ringBytes()),
+      out_(sessionManager.ringBytes()),
       lingerTimer_(sessionManager.io()) {}
 
 // Goes on while a response is owed as well: that is how a disconnect is noticed.
 void Session::read() {
-    if (reading_ || !open_ || in_.space() == 0) return;
+    if (reading_ || !open_ || in_.freeSpace() == 0) return;
     reading_ = true;
-    socket_.async_read_some(in_.room(), [self = shared_from_this(), requested = in_.space()](
-                                            const boost::system::error_code& error, std::size_t count) {
+    socket_.async_read_some(in_.prepare(), [self = shared_from_this(), requested = in_.freeSpace()](
+                                               const boost::system::error_code& error, std::size_t count) {
         self->onRead(error, count, requested);
     });
 }
@@ -35,14 +35,14 @@
 void Session::onRead(const boost::system::error_code& error, std::size_t count, std::size_t requested) {
     reading_ = false;
     if (!open_) return;
-    if (error) return closeBroken();
+    if (error) return onConnectionError();
     in_.commit(count);
-    drained_ = count < requested;
-    if (lingers()) {
+    readDrainedSocket_ = count < requested;
+    if (isLingering()) {
         in_.clear();
-        armLingerTimer();
+        restartLingerTimer();
     } else {
-        received();
+        onReceived();
     }
     read();
 }
@@ -53,12 +53,12 @@
     write();
 }
 
-void Session::feed(Source source) {
+void Session::setOutputSource(Source source) {
     output_.setSource(std::move(source));
     write();
 }
 
-void Session::endFeed() {
+void Session::clearOutputSource() {
     output_.clearSource();
     // Not from within, as the caller may be in the middle of a change of state.
     boost::asio::post(sessionManager_.io(), [self = shared_from_this()] { self->write(); });
@@ -71,7 +71,7 @@
     writing_ = false;
     if (!open_) return;
     if (out_.size() == 0) {
-        if (output_.empty()) sent();
+        if (output_.empty()) onOutputSent();
         return;
     }
     writing_ = true;
@@ -85,45 +85,45 @@
     writing_ = false;
     if (!open_) return;
     out_.consume(count);
-    if (error) return closeBroken();
-    progressed();
+    if (error) return onConnectionError();
+    onWriteProgress();
     write();
 }
 
-void Session::closeBroken() {
-    if (!lingers()) disconnected();
+void Session::onConnectionError() {
+    if (!isLingering()) onDisconnected();
     close();
 }
 
 // A reset because of unread bytes could take the response back, so the sending side ends first.
-void Session::linger(std::chrono::milliseconds limit) {
-    if (!open_ || lingers()) return;
-    lingerDeadline_.start(LingerDeadline::Clock::now(), limit);
-    sessionManager_.sessionLingers();
+void Session::startLingeringClose(std::chrono::milliseconds limit) {
+    if (!open_ || isLingering()) return;
+    lingeringClose_.start(LingeringClose::Clock::now(), limit);
+    sessionManager_.onSessionLingering();
     boost::system::error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
     in_.clear();
-    armLingerTimer();
+    restartLingerTimer();
     read();
 }
 
-void Session::armLingerTimer() {
-    lingerTimer_.expires_at(lingerDeadline_.closeAt(LingerDeadline::Clock::now()));
+void Session::restartLingerTimer() {
+    lingerTimer_.expires_at(lingeringClose_.closeAt(LingeringClose::Clock::now()));
     lingerTimer_.async_wait([self = shared_from_this()](const boost::system::error_code& rearmed) {
         if (!rearmed) self->close();
     });
 }
 
-bool Session::evictable() const {
-    if (lingers()) return lingerDeadline_.evictable(LingerDeadline::Clock::now());
-    return idle() && unread() == 0;
+bool Session::isEvictable() const {
+    if (isLingering()) return lingeringClose_.isEvictable(LingeringClose::Clock::now());
+    return isIdle() && unreadBytes() == 0;
 }
 
 void Session::closeGracefullyIfIdle() {
-    if (open_ && !lingers() && idle() && unread() == 0) closeGracefully();
+    if (open_ && !isLingering() && isIdle() && unreadBytes() == 0) closeGracefully();
 }
 
-std::size_t Session::unread() const {
+std::size_t Session::unreadBytes() const {
     boost::system::error_code error;
     const auto bytes = socket_.available(error);
     return error ? 0 : bytes;
@@ -136,15 +136,15 @@
     close();
 }
 
-bool Session::closeIfHungUp() {
-    if (!hungUp()) return false;
-    disconnected();
+bool Session::closeIfClientDisconnected() {
+    if (!hasClientDisconnected()) return false;
+    onDisconnected();
     close();
     return true;
 }
 
-bool Session::hungUp() {
-    if (!open_ || reading_ || lingers()) return false;  // a pending read notices
+bool Session::hasClientDisconnected() {
+    if (!open_ || reading_ || isLingering()) return false;  // a pending read notices
     pollfd descriptor{socket_.native_handle(), POLLRDHUP, 0};
     return ::poll(&descriptor, 1, 0) > 0 && (descriptor.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
@@ -152,21 +152,21 @@
 void Session::close() {
     if (!open_) return;
     open_ = false;
-    if (!resetOnClose_) dropUnread();
+    if (!resetOnClose_) discardUnread();
     boost::system::error_code ignored;
     socket_.close(ignored);
     lingerTimer_.cancel();
-    sessionManager_.sessionClosed(*this);  // drops what may be the last reference but the caller's
+    sessionManager_.onSessionClosed(*this);  // drops what may be the last reference but the caller's
 }
 
 // A close with unread bytes is a reset, which takes back what the client has not read yet. The sending side
 // ends first, so that no request whose sender expects a response can come after the last check.
-void Session::dropUnread() {
+void Session::discardUnread() {
     boost::system::error_code error;
     socket_.shutdown(tcp::socket::shutdown_send, error);
     error = {};
     std::array<char, 4096> dropped{};
-    for (int i = 0; i < kMaxDroppedReads && !error && unread() > 0; ++i)
+    for (int i = 0; i < kMaxDiscardedReads && !error && unreadBytes() > 0; ++i)
         socket_.read_some(boost::asio::buffer(dropped), error);
 }
 
--- a/src/net/session.h
+++ b/src/net/session.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "net/linger_deadline.h"
+#include "net/lingering_close.h"
 #include "net/listener.h"
 #include "net/pending_output.h"
 #include "net/ring_buffer.h"
@@ -26,80 +26,80 @@
     /// Called once, when the manager has the session.
     virtual void start() { read(); }
     /// Whether nothing is owed to the client, so that the connection may be closed.
-    virtual bool idle() const = 0;
+    virtual bool isIdle() const = 0;
     /// Of the sessions that may be evicted, the one with the lowest priority goes first, and of equals the
     /// one that has been inactive the longest.
     virtual int evictionPriority() const { return 0; }
     /// Called by the manager every 200 ms: closes a session that has waited too long.
-    virtual void sweep() {}
+    virtual void enforceTimeouts() {}
     /// Closes at once. Unread bytes are read and dropped first, as they would turn the close into a reset.
     void close();
     /// Called at shutdown, when nothing is owed: closes without a reset. What still comes is not served.
-    virtual void closeGracefully() { linger(); }
+    virtual void closeGracefully() { startLingeringClose(); }
     /// Closes in favour of a new client, when nothing is owed.
     virtual void evict() { close(); }
 
     /// Whether the connection is only kept for the client to read the last response.
-    bool lingers() const { return lingerDeadline_.active(); }
+    bool isLingering() const { return lingeringClose_.isActive(); }
     /// Whether this may be closed in favour of a new client.
-    bool evictable() const;
+    bool isEvictable() const;
     /// Calls closeGracefully() if nothing is owed and nothing unread has come.
     void closeGracefullyIfIdle();
     /// Notices a client that has closed or reset its connection though nothing is read from it, as its ring
     /// buffer is full.
     /// \return true: it has, and the session is closed
-    bool closeIfHungUp();
+    bool closeIfClientDisconnected();
 
 protected:
     /// Produces output; see `PendingOutput`.
     using Source = PendingOutput::Source;
 
     /// There are more bytes in in_.
-    virtual void received() = 0;
+    virtual void onReceived() = 0;
     /// The client closed the connection, or it broke. The session is closed afterwards.
-    virtual void disconnected() {}
+    virtual void onDisconnected() {}
     /// All output is written: what send() was given, and all that the source produced.
-    virtual void sent() {}
+    virtual void onOutputSent() {}
     /// The client took some of the output.
-    virtual void progressed() {}
+    virtual void onWriteProgress() {}
 
     /// Starts to read, which goes on by itself while in_ has space.
     void read();
     /// Adds text to the output.
     void send(std::string_view text);
     /// Adds output of unknown length behind what send() was given: `source` is asked whenever the ring has
-    /// room. Where it has nothing yet, resumeFeed() asks it again; endFeed() ends it.
-    void feed(Source source);
-    void resumeFeed() { write(); }
-    void endFeed();
+    /// room. Where it has nothing yet, resumeOutput() asks it again; clearOutputSource() ends it.
+    void setOutputSource(Source source);
+    void resumeOutput() { write(); }
+    void clearOutputSource();
     /// Nothing more is to be sent: shuts the sending side down and closes once the client has closed, is
-    /// quiet, or `limit` is over; see `LingerDeadline`.
-    void linger(std::chrono::milliseconds limit = std::chrono::milliseconds(2'000));
+    /// quiet, or `limit` is over; see `LingeringClose`.
+    void startLingeringClose(std::chrono::milliseconds limit = std::chrono::milliseconds(2'000));
     /// Makes this the last of its equals to be evicted.
-    void markActive() { sessionManager_.sessionActive(*this); }
-    bool open() const { return open_; }
+    void markActive() { sessionManager_.onSessionActive(*this); }
+    bool isOpen() const { return open_; }
     /// Closes with a reset, so that the client sees that its response is truncated.
     void reset();
     /// Bytes received by the system and not read yet.
-    std::size_t unread() const;
+    std::size_t unreadBytes() const;
 
     SessionManager& sessionManager_;
     boost::asio::ip::tcp::socket socket_;
     RingBuffer in_;
     RingBuffer out_;
-    bool drained_ = false;  ///< the last read took all that had come
+    bool readDrainedSocket_ = false;  ///< the last read took all that had come
 
 private:
     void onRead(const boost::system::error_code& error, std::size_t count, std::size_t requested);
     void write();
     void onWritten(const boost::system::error_code& error, std::size_t count);
-    void closeBroken();
-    void armLingerTimer();
-    bool hungUp();
-    void dropUnread();
+    void onConnectionError();
+    void restartLingerTimer();
+    bool hasClientDisconnected();
+    void discardUnread();
 
     PendingOutput output_;
-    LingerDeadline lingerDeadline_;
+    LingeringClose lingeringClose_;
     boost::asio::steady_timer lingerTimer_;
     bool open_ = true;
     bool resetOnClose_ = false;
--- a/src/net/session_manager.cpp
+++ b/src/net/session_manager.cpp
@@ -16,11 +16,12 @@
 }  // namespace
 
 SessionManager::SessionManager(boost::asio::io_context& io, const config::Endpoint& address,
-                               std::size_t capacity, Make make, std::size_t ringBytes, int inherited)
+                               std::size_t capacity, SessionFactory makeSession, std::size_t ringBytes,
+                               int inherited)
     : io_(io),
       capacity_(capacity),
       ringBytes_(ringBytes),
-      make_(std::move(make)),
+      makeSession_(std::move(makeSession)),
       listener_(io, address,
                 {[this](tcp::socket socket) { addSession(std::move(socket)); },
                  [this] { return sessions_.size() >= capacity_; }, [this] { return evictOne(); }},
@@ -33,13 +34,13 @@
 
 void SessionManager::addSession(tcp::socket socket) {
     ++accepted_;
-    const auto session = make_(*this, std::move(socket));
+    const auto session = makeSession_(*this, std::move(socket));
     sessions_.add(session);
     session->start();
 }
 
-void SessionManager::sessionClosed(const Session& session) {
-    if (session.lingers()) --lingeringCount_;
+void SessionManager::onSessionClosed(const Session& session) {
+    if (session.isLingering()) --lingeringCount_;
     sessions_.remove(session);
 }
 
@@ -47,8 +48,8 @@
     for (auto it = sessions_.begin(); it != sessions_.end();) {
         const auto session = *it;  // keeps it alive: it may close itself, but no other
         ++it;
-        if (!session->lingers()) session->sweep();
-        if (session->closeIfHungUp()) ++hangUps_;
+        if (!session->isLingering()) session->enforceTimeouts();
+        if (session->closeIfClientDisconnected()) ++detectedDisconnects_;
     }
     sweepTimer_.expires_after(kSweepInterval);
     sweepTimer_.async_wait([this](const boost::system::error_code& error) {
@@ -60,10 +61,10 @@
     std::shared_ptr<Session> candidate;
     for (const auto& session : sessions_) {
         const bool precedes = !candidate || session->evictionPriority() < candidate->evictionPriority();
-        if (precedes && session->evictable()) candidate = session;
+        if (precedes && session->isEvictable()) candidate = session;
     }
     if (!candidate) return false;
-    ++closedIdle_;
+    ++evictions_;
     candidate->evict();
     return true;
 }
@@ -71,7 +72,7 @@
 void SessionManager::closeIdleGracefully() {
     // In the next turn, as what was read in this one may not have been handled yet.
     for (const auto& session : sessions_)
-        if (!session->lingers() && session->idle())
+        if (!session->isLingering() && session->isIdle())
             boost::asio::post(io_, [session] { session->closeGracefullyIfIdle(); });
 }
 
--- a/src/net/session_manager.h
+++ b/src/net/session_manager.h
@@ -9,8 +9,8 @@
 #include <functional>
 #include <memory>
 
-#include "net/activity_list.h"
 #include "net/listener.h"
+#include "net/lru_list.h"
 #include "net/ring_buffer.h"
 
 namespace wingproxy::net {
@@ -22,14 +22,15 @@
 class SessionManager {
 public:
     /// Makes the session of a connection; it is started by the manager.
-    using Make = std::function<std::shared_ptr<Session>(SessionManager&, boost::asio::ip::tcp::socket)>;
+    using SessionFactory =
+        std::function<std::shared_ptr<Session>(SessionManager&, boost::asio::ip::tcp::socket)>;
 
     /// Binds, and accepts at once unless the listening socket is inherited.
     /// \param capacity the limit of connections
     /// \param ringBytes of each direction's ring buffer of a connection
     /// \param inherited see `Listener`; such a manager accepts after open()
     SessionManager(boost::asio::io_context& io, const config::Endpoint& address, std::size_t capacity,
-                   Make make, std::size_t ringBytes = kMostRing, int inherited = -1);
+                   SessionFactory makeSession, std::size_t ringBytes = kMaxRingBytes, int inherited = -1);
 
     void open() { listener_.open(); }
     /// Stops to accept and leaves the waiting clients to another process that has the same socket.
@@ -42,19 +43,19 @@
     void stop();
 
     /// Connections that may still send a request.
-    std::size_t connections() const { return sessions_.size() - lingeringCount_; }
+    std::size_t activeConnections() const { return sessions_.size() - lingeringCount_; }
     /// All connections, with those that only linger.
     std::size_t sessionCount() const { return sessions_.size(); }
     /// Connections accepted so far.
     std::uint64_t accepted() const { return accepted_; }
     /// Connections closed so far in favour of a new client.
-    std::uint64_t closedIdle() const { return closedIdle_; }
+    std::uint64_t evictions() const { return evictions_; }
     /// Disconnects noticed so far by the sweep, as nothing was read from the client.
-    std::uint64_t detectHangUp() const { return hangUps_; }
+    std::uint64_t detectedDisconnects() const { return detectedDisconnects_; }
     std::size_t capacity() const { return capacity_; }
     void setCapacity(std::size_t connections) { capacity_ = connections; }
     /// Bytes of each direction's ring buffer of a connection.
-    std::size_t ring() const { return ringBytes_; }
+    std::size_t ringBytes() const { return ringBytes_; }
     /// The address as bound; also after the listening socket is closed.
     config::Endpoint address() const { return address_; }
     boost::asio::io_context& io() { return io_; }
@@ -62,10 +63,10 @@
     /// \name Called by sessions
     /// \{
     /// Makes the session the last one to be evicted among equals.
-    void sessionActive(const Session& session) { sessions_.markActive(session); }
-    void sessionLingers() { ++lingeringCount_; }
+    void onSessionActive(const Session& session) { sessions_.touch(session); }
+    void onSessionLingering() { ++lingeringCount_; }
     /// Drops a session that has closed its socket.
-    void sessionClosed(const Session& session);
+    void onSessionClosed(const Session& session);
     /// \}
 
 private:
@@ -76,12 +77,12 @@
     boost::asio::io_context& io_;
     std::size_t capacity_;
     std::size_t ringBytes_;
-    Make make_;
+    SessionFactory makeSession_;
     std::size_t lingeringCount_ = 0;
     std::uint64_t accepted_ = 0;
-    std::uint64_t closedIdle_ = 0;
-    std::uint64_t hangUps_ = 0;
-    ActivityList<Session> sessions_;
+    std::uint64_t evictions_ = 0;
+    std::uint64_t detectedDisconnects_ = 0;
+    LruList<Session> sessions_;
     Listener listener_;
     config::Endpoint address_;
     boost::asio::steady_timer sweepTimer_;
--- a/src/net/watch_timing.h
+++ b/src/net/watch_timing.h
@@ -19,7 +19,7 @@
     /// as lost.
     std::chrono::milliseconds continuedTimeout{500};
     /// The same for the first request of a watch. It waits for its turn among the requests of all fronts, for
-    /// which discovery allows 2 s; the front must see the end of that, as a request that is abandoned sooner
+    /// which discovery allows 2 s; the front must see the end of that, as a request that is cancelled sooner
     /// keeps its turn, and the next one queues behind it.
     std::chrono::milliseconds firstTimeout{2'500};
 };
--- a/src/rsync/client_session.cpp
+++ b/src/rsync/client_session.cpp
@@ -44,7 +44,7 @@
     });
 }
 
-void ClientSession::received() {
+void ClientSession::onReceived() {
     if (stage_ == Stage::Handshake)
         handleHandshakeLines();
     else if (onReceived_)
@@ -53,9 +53,9 @@
 
 void ClientSession::handleHandshakeLines() {
     std::string line;
-    while (stage_ == Stage::Handshake && in_.line(line))
+    while (stage_ == Stage::Handshake && in_.readLine(line))
         apply(handshake_.onLine(line));
-    if (stage_ == Stage::Handshake && in_.space() == 0)
+    if (stage_ == Stage::Handshake && in_.freeSpace() == 0)
         apply(handshake_.reject({HandshakeErrorCode::LineTooLong, {}}));
 }
 
@@ -102,8 +102,8 @@
     return request;
 }
 
-void ClientSession::startRelay(std::function<void()> onReceived) {
-    relayStarted_ = true;
+void ClientSession::startForwarding(std::function<void()> onReceived) {
+    forwardingStarted_ = true;
     onReceived_ = std::move(onReceived);
 }
 
@@ -122,13 +122,13 @@
 
 void ClientSession::onFailed() {
     ++context_.counters.failed;
-    if (relayStarted_)
+    if (forwardingStarted_)
         close();
     else
         closeWithError("the transfer failed");
 }
 
-void ClientSession::disconnected() {
+void ClientSession::onDisconnected() {
     if (stage_ != Stage::Transfer) return;
     stage_ = Stage::Closing;
     const auto attempt = attempt_.lock();
@@ -139,8 +139,8 @@
     if (attempt) attempt->clientDisconnected();
 }
 
-void ClientSession::sent() {
-    if (stage_ == Stage::Closing) linger();
+void ClientSession::onOutputSent() {
+    if (stage_ == Stage::Closing) startLingeringClose();
 }
 
 void ClientSession::closeWithError(const std::string& message) {
@@ -152,7 +152,7 @@
     stage_ = Stage::Closing;
     onReceived_ = nullptr;
     handshakeTimer_.cancel();
-    send("");  // sent() is called even if nothing waits to be sent
+    send("");  // onOutputSent() is called even if nothing waits to be sent
 }
 
 }  // namespace wingproxy::rsync
--- a/src/rsync/client_session.h
+++ b/src/rsync/client_session.h
@@ -8,8 +8,8 @@
 
 #include "net/session.h"
 #include "rsync/client_handshake.h"
+#include "rsync/client_stream.h"
 #include "rsync/front_context.h"
-#include "rsync/relay_endpoint.h"
 
 namespace wingproxy::rsync {
 
@@ -17,7 +17,7 @@
 
 /// Owns the client's socket and buffers. A transfer's outcome comes from its PendingTransfer; the bytes of
 /// the node from the attempt that is in flight.
-class ClientSession : public net::Session, public RelayEndpoint {
+class ClientSession : public net::Session, public ClientStream {
 public:
     /// \param context has to outlive the session
     ClientSession(FrontContext& context, net::SessionManager& sessionManager,
@@ -26,12 +26,12 @@
     /// Sends the greeting and starts the handshake's timer.
     void start() override;
     /// Before a transfer, the connection may be closed to make room for another client.
-    bool idle() const override { return stage_ == Stage::Handshake; }
+    bool isIdle() const override { return stage_ == Stage::Handshake; }
 
     boost::asio::ip::tcp::socket& socket() override { return socket_; }
-    net::RingBuffer& receivedBytes() override { return in_; }
+    net::RingBuffer& receiveBuffer() override { return in_; }
     void resumeReading() override { read(); }
-    void startRelay(std::function<void()> onReceived) override;
+    void startForwarding(std::function<void()> onReceived) override;
 
     /// Remembers the attempt in flight, which learns of the client's disconnection.
     void attemptStarted(std::weak_ptr<TransferAttempt> attempt);
@@ -45,14 +45,14 @@
     void onFailed();
 
 protected:
-    void received() override;
-    void disconnected() override;
-    void sent() override;
+    void onReceived() override;
+    void onDisconnected() override;
+    void onOutputSent() override;
 
 private:
     enum class Stage {
         Handshake,  ///< reading lines
-        Transfer,   ///< submitted to the engine, then relayed
+        Transfer,   ///< submitted to the engine, then forwarded
         Closing     ///< the last bytes are being sent
     };
 
@@ -71,7 +71,7 @@
     Stage stage_ = Stage::Handshake;
     RequestId requestId_ = 0;
     std::weak_ptr<TransferAttempt> attempt_;
-    bool relayStarted_ = false;
+    bool forwardingStarted_ = false;
     std::function<void()> onReceived_;
 };
 
--- a/src/rsync/front.h
+++ b/src/rsync/front.h
@@ -21,7 +21,7 @@
     /// \param maxClients connections of clients at once
     /// \param ringSize bytes of buffer for each direction of a connection
     Front(net::Engine& engine, net::NodePool& pool, const config::RsyncFront& config, std::size_t maxClients,
-          std::size_t ringSize = net::kMostRing);
+          std::size_t ringSize = net::kMaxRingBytes);
 
     net::SessionManager& sessionManager() { return sessionManager_; }
     const Counters& counters() const { return context_.counters; }
--- a/src/rsync/pending_transfer.cpp
+++ b/src/rsync/pending_transfer.cpp
@@ -13,7 +13,7 @@
       session_(std::move(session)),
       request_(std::make_shared<const TransferRequest>(std::move(request))) {}
 
-std::shared_ptr<net::Attempt> PendingTransfer::start(const net::AttemptParams& params) {
+std::shared_ptr<net::Attempt> PendingTransfer::startAttempt(const net::AttemptParams& params) {
     auto daemonParams = params;
     if (context_.config.nodePort != 0) daemonParams.node.port = context_.config.nodePort;
     const auto attempt =
@@ -23,15 +23,15 @@
     return attempt;
 }
 
-void PendingTransfer::deliver(AttemptIndex) {
+void PendingTransfer::deliverResponse(AttemptIndex) {
     if (const auto session = session_.lock()) session->onCompleted();
 }
 
-void PendingTransfer::refuse(Micros retryAfterUs) {
+void PendingTransfer::sendRejection(Micros retryAfterUs) {
     if (const auto session = session_.lock()) session->onRejected(retryAfterUs);
 }
 
-void PendingTransfer::fail() {
+void PendingTransfer::sendFailure() {
     if (const auto session = session_.lock()) session->onFailed();
 }
 
--- a/src/rsync/pending_transfer.h
+++ b/src/rsync/pending_transfer.h
@@ -14,15 +14,15 @@
 
 /// Owned by the engine until the outcome is known. Does not keep the session alive: the client may disconnect
 /// first.
-class PendingTransfer : public net::Transfer {
+class PendingTransfer : public net::RequestHandler {
 public:
     /// \param context has to outlive this object
     PendingTransfer(FrontContext& context, std::weak_ptr<ClientSession> session, TransferRequest request);
 
-    std::shared_ptr<net::Attempt> start(const net::AttemptParams& params) override;
-    void deliver(AttemptIndex attempt) override;
-    void refuse(Micros retryAfterUs) override;
-    void fail() override;
+    std::shared_ptr<net::Attempt> startAttempt(const net::AttemptParams& params) override;
+    void deliverResponse(AttemptIndex attempt) override;
+    void sendRejection(Micros retryAfterUs) override;
+    void sendFailure() override;
 
 private:
     FrontContext& context_;
--- a/src/rsync/transfer_attempt.cpp
+++ b/src/rsync/transfer_attempt.cpp
@@ -17,7 +17,7 @@
 // round, neither does.
 TransferAttempt::TransferAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptParams& params,
                                  std::shared_ptr<const TransferRequest> request,
-                                 std::weak_ptr<RelayEndpoint> client)
+                                 std::weak_ptr<ClientStream> client)
     : net::NodeAttempt(engine, pool, params),
       request_(std::move(request)),
       client_(std::move(client)),
@@ -33,7 +33,7 @@
     return std::static_pointer_cast<TransferAttempt>(shared_from_this());
 }
 
-void TransferAttempt::connected(std::shared_ptr<net::Connection> connection) {
+void TransferAttempt::onConnected(std::shared_ptr<net::Connection> connection) {
     connection_ = std::move(connection);
     sendToNode(greeting() + request_->nodeModule + "\n");
     readFromNode();
@@ -48,12 +48,12 @@
 
 void TransferAttempt::writeHandshake() {
     auto& out = connection_->out;
-    handshakeOutput_.erase(0, out.put(handshakeOutput_));
+    handshakeOutput_.erase(0, out.append(handshakeOutput_));
     writingHandshake_ = out.size() > 0;
     if (!writingHandshake_) return onHandshakeWritten();
     connection_->socket.async_write_some(
         out.data(), [self = self()](const boost::system::error_code& error, std::size_t size) {
-            if (self->over_) return;
+            if (self->ended_) return;
             self->connection_->out.consume(size);
             if (error)
                 self->finish(Outcome::ConnectFailed);  // a part of the request was not written: it never ran
@@ -65,31 +65,31 @@
 void TransferAttempt::onHandshakeWritten() {
     if (!requestSent_ && stage_ != Stage::Handshake) {
         requestSent_ = true;
-        engine_.attemptRequestSent(order_.id, order_.attempt);
+        engine_.attemptRequestSent(params_.id, params_.attempt);
     }
-    if (stage_ == Stage::Relay) forwardToNode();
+    if (stage_ == Stage::Forwarding) forwardToNode();
 }
 
 // ---------------------------------------------------------------- from the node
 
 void TransferAttempt::readFromNode() {
-    if (readingNode_ || nodeEnded_ || connection_->in.space() == 0) return;
+    if (readingNode_ || nodeEnded_ || connection_->in.freeSpace() == 0) return;
     readingNode_ = true;
     connection_->socket.async_read_some(
-        connection_->in.room(), [self = self()](const boost::system::error_code& error, std::size_t size) {
+        connection_->in.prepare(), [self = self()](const boost::system::error_code& error, std::size_t size) {
             self->readingNode_ = false;
-            if (!self->over_) self->onNodeRead(size, error.failed());
+            if (!self->ended_) self->onNodeRead(size, error.failed());
         });
 }
 
 void TransferAttempt::onNodeRead(std::size_t size, bool ended) {
     connection_->in.commit(size);
     if (ended) nodeEnded_ = true;
-    if (stage_ == Stage::Relay)
+    if (stage_ == Stage::Forwarding)
         parseNodeStream(size);
     else
         handleHandshakeLines();
-    if (over_) return;
+    if (ended_) return;
     if (nodeEnded_)
         finishIfComplete();
     else
@@ -98,7 +98,7 @@
 
 void TransferAttempt::handleHandshakeLines() {
     std::string line;
-    while (stage_ == Stage::Handshake && connection_->in.line(line)) {
+    while (stage_ == Stage::Handshake && connection_->in.readLine(line)) {
         switch (handshake_.onLine(line)) {
             case NodeHandshake::Step::ReadNextLine:
                 break;
@@ -110,22 +110,22 @@
                 return finish(Outcome::Rejected);
         }
     }
-    if (stage_ == Stage::Arguments) return startRelayIfStreamBegan();
-    const bool lineTooLong = connection_->in.space() == 0;
+    if (stage_ == Stage::Arguments) return startForwardingIfStreamBegan();
+    const bool lineTooLong = connection_->in.freeSpace() == 0;
     if (lineTooLong) finish(Outcome::Rejected);
 }
 
-void TransferAttempt::startRelayIfStreamBegan() {
+void TransferAttempt::startForwardingIfStreamBegan() {
     if (connection_->in.size() == 0) return;
     const auto client = client_.lock();
     if (!client) return finish(Outcome::Cancelled);
-    stage_ = Stage::Relay;
-    engine_.responseForwardingStarted(order_.id, order_.attempt);
-    client->startRelay([weak = std::weak_ptr<TransferAttempt>(self())] {
+    stage_ = Stage::Forwarding;
+    engine_.responseForwardingStarted(params_.id, params_.attempt);
+    client->startForwarding([weak = std::weak_ptr<TransferAttempt>(self())] {
         if (const auto attempt = weak.lock()) attempt->forwardToNode();
     });
     parseNodeStream(connection_->in.size());
-    if (!over_) forwardToNode();
+    if (!ended_) forwardToNode();
 }
 
 void TransferAttempt::parseNodeStream(std::size_t newBytes) {
@@ -148,7 +148,7 @@
         connection_->in.data(),
         [self = self(), client](const boost::system::error_code& error, std::size_t size) {
             self->writingClient_ = false;
-            if (self->over_) return;
+            if (self->ended_) return;
             self->connection_->in.consume(size);
             if (error) return;  // the session's own read reports the disconnection
             self->readFromNode();
@@ -159,8 +159,8 @@
 void TransferAttempt::forwardToNode() {
     const auto client = client_.lock();
     // The arguments are written first.
-    if (over_ || writingNode_ || writingHandshake_ || !client) return;
-    const auto& received = client->receivedBytes();
+    if (ended_ || writingNode_ || writingHandshake_ || !client) return;
+    const auto& received = client->receiveBuffer();
     if (received.size() == 0) return finishIfComplete();
     const auto chunk = received.data().front();
     const std::string_view bytes(static_cast<const char*>(chunk.data()), chunk.size());
@@ -174,9 +174,9 @@
         connection_->socket, boost::asio::buffer(chunk),
         [self = self(), client](const boost::system::error_code& error, std::size_t size) {
             self->writingNode_ = false;
-            if (self->over_) return;
+            if (self->ended_) return;
             if (error) return self->finish(Outcome::Reset);
-            client->receivedBytes().consume(size);
+            client->receiveBuffer().consume(size);
             client->resumeReading();
             self->forwardToNode();
         });
@@ -187,15 +187,15 @@
 bool TransferAttempt::allForwardedToClient() const { return !writingClient_ && connection_->in.size() == 0; }
 
 bool TransferAttempt::isDelivered() const {
-    return !over_ && stage_ == Stage::Relay && nodeStream_.status() == StreamStatus::Complete &&
+    return !ended_ && stage_ == Stage::Forwarding && nodeStream_.status() == StreamStatus::Complete &&
            allForwardedToClient();
 }
 
 void TransferAttempt::finishIfComplete() {
-    if (over_) return;
+    if (ended_) return;
     if (isDelivered()) return finishDelivered();
     if (!nodeEnded_) return;
-    if (stage_ != Stage::Relay)
+    if (stage_ != Stage::Forwarding)
         finish(requestSent_ ? Outcome::Reset : Outcome::ConnectFailed);
     else if (allForwardedToClient())
         finish(Outcome::Reset);
@@ -214,10 +214,10 @@
 void TransferAttempt::finish(Outcome outcome) {
     core::AttemptFinished result;
     result.outcome = outcome;
-    end(std::move(result));
+    finishAttempt(std::move(result));
 }
 
-void TransferAttempt::drop() {
+void TransferAttempt::closeConnection() {
     boost::system::error_code ignored;
     if (connection_) connection_->socket.close(ignored);  // its buffers stay until the handlers have run
 }
--- a/src/rsync/transfer_attempt.h
+++ b/src/rsync/transfer_attempt.h
@@ -1,7 +1,7 @@
 /// \file
-/// One attempt at a transfer: the handshake with the node's daemon, then the relay of both directions between
-/// the node and the client. Both streams are parsed before they are forwarded, so that bytes which break the
-/// protocol reach neither side.
+/// One attempt at a transfer: the handshake with the node's daemon, then both directions are forwarded
+/// between the node and the client. Both streams are parsed before they are forwarded, so that bytes which
+/// break the protocol reach neither side.
 ///
 /// Owns the connection to the node. Bytes of the client that were not forwarded stay with the client's
 /// session; the attempt never sends a byte twice.
@@ -12,10 +12,10 @@
 #include <string>
 
 #include "net/node_attempt.h"
+#include "rsync/client_stream.h"
 #include "rsync/generator_stream.h"
 #include "rsync/multiplexed_stream.h"
 #include "rsync/node_handshake.h"
-#include "rsync/relay_endpoint.h"
 #include "rsync/sender_stream.h"
 #include "rsync/transfer_request.h"
 
@@ -26,7 +26,7 @@
 public:
     /// \param client where the node's stream goes; the attempt is cancelled if the client is gone
     TransferAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptParams& params,
-                    std::shared_ptr<const TransferRequest> request, std::weak_ptr<RelayEndpoint> client);
+                    std::shared_ptr<const TransferRequest> request, std::weak_ptr<ClientStream> client);
 
     /// Whether the node's complete stream was written to the client.
     bool isDelivered() const;
@@ -37,11 +37,11 @@
     enum class Stage {
         Handshake,  ///< reading the daemon's lines
         Arguments,  ///< the arguments are being sent, or the first byte of the stream is awaited
-        Relay       ///< bytes go both ways
+        Forwarding  ///< bytes go both ways
     };
 
-    void connected(std::shared_ptr<net::Connection> connection) override;
-    void drop() override;
+    void onConnected(std::shared_ptr<net::Connection> connection) override;
+    void closeConnection() override;
 
     void sendToNode(const std::string& text);
     void writeHandshake();
@@ -50,7 +50,7 @@
     void readFromNode();
     void onNodeRead(std::size_t size, bool ended);
     void handleHandshakeLines();
-    void startRelayIfStreamBegan();
+    void startForwardingIfStreamBegan();
     void parseNodeStream(std::size_t newBytes);
 
     void forwardToClient();
@@ -62,7 +62,7 @@
     std::shared_ptr<TransferAttempt> self();
 
     std::shared_ptr<const TransferRequest> request_;
-    std::weak_ptr<RelayEndpoint> client_;
+    std::weak_ptr<ClientStream> client_;
     std::shared_ptr<net::Connection> connection_;
     Stage stage_ = Stage::Handshake;
     NodeHandshake handshake_;
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -120,7 +120,7 @@
         stuck.push_back(rig.connect(admin.server.sessionManager().address()));
         if (i % 2) stuck.back()->say("POST /_chunk-servers/det");
     }
-    rig.until([&] { return admin.server.sessionManager().connections() == admin::kMaxConnections; });
+    rig.until([&] { return admin.server.sessionManager().activeConnections() == admin::kMaxConnections; });
     const auto start = std::chrono::steady_clock::now();
     CHECK(hasStatus(admin.send("GET /_ready HTTP/1.1\r\n\r\n"), 200));
     CHECK(std::chrono::steady_clock::now() - start < std::chrono::seconds(1));
--- a/tests/app/metrics_report_test.cpp
+++ b/tests/app/metrics_report_test.cpp
@@ -80,7 +80,7 @@
 }
 
 TEST_CASE("metrics: the line of discovery has its calls by result") {
-    net::Discovery::Counters counters;
+    net::DiscoveryClient::Counters counters;
     counters.calls = 1;
     counters.answers = 2;
     counters.failed = 3;
@@ -134,7 +134,7 @@
 }
 
 TEST_CASE("metrics: the line of the peers has datagrams sent, received and dropped") {
-    net::Peers::Counters counters;
+    net::PeerTransport::Counters counters;
     counters.sent = 1;
     counters.received = 2;
     counters.unsent = 3;
--- a/tests/app/resource_budget_test.cpp
+++ b/tests/app/resource_budget_test.cpp
@@ -59,8 +59,8 @@
 }
 
 TEST_CASE("resource budget: ring buffers stay within their bounds") {
-    CHECK(divide(1000, 1).ringBytes == net::kLeastRing);
-    CHECK(divide(10, 4096).ringBytes == net::kMostRing);
+    CHECK(divide(1000, 1).ringBytes == net::kMinRingBytes);
+    CHECK(divide(10, 4096).ringBytes == net::kMaxRingBytes);
 }
 
 TEST_CASE("resource budget: the system's descriptor limit bounds the configured number") {
--- a/tests/health/check_listeners_test.cpp
+++ b/tests/health/check_listeners_test.cpp
@@ -62,7 +62,7 @@
     asio::io_context io;
     const auto http = health::makeHttpCheckListener(io, kAnyPort, halfUsed);
     const auto client = connectTo(io, *http);
-    client->say("GET /" + std::string(net::kMostRing, 'x'));
+    client->say("GET /" + std::string(net::kMaxRingBytes, 'x'));
     runUntil(io, [&] { return client->ended; });
     CHECK(client->got.empty());
     stop(*http);
--- a/tests/http/attempt_deadlines_test.cpp
+++ b/tests/http/attempt_deadlines_test.cpp
@@ -1,5 +1,5 @@
 // Deadlines of requests, and the idempotency window of retries.
-#include "http/node_attempt.h"
+#include "http/request_attempt.h"
 #include "support/net_support.h"
 #include "support/policy_support.h"
 
@@ -92,12 +92,12 @@
 TEST_CASE("an attempt past its idempotency window writes nothing on an open connection") {
     Rig rig;
     const auto message = std::make_shared<http::RequestMessage>(boost::beast::http::verb::get, "/api", 11);
-    const auto attempt = std::make_shared<http::NodeAttempt>(
+    const auto attempt = std::make_shared<http::RequestAttempt>(
         rig.engine, rig.pool,
         net::AttemptParams{9, AttemptIndex(0), rig.node().address(), rig.engine.now() + 1'000'000,
                            rig.engine.now() + 1'000'000, rig.engine.now() - 1},
-        message, std::nullopt, std::weak_ptr<http::Downstream>(),
-        [](AttemptIndex, http::ResponseMessage, net::ByteBudget::Hold) {});
+        message, std::nullopt, std::weak_ptr<http::ClientStream>(),
+        [](AttemptIndex, http::ResponseMessage, net::ByteBudget::Reservation) {});
     attempt->start();
     rig.until([&] { return rig.node().wires.size() == 1 && rig.node().wires[0]->ended; });
     CHECK(rig.node().wires[0]->got.empty());
@@ -109,12 +109,12 @@
     Rig rig(std::move(config));
     const auto message = std::make_shared<http::RequestMessage>(boost::beast::http::verb::get, "/api", 11);
     // Its time is over already when the connection is up: the node may be draining by now.
-    const auto attempt = std::make_shared<http::NodeAttempt>(
+    const auto attempt = std::make_shared<http::RequestAttempt>(
         rig.engine, rig.pool,
         net::AttemptParams{9, AttemptIndex(0), rig.node().address(), rig.engine.now() - 1,
                            rig.engine.now() + 1'000'000},
-        message, std::nullopt, std::weak_ptr<http::Downstream>(),
-        [](AttemptIndex, http::ResponseMessage, net::ByteBudget::Hold) {});
+        message, std::nullopt, std::weak_ptr<http::ClientStream>(),
+        [](AttemptIndex, http::ResponseMessage, net::ByteBudget::Reservation) {});
     attempt->start();
     rig.until([&] { return rig.engine.counters().lateResults == 1 && rig.node().wires.size() == 1; });
     CHECK(rig.node().wires[0]->got.empty());
--- a/tests/http/buffered_body_test.cpp
+++ b/tests/http/buffered_body_test.cpp
@@ -11,36 +11,36 @@
 
 namespace {
 
-void receive(net::RingBuffer& in, std::string_view text) { REQUIRE(in.put(text) == text.size()); }
+void receive(net::RingBuffer& in, std::string_view text) { REQUIRE(in.append(text) == text.size()); }
 
 }  // namespace
 
 TEST_CASE("buffered body: its reservation is given back with the last consumed byte") {
     net::ByteBudget budget(100);
-    net::RingBuffer in(net::kLeastRing);
+    net::RingBuffer in(net::kMinRingBytes);
     http::RequestReader reader(in);
     receive(in, "PUT / HTTP/1.1\r\nContent-Length: 5\r\n\r\ndatos");
     boost::system::error_code error;
     REQUIRE(reader.readHead(error));
     REQUIRE(reader.reserveBody(budget));
-    CHECK(budget.held() == 5);
+    CHECK(budget.reservedBytes() == 5);
     REQUIRE(reader.readBody(error) == http::RequestProgress::Complete);
     char to[8];
     CHECK(reader.body().consume(to, 3) == 3);
-    CHECK(budget.held() == 5);
+    CHECK(budget.reservedBytes() == 5);
     CHECK(reader.body().consume(to, sizeof to) == 2);
-    CHECK(budget.held() == 0);
+    CHECK(budget.reservedBytes() == 0);
     CHECK(reader.body().empty());
 }
 
 TEST_CASE("buffered body: the released reservation outlives the body") {
     net::ByteBudget budget(100);
     http::BufferedBody body;
-    body.setReservation(budget.take(10));
+    body.setReservation(budget.reserve(10));
     auto reservation = body.releaseReservation();
     CHECK(!body.hasReservation());
     body.clear();
-    CHECK(budget.held() == 10);
+    CHECK(budget.reservedBytes() == 10);
     reservation = nullptr;
-    CHECK(budget.held() == 0);
+    CHECK(budget.reservedBytes() == 0);
 }
--- a/tests/http/client_disconnects_test.cpp
+++ b/tests/http/client_disconnects_test.cpp
@@ -83,7 +83,7 @@
 }();
 // As much of a long body as fills the receive buffer, and more that stays in the system.
 const std::string kPartialBody =
-    streamedPut("Content-Length: 1000000\r\n", id(100), 30'000) + std::string(3 * net::kMostRing, 'x');
+    streamedPut("Content-Length: 1000000\r\n", id(100), 30'000) + std::string(3 * net::kMaxRingBytes, 'x');
 
 }  // namespace
 
@@ -115,7 +115,7 @@
         CHECK(rig.engine.openRequests() == SaturatedNode::kCapacity);
         saturated.expectNothingSentOf(100);
         CHECK(rig.front.counters().pipelined == (c.text == kPipelinedFlood ? 1 : 0));
-        CHECK(rig.front.sessionManager().detectHangUp() == (c.text == kPartialBody ? 1 : 0));
+        CHECK(rig.front.sessionManager().detectedDisconnects() == (c.text == kPartialBody ? 1 : 0));
     }
 }
 
--- a/tests/http/connection_limits_test.cpp
+++ b/tests/http/connection_limits_test.cpp
@@ -20,19 +20,19 @@
     };
     rig.until([&] { return silent->ended && count() >= 1; });
     CHECK(count() < 4);
-    CHECK(rig.front.sessionManager().connections() <= 3);
+    CHECK(rig.front.sessionManager().activeConnections() <= 3);
 }
 
 TEST_CASE("above 50% of the connection budget responses close their connections, except during a shutdown") {
     Rig rig(testConfig(), 1, 4);
     const auto first = rig.client(), second = rig.client(), third = rig.client();
-    rig.until([&] { return rig.front.sessionManager().connections() == 3; });
+    rig.until([&] { return rig.front.sessionManager().activeConnections() == 3; });
     first->say("GET /up HTTP/1.1\r\n\r\n");
     rig.until([&] { return first->has(" 200 ") && first->ended; });
     CHECK(first->has("Connection: close\r\n"));
     rig.front.setResponseDeadline(rig.engine.now() + 1'000'000);
     const auto fourth = rig.client();
-    rig.until([&] { return rig.front.sessionManager().connections() >= 3; });
+    rig.until([&] { return rig.front.sessionManager().activeConnections() >= 3; });
     second->say("GET /up HTTP/1.1\r\n\r\n");
     rig.until([&] { return second->has(" 200 "); });
     CHECK(!second->has("Connection: close\r\n"));
@@ -48,7 +48,7 @@
     std::vector<WirePtr> clients;
     for (int i = 0; i < 6; ++i)
         clients.push_back(rig.client());
-    rig.until([&] { return rig.front.sessionManager().connections() == 6; });
+    rig.until([&] { return rig.front.sessionManager().activeConnections() == 6; });
     rig.front.expectNoNewConnections();
     for (int i = 0; i < 4; ++i) {  // the last is over the node's concurrency limit
         clients[i]->say(Ask{.id = fmt::format("{:016x}", i), .deadlineMs = 30'000}.text());
@@ -68,7 +68,7 @@
     const auto first = rig.client(), second = rig.client();
     first->say("GET ");
     second->say("GET ");
-    rig.until([&] { return rig.front.sessionManager().connections() == 2; });
+    rig.until([&] { return rig.front.sessionManager().activeConnections() == 2; });
     const auto third = rig.client();
     third->say("GET /up HTTP/1.1\r\n\r\n");
     rig.until([&] { return third->has(" 200 "); });
@@ -78,7 +78,7 @@
 TEST_CASE("at the connection limit the longest idle connection is evicted for a new client") {
     Rig rig(testConfig(), 1, 2);
     const auto first = rig.client(), second = rig.client();
-    rig.until([&] { return rig.front.sessionManager().connections() == 2; });
+    rig.until([&] { return rig.front.sessionManager().activeConnections() == 2; });
     const auto third = rig.client();
     third->say("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
     rig.until([&] { return third->has("200") && first->ended; });
@@ -89,7 +89,7 @@
     Rig rig(testConfig(), 1, 1);
     const auto partial = rig.client();
     partial->say("GET /api HTTP/1.1\r\nReq-Id: ");
-    rig.until([&] { return rig.front.sessionManager().connections() == 1; });
+    rig.until([&] { return rig.front.sessionManager().activeConnections() == 1; });
     const auto next = rig.client();
     next->say("GET /up HTTP/1.1\r\n\r\n");
     rig.until([&] { return next->has(" 200 ") && partial->ended; });
--- a/tests/http/discovery_watch_test.cpp
+++ b/tests/http/discovery_watch_test.cpp
@@ -85,7 +85,7 @@
             return !rig.discoveryServer.wires.empty() && rig.discoveryServer.wires[0]->has("after=");
         });
         StandIn next(rig.io);
-        rig.discovery.moveTo(next.address());
+        rig.discovery.setAddress(next.address());
         rig.until([&] { return next.wires.size() == 1 && next.wires[0]->has("\r\n\r\n"); });
         next.wires[0]->say(status(503));  // too many callers
         rig.until([&] { return next.wires.back()->has("GET /discovery/hosts HTTP/1.1\r\n"); });
@@ -111,14 +111,14 @@
     CHECK(rig.engine.listVersion() == 2);
 }
 
-// A first call may queue behind those of hundreds of fronts: if it were abandoned early, it would be worked
+// A first call may queue behind those of hundreds of fronts: if it were cancelled early, it would be worked
 // off there all the same and delay the others. A continued watch queues behind nobody, so that it times out
 // sooner.
 TEST_CASE("an unanswered watch times out and is repeated, later for a first call than for a continued one") {
     using std::chrono::milliseconds;
     const net::WatchTiming watches{milliseconds(40), milliseconds(40), milliseconds(300)};
     const auto start = std::chrono::steady_clock::now();
-    Rig rig(testConfig(), 1, 64, net::kMostRing, watches);
+    Rig rig(testConfig(), 1, 64, net::kMaxRingBytes, watches);
     const auto& counters = rig.discovery.counters();
     rig.until([&] { return counters.failed == 2 && counters.calls == 3; });
     CHECK(std::chrono::steady_clock::now() - start >= milliseconds(2 * (40 + 300)));
@@ -140,7 +140,7 @@
     client->say(Ask{}.text());
     const auto node = rig.nodeHas("Req-Id");
     StandIn next(rig.io);
-    rig.discovery.moveTo(next.address());
+    rig.discovery.setAddress(next.address());
     rig.until([&] { return rig.discoveryServer.wires[0]->ended && next.wires.size() == 1; });
     rig.until([&] { return next.wires[0]->has("GET /discovery/hosts HTTP/1.1\r\n"); });
     CHECK(rig.discovery.counters().failed == 0);
--- a/tests/http/graceful_shutdown_test.cpp
+++ b/tests/http/graceful_shutdown_test.cpp
@@ -10,9 +10,9 @@
     Rig rig;
     tcp::socket client(rig.io);
     client.connect(net::tcpEndpoint(rig.front.sessionManager().address()));
-    rig.until([&] { return rig.front.sessionManager().connections() == 1; });
+    rig.until([&] { return rig.front.sessionManager().activeConnections() == 1; });
     rig.front.sessionManager().closeIdleGracefully();
-    rig.until([&] { return rig.front.sessionManager().connections() == 0; });
+    rig.until([&] { return rig.front.sessionManager().activeConnections() == 0; });
     asio::write(client, asio::buffer(Ask{}.text()));  // on its way when the front ended its side
     boost::system::error_code broken;                 // a reset would meet the next bytes
     asio::write(client, asio::buffer("y mas", 5), broken);
@@ -36,7 +36,7 @@
         Rig rig;
         tcp::socket client(rig.io);
         client.connect(net::tcpEndpoint(rig.front.sessionManager().address()));
-        rig.until([&] { return rig.front.sessionManager().connections() == 1; });
+        rig.until([&] { return rig.front.sessionManager().activeConnections() == 1; });
         asio::write(client, asio::buffer(Ask{}.text()));  // in the system, and the loop does not run
         close(rig.front.sessionManager());
         std::string got;
@@ -48,7 +48,7 @@
     Rig rig;
     const auto partial = rig.client();
     asio::write(partial->socket, asio::buffer("GET /api HTTP/1.1\r\nReq-Id: ", 26));
-    rig.until([&] { return rig.front.sessionManager().connections() == 1; });
+    rig.until([&] { return rig.front.sessionManager().activeConnections() == 1; });
     rig.front.startDraining();
     rig.until([&] {
         rig.front.sessionManager()
@@ -65,7 +65,7 @@
     const auto busy = rig.client(), idle = rig.client();
     busy->say(Ask{}.text());
     const auto node = rig.nodeHas("Req-Id");
-    rig.until([&] { return rig.front.sessionManager().connections() == 2; });
+    rig.until([&] { return rig.front.sessionManager().activeConnections() == 2; });
     rig.front.startDraining();
     const auto late = rig.client();  // accepted by the system, not yet by the program
     late->say(Ask{.id = "00000000000000b2"}.text());
@@ -77,8 +77,9 @@
     rig.front.sessionManager().closeIdleGracefully();
     rig.until([&] { return idle->ended; });
     CHECK(busy->has("Connection: close"));
-    rig.until(
-        [&] { return rig.front.sessionManager().connections() == 0 && rig.engine.openRequests() == 0; });
+    rig.until([&] {
+        return rig.front.sessionManager().activeConnections() == 0 && rig.engine.openRequests() == 0;
+    });
 }
 
 // The program itself: a request in flight, one that arrives on an open connection, and an idle client. All of
--- a/tests/http/invalid_responses_test.cpp
+++ b/tests/http/invalid_responses_test.cpp
@@ -70,7 +70,7 @@
     node->drop();
     node->say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort");
     const auto second = rig.nodeHas("Req-Id");
-    CHECK(std::chrono::steady_clock::now() - since < net::Exchange::kStall);
+    CHECK(std::chrono::steady_clock::now() - since < net::HttpExchange::kStallTimeout);
     second->say(ok("bien"));
     rig.until([&] { return client->has("bien"); });
 }
@@ -81,8 +81,8 @@
     std::shared_ptr<net::Connection> connection;
     const auto ticket = rig.pool.acquire(rig.node().address(), [&](auto c) { connection = c; });
     rig.until([&] { return connection && !rig.node().wires.empty(); });
-    std::optional<net::Exchange::Result> result;
-    const auto exchange = std::make_shared<net::Exchange>(
+    std::optional<net::HttpExchange::Result> result;
+    const auto exchange = std::make_shared<net::HttpExchange>(
         connection, "GET /api HTTP/1.1\r\n\r\n", 100, [&](auto how, const auto&) { result = how; },
         std::chrono::milliseconds(50));
     exchange->start();
@@ -98,7 +98,7 @@
     REQUIRE(!result);
     asio::write(node, asio::buffer("K\r\nContent-Length: 0\r\n\r\n", 24));
     rig.until([&] { return result.has_value(); });
-    CHECK(*result == net::Exchange::Result::Answered);
+    CHECK(*result == net::HttpExchange::Result::Completed);
 }
 
 // What stands before a response, or cannot be read in its head, takes nothing from it; what follows belongs
--- a/tests/http/keep_alive_test.cpp
+++ b/tests/http/keep_alive_test.cpp
@@ -26,7 +26,7 @@
 }
 
 TEST_CASE("the longest buffered body and a response in parts pass through buffers of every size") {
-    for (const auto ring : {net::kMostRing, net::kLeastRing}) {
+    for (const auto ring : {net::kMaxRingBytes, net::kMinRingBytes}) {
         Rig rig(testConfig(), 1, 64, ring);
         const auto client = rig.client();
         const std::string body(64 * 1024, 'x');
--- a/tests/http/node_pool_test.cpp
+++ b/tests/http/node_pool_test.cpp
@@ -14,7 +14,7 @@
         StandIn node(io);
         const auto until = [&](const std::function<bool()>& so) { runUntil(io, so); };
         net::NodePool pool(
-            io, {8, std::chrono::seconds(1), std::chrono::seconds(15), net::kLeastRing, kCoolDown});
+            io, {8, std::chrono::seconds(1), std::chrono::seconds(15), net::kMinRingBytes, kCoolDown});
         std::shared_ptr<net::Connection> first, second;
         auto ticket = pool.acquire(node.address(), [&](auto c) { first = c; });
         until([&] { return first != nullptr && node.wires.size() == 1; });
@@ -37,7 +37,7 @@
     StandIn node(io);
     const auto until = [&](const std::function<bool()>& so) { runUntil(io, so); };
     net::NodePool pool(
-        io, {8, std::chrono::seconds(1), std::chrono::seconds(15), net::kLeastRing, milliseconds(100)});
+        io, {8, std::chrono::seconds(1), std::chrono::seconds(15), net::kMinRingBytes, milliseconds(100)});
     std::shared_ptr<net::Connection> old, fresh, got;
     const auto a = pool.acquire(node.address(), [&](auto c) { old = c; });
     const auto b = pool.acquire(node.address(), [&](auto c) { fresh = c; });
@@ -57,7 +57,7 @@
     asio::io_context io;
     StandIn idle(io), wanted(io);
     const auto until = [&](const std::function<bool()>& so) { runUntil(io, so); };
-    net::NodePool pool(io, {2, std::chrono::seconds(1), std::chrono::seconds(15), net::kLeastRing});
+    net::NodePool pool(io, {2, std::chrono::seconds(1), std::chrono::seconds(15), net::kMinRingBytes});
     std::shared_ptr<net::Connection> used, spare, got;
     bool refused = false;
     const auto a = pool.acquire(idle.address(), [&](auto c) { used = c; });
--- a/tests/http/pending_request_test.cpp
+++ b/tests/http/pending_request_test.cpp
@@ -9,14 +9,15 @@
 namespace {
 
 // A client that records what it is sent.
-struct RecordingClient : http::Downstream {
+struct RecordingClient : http::ClientStream {
     std::size_t consumeBody(char*, std::size_t) override { return 0; }
     bool isBodyConsumed() const override { return true; }
     void awaitBody(std::function<void()>) override {}
     void startStreaming(const StreamedHead&, BodySource) override {}
     void resumeStreaming() override {}
     void completeStreaming() override { ++streamsCompleted; }
-    void respond(int status, std::string_view fields, std::string_view body, net::ByteBudget::Hold) override {
+    void respond(int status, std::string_view fields, std::string_view body,
+                 net::ByteBudget::Reservation) override {
         responses.push_back(fmt::format("{}|{}|{}", status, fields, body));
     }
     std::vector<std::string> responses;
@@ -50,22 +51,22 @@
     const auto request = make();
     request->keepResponse(AttemptIndex(0), response("uno"), nullptr);
     request->keepResponse(AttemptIndex(1), response("dos"), nullptr);
-    request->deliver(AttemptIndex(1));
+    request->deliverResponse(AttemptIndex(1));
     CHECK(client->responses == std::vector<std::string>{"200|Content-Type: text/plain\r\n|dos"});
     CHECK(client->streamsCompleted == 0);
 }
 
 TEST_CASE_FIXTURE(Fixture, "pending request: an attempt without a kept response was streamed") {
     const auto request = make();
-    request->deliver(AttemptIndex(0));
+    request->deliverResponse(AttemptIndex(0));
     CHECK(client->responses.empty());
     CHECK(client->streamsCompleted == 1);
 }
 
 TEST_CASE_FIXTURE(Fixture, "pending request: a rejection has status 503 and Retry-After, a failure 500") {
     const auto request = make();
-    request->refuse(150'000);
-    request->fail();
+    request->sendRejection(150'000);
+    request->sendFailure();
     CHECK(client->responses == std::vector<std::string>{"503|Retry-After: 0.150\r\n|", "500||"});
 }
 
@@ -73,8 +74,8 @@
     const auto request = make();
     client = nullptr;
     request->keepResponse(AttemptIndex(0), response("uno"), nullptr);
-    CHECK_NOTHROW(request->deliver(AttemptIndex(0)));
-    CHECK_NOTHROW(request->fail());
+    CHECK_NOTHROW(request->deliverResponse(AttemptIndex(0)));
+    CHECK_NOTHROW(request->sendFailure());
 }
 
 TEST_CASE_FIXTURE(Fixture, "pending request: its Req-Id is open as long as it exists") {
--- a/tests/http/request_reader_test.cpp
+++ b/tests/http/request_reader_test.cpp
@@ -10,8 +10,8 @@
 
 // A reader and its receive buffer.
 struct Fixture {
-    void receive(std::string_view text) { REQUIRE(in.put(text) == text.size()); }
-    net::RingBuffer in{net::kMostRing};
+    void receive(std::string_view text) { REQUIRE(in.append(text) == text.size()); }
+    net::RingBuffer in{net::kMaxRingBytes};
     http::RequestReader reader{in};
     boost::system::error_code error;
 };
--- a/tests/http/request_rejections_test.cpp
+++ b/tests/http/request_rejections_test.cpp
@@ -97,9 +97,9 @@
     auto config = testConfig();
     config.memoryMb = 16;
     Rig rig(std::move(config));
-    auto otherBodies = rig.engine.bodies().take(6 * 1024 * 1024 - 1000);
+    auto otherBodies = rig.engine.bodyBudget().reserve(6 * 1024 * 1024 - 1000);
     REQUIRE(otherBodies);
-    CHECK(!rig.engine.bodies().take(1001));
+    CHECK(!rig.engine.bodyBudget().reserve(1001));
     const auto writer = rig.client(), reader = rig.client();
     writer->say(Ask{.kind = "alta", .body = std::string(2000, 'x')}.text());
     rig.until([&] { return writer->has("HTTP/1.1 503 ") && writer->has("Retry-After: ") && writer->ended; });
@@ -114,7 +114,7 @@
     otherBodies = nullptr;
     second->say(ok(std::string(2000, 'z')));
     rig.until([&] { return reader->has("zzz"); });
-    rig.until([&] { return rig.engine.bodies().held() == 0; });
+    rig.until([&] { return rig.engine.bodyBudget().reservedBytes() == 0; });
 }
 
 TEST_CASE("Retry-After of the front's own rejections follows the settings") {
@@ -125,7 +125,7 @@
         Rig rig(std::move(config), 1, 1);
         const auto partial = rig.client();
         partial->say("GET /api HTTP/1.1\r\nReq-Id: ");
-        rig.until([&] { return rig.front.sessionManager().connections() == 1; });
+        rig.until([&] { return rig.front.sessionManager().activeConnections() == 1; });
         const auto next = rig.client();
         rig.until([&] { return partial->ended; });
         CHECK(partial->has("HTTP/1.1 503 "));
--- a/tests/http/streamed_response_test.cpp
+++ b/tests/http/streamed_response_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Gives this text once.
-http::Downstream::BodySource once(std::string text) {
+http::ClientStream::BodySource once(std::string text) {
     return [text = std::move(text)](char* to, std::size_t capacity) mutable {
         REQUIRE(text.size() <= capacity);
         text.copy(to, text.size());
@@ -32,7 +32,7 @@
     CHECK(response.framing() == ResponseFraming::ContentLength);
     CHECK(response.serializeHead(true) ==
           "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 5\r\n\r\n");
-    net::RingBuffer out(net::kLeastRing);
+    net::RingBuffer out(net::kMinRingBytes);
     response.fill(out);
     CHECK(contents(out) == "datos");
     CHECK(response.trailer().empty());
@@ -42,7 +42,7 @@
     StreamedResponse response({"", std::nullopt}, once("datos"), false);
     CHECK(response.framing() == ResponseFraming::Chunked);
     CHECK(response.serializeHead(true) == "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    net::RingBuffer out(net::kLeastRing);
+    net::RingBuffer out(net::kMinRingBytes);
     response.fill(out);
     CHECK(contents(out) == "5\r\ndatos\r\n");
     CHECK(response.trailer() == "0\r\n\r\n");
@@ -58,7 +58,7 @@
 TEST_CASE("streamed response: nothing is taken from the source after its end") {
     StreamedResponse response({"", 5}, once("datos"), false);
     response.end();
-    net::RingBuffer out(net::kLeastRing);
+    net::RingBuffer out(net::kMinRingBytes);
     response.fill(out);
     CHECK(out.size() == 0);
     CHECK(!response.isActive());
--- a/tests/http/streaming_bodies_test.cpp
+++ b/tests/http/streaming_bodies_test.cpp
@@ -123,7 +123,7 @@
     uploader->count();
     rig.until([&] { return uploader->received > 0 && rig.engine.openRequests() == 0; });
     CHECK(peakMemoryMb() - before < 24);
-    CHECK(rig.engine.bodies().held() == 0);
+    CHECK(rig.engine.bodyBudget().reservedBytes() == 0);
     CHECK(rig.engine.counters().byClass[1].delivered == 1);
 }
 
@@ -193,7 +193,7 @@
                                 c.answer.find("chunked") != std::string::npos;
         if (!hasFraming) {
             rig.until([&] {
-                return rig.front.sessionManager().connections() == 1 && client->got.size() > 100'000;
+                return rig.front.sessionManager().activeConnections() == 1 && client->got.size() > 100'000;
             });
             node->socket.shutdown(tcp::socket::shutdown_send);
         }
@@ -238,7 +238,7 @@
         rig.until([&] { return other->has("\r\n\r\nx"); });
     }
     CHECK(giver->left > kBytes / 2);  // it waits in the node, but for what the system's buffers took
-    rig.until([&] { return rig.engine.bodies().held() == 0; });
+    rig.until([&] { return rig.engine.bodyBudget().reservedBytes() == 0; });
     CHECK(rig.engine.openRequests() == 1);
     // A client that leaves in the middle takes its node's connection along.
     slow.close();
--- a/tests/net/byte_budget_test.cpp
+++ b/tests/net/byte_budget_test.cpp
@@ -9,45 +9,45 @@
 
 TEST_CASE("byte budget: a reservation counts until its last copy is destroyed") {
     net::ByteBudget budget(100);
-    auto first = budget.take(60);
+    auto first = budget.reserve(60);
     auto copy = first;
     first = nullptr;
-    CHECK(budget.held() == 60);
+    CHECK(budget.reservedBytes() == 60);
     copy = nullptr;
-    CHECK(budget.held() == 0);
+    CHECK(budget.reservedBytes() == 0);
 }
 
 TEST_CASE("byte budget: what does not fit is not reserved") {
     net::ByteBudget budget(100);
-    const auto first = budget.take(60);
-    CHECK(budget.take(41) == nullptr);
-    CHECK(budget.held() == 60);
-    CHECK(budget.take(40) != nullptr);
+    const auto first = budget.reserve(60);
+    CHECK(budget.reserve(41) == nullptr);
+    CHECK(budget.reservedBytes() == 60);
+    CHECK(budget.reserve(40) != nullptr);
 }
 
 TEST_CASE("byte budget: the limit itself fits, and one byte more does not") {
     net::ByteBudget budget(100);
-    CHECK(budget.take(101) == nullptr);
-    CHECK(budget.take(100) != nullptr);
+    CHECK(budget.reserve(101) == nullptr);
+    CHECK(budget.reserve(100) != nullptr);
 }
 
 TEST_CASE("byte budget: a reservation of zero bytes succeeds even when the budget is spent") {
     net::ByteBudget budget(10);
-    const auto all = budget.take(10);
-    CHECK(budget.take(0) != nullptr);
-    CHECK(budget.held() == 10);
+    const auto all = budget.reserve(10);
+    CHECK(budget.reserve(0) != nullptr);
+    CHECK(budget.reservedBytes() == 10);
 }
 
 TEST_CASE("byte budget: a size near the largest integer does not overflow the count") {
     net::ByteBudget budget(100);
-    const auto first = budget.take(1);
-    CHECK(budget.take(SIZE_MAX) == nullptr);
-    CHECK(budget.held() == 1);
+    const auto first = budget.reserve(1);
+    CHECK(budget.reserve(SIZE_MAX) == nullptr);
+    CHECK(budget.reservedBytes() == 1);
 }
 
 TEST_CASE("byte budget: a reservation may outlive the budget") {
     std::optional<net::ByteBudget> budget(std::in_place, 100);
-    auto reservation = budget->take(10);
+    auto reservation = budget->reserve(10);
     budget.reset();
     reservation = nullptr;  // the sanitizers see it if this touches the budget
     CHECK(reservation == nullptr);
--- a/tests/net/engine_test.cpp
+++ b/tests/net/engine_test.cpp
@@ -12,21 +12,21 @@
 constexpr Micros kSecond = 1'000'000;
 
 struct FakeAttempt : net::Attempt {
-    void abandon() override { abandoned = true; }
-    bool abandoned = false;
+    void cancel() override { cancelled = true; }
+    bool cancelled = false;
 };
 
 // Records what the engine orders.
-struct FakeTransfer : net::Transfer {
-    std::shared_ptr<net::Attempt> start(const net::AttemptParams& params) override {
+struct FakeRequestHandler : net::RequestHandler {
+    std::shared_ptr<net::Attempt> startAttempt(const net::AttemptParams& params) override {
         started.push_back(params);
         attempts.push_back(std::make_shared<FakeAttempt>());
         if (onStart) onStart(params);
         return attempts.back();
     }
-    void deliver(AttemptIndex attempt) override { delivered.push_back(attempt); }
-    void refuse(Micros) override { ++rejections; }
-    void fail() override { ++failures; }
+    void deliverResponse(AttemptIndex attempt) override { delivered.push_back(attempt); }
+    void sendRejection(Micros) override { ++rejections; }
+    void sendFailure() override { ++failures; }
     std::size_t answers() const { return delivered.size() + rejections + failures; }
 
     std::function<void(const net::AttemptParams&)> onStart;
@@ -58,14 +58,14 @@
         request.volume = "volume";
         request.deadlineUs = engine.now() + kSecond;
         request.cell = CellIndex(0);
-        const auto id = engine.submit(request, transfer);
+        const auto id = engine.submit(request, handler);
         io.poll();
         return id;
     }
     void finishAttempt(RequestId id, Outcome outcome) {
         core::AttemptFinished result;
         result.id = id;
-        result.attempt = transfer->started.at(0).attempt;
+        result.attempt = handler->started.at(0).attempt;
         result.outcome = outcome;
         engine.attemptFinished(std::move(result));
         io.poll();
@@ -74,7 +74,7 @@
     boost::asio::io_context io;
     log::Logger logger{log::Level::Error};
     net::Engine engine{io, configWithOneNode(), logger};
-    std::shared_ptr<FakeTransfer> transfer = std::make_shared<FakeTransfer>();
+    std::shared_ptr<FakeRequestHandler> handler = std::make_shared<FakeRequestHandler>();
 };
 
 }  // namespace
@@ -82,54 +82,54 @@
 TEST_CASE("engine: a request is attempted at the address of a listed node") {
     RunningEngine running;
     const auto id = running.submit();
-    REQUIRE(running.transfer->started.size() == 1);
-    CHECK(running.transfer->started[0].id == id);
-    CHECK(running.transfer->started[0].node.port == 4711);
-    CHECK(running.transfer->answers() == 0);
+    REQUIRE(running.handler->started.size() == 1);
+    CHECK(running.handler->started[0].id == id);
+    CHECK(running.handler->started[0].node.port == 4711);
+    CHECK(running.handler->answers() == 0);
 }
 
 TEST_CASE("engine: the response of an attempt that finished well is delivered once") {
     RunningEngine running;
     const auto id = running.submit();
-    REQUIRE(running.transfer->started.size() == 1);
+    REQUIRE(running.handler->started.size() == 1);
     running.finishAttempt(id, Outcome::Ok);
-    REQUIRE(running.transfer->delivered.size() == 1);
-    CHECK(running.transfer->delivered[0] == running.transfer->started[0].attempt);
-    CHECK(running.transfer->answers() == 1);
+    REQUIRE(running.handler->delivered.size() == 1);
+    CHECK(running.handler->delivered[0] == running.handler->started[0].attempt);
+    CHECK(running.handler->answers() == 1);
     CHECK(running.engine.openRequests() == 0);
 }
 
 TEST_CASE("engine: an attempt may finish before its start returns") {
     RunningEngine running;
-    running.transfer->onStart = [&running](const net::AttemptParams& params) {
+    running.handler->onStart = [&running](const net::AttemptParams& params) {
         core::AttemptFinished result;
         result.id = params.id;
         result.attempt = params.attempt;
         running.engine.attemptFinished(std::move(result));
     };
     running.submit();
-    CHECK(running.transfer->delivered.size() == 1);
+    CHECK(running.handler->delivered.size() == 1);
     CHECK(running.engine.openRequests() == 0);
 }
 
 TEST_CASE("engine: after its client has disconnected a request gets no answer") {
     RunningEngine running;
     const auto id = running.submit();
-    REQUIRE(running.transfer->started.size() == 1);
+    REQUIRE(running.handler->started.size() == 1);
     running.engine.clientDisconnected(id);
     running.io.poll();
     running.finishAttempt(id, Outcome::Ok);
-    CHECK(running.transfer->answers() == 0);
+    CHECK(running.handler->answers() == 0);
 }
 
-TEST_CASE("engine: a stop abandons all attempts and ignores later inputs") {
+TEST_CASE("engine: a stop cancels all attempts and ignores later inputs") {
     RunningEngine running;
     const auto id = running.submit();
-    REQUIRE(running.transfer->attempts.size() == 1);
+    REQUIRE(running.handler->attempts.size() == 1);
     running.engine.stop();
-    CHECK(running.transfer->attempts[0]->abandoned);
+    CHECK(running.handler->attempts[0]->cancelled);
     running.finishAttempt(id, Outcome::Ok);
-    CHECK(running.transfer->answers() == 0);
+    CHECK(running.handler->answers() == 0);
 }
 
 TEST_CASE("engine: changes to the endpoint list add to it and take from it") {
--- a/tests/net/linger_deadline_test.cpp
+++ b/tests/net/lingering_close_test.cpp
@@ -1,5 +1,5 @@
 // The time rules of a graceful close.
-#include "net/linger_deadline.h"
+#include "net/lingering_close.h"
 
 #include <doctest/doctest.h>
 
@@ -8,39 +8,39 @@
 
 namespace {
 
-constexpr net::LingerDeadline::Clock::time_point kStart{100s};
+constexpr net::LingeringClose::Clock::time_point kStart{100s};
 
-net::LingerDeadline started(std::chrono::milliseconds limit) {
-    net::LingerDeadline deadline;
+net::LingeringClose started(std::chrono::milliseconds limit) {
+    net::LingeringClose deadline;
     deadline.start(kStart, limit);
     return deadline;
 }
 
 }  // namespace
 
-TEST_CASE("linger deadline: it is active from its start on") {
-    CHECK(!net::LingerDeadline().active());
-    CHECK(started(2s).active());
+TEST_CASE("lingering close: it is active from its start on") {
+    CHECK(!net::LingeringClose().isActive());
+    CHECK(started(2s).isActive());
 }
 
-TEST_CASE("linger deadline: a quiet client is closed 300 ms after its last byte") {
+TEST_CASE("lingering close: a quiet client is closed 300 ms after its last byte") {
     const auto deadline = started(2s);
     CHECK(deadline.closeAt(kStart) == kStart + 300ms);
     CHECK(deadline.closeAt(kStart + 1s) == kStart + 1300ms);
 }
 
-TEST_CASE("linger deadline: a client that keeps sending is closed at the limit") {
+TEST_CASE("lingering close: a client that keeps sending is closed at the limit") {
     const auto deadline = started(2s);
     CHECK(deadline.closeAt(kStart + 1900ms) == kStart + 2s);
     CHECK(deadline.closeAt(kStart + 5s) == kStart + 2s);
 }
 
-TEST_CASE("linger deadline: a limit below the quiet period holds") {
+TEST_CASE("lingering close: a limit below the quiet period holds") {
     CHECK(started(100ms).closeAt(kStart) == kStart + 100ms);
 }
 
-TEST_CASE("linger deadline: the connection is evictable only after one quiet period") {
+TEST_CASE("lingering close: the connection is evictable only after one quiet period") {
     const auto deadline = started(2s);
-    CHECK(!deadline.evictable(kStart + 300ms));
-    CHECK(deadline.evictable(kStart + 301ms));
+    CHECK(!deadline.isEvictable(kStart + 300ms));
+    CHECK(deadline.isEvictable(kStart + 301ms));
 }
--- a/tests/net/activity_list_test.cpp
+++ b/tests/net/lru_list_test.cpp
@@ -1,5 +1,5 @@
 // Objects in the order of their last activity.
-#include "net/activity_list.h"
+#include "net/lru_list.h"
 
 #include <doctest/doctest.h>
 
@@ -29,27 +29,27 @@
     std::shared_ptr<Named> a = std::make_shared<Named>(Named{"a"});
     std::shared_ptr<Named> b = std::make_shared<Named>(Named{"b"});
     std::shared_ptr<Named> c = std::make_shared<Named>(Named{"c"});
-    net::ActivityList<Named> list;
+    net::LruList<Named> list;
 };
 
 }  // namespace
 
-TEST_CASE("activity list: an item that is added is the most recently active one") {
+TEST_CASE("LRU list: an item that is added is the most recently active one") {
     ThreeItems items;
     CHECK(items.order() == "abc");
     CHECK(items.list.size() == 3);
     CHECK(items.list.front() == items.a);
 }
 
-TEST_CASE("activity list: an active item moves behind all others") {
+TEST_CASE("LRU list: an active item moves behind all others") {
     ThreeItems items;
-    items.list.markActive(*items.a);
+    items.list.touch(*items.a);
     CHECK(items.order() == "bca");
-    items.list.markActive(*items.a);
+    items.list.touch(*items.a);
     CHECK(items.order() == "bca");
 }
 
-TEST_CASE("activity list: a removed item is released, and the others keep their order") {
+TEST_CASE("LRU list: a removed item is released, and the others keep their order") {
     ThreeItems items;
     const std::weak_ptr<Named> watched = items.b;
     items.list.remove(*items.b);
@@ -58,15 +58,15 @@
     CHECK(items.order() == "ac");
 }
 
-TEST_CASE("activity list: what is not in the list is ignored") {
+TEST_CASE("LRU list: what is not in the list is ignored") {
     ThreeItems items;
     const Named other{"other"};
-    items.list.markActive(other);
+    items.list.touch(other);
     items.list.remove(other);
     CHECK(items.order() == "abc");
 }
 
-TEST_CASE("activity list: an item may be removed while the list is walked past it") {
+TEST_CASE("LRU list: an item may be removed while the list is walked past it") {
     ThreeItems items;
     std::string visited;
     for (auto it = items.list.begin(); it != items.list.end();) {
--- a/tests/net/message_reader_test.cpp
+++ b/tests/net/message_reader_test.cpp
@@ -1,7 +1,8 @@
 // Incremental parsing of HTTP messages out of a ring buffer.
+#include "net/message_reader.h"
+
 #include <doctest/doctest.h>
 
-#include "net/http_step.h"
 #include "net/reader_support.h"
 
 using namespace wingproxy;
@@ -22,28 +23,28 @@
     net::RingBuffer in(1024);
     net::MessageReader<true> reader(in, kMaxBody);
     boost::system::error_code error;
-    in.put("GET / HTTP/1.1\r\nHost: a\r\n");
-    CHECK(!reader.head(in, error));
-    CHECK(reader.gotSome());
-    in.put("\r\n");
-    CHECK(reader.head(in, error));
+    in.append("GET / HTTP/1.1\r\nHost: a\r\n");
+    CHECK(!reader.readHead(in, error));
+    CHECK(reader.hasParsedAny());
+    in.append("\r\n");
+    CHECK(reader.readHead(in, error));
     CHECK(!error);
-    CHECK(reader.done());
+    CHECK(reader.isComplete());
 }
 
 TEST_CASE("message reader: a body is taken out in pieces of the size asked for") {
     auto in = ringWith("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nabcde");
     net::MessageReader<true> reader(in, kMaxBody);
     boost::system::error_code error;
-    REQUIRE(reader.head(in, error));
+    REQUIRE(reader.readHead(in, error));
     std::array<char, 3> piece{};
-    CHECK(reader.body(in, piece.data(), piece.size(), error) == 3);
+    CHECK(reader.readBody(in, piece.data(), piece.size(), error) == 3);
     CHECK(std::string_view(piece.data(), 3) == "abc");
-    CHECK(!reader.done());
-    CHECK(reader.body(in, piece.data(), piece.size(), error) == 2);
+    CHECK(!reader.isComplete());
+    CHECK(reader.readBody(in, piece.data(), piece.size(), error) == 2);
     CHECK(std::string_view(piece.data(), 2) == "de");
     CHECK(!error);
-    CHECK(reader.done());
+    CHECK(reader.isComplete());
 }
 
 TEST_CASE("message reader: the body of a chunked message comes without its framing") {
@@ -51,12 +52,12 @@
         "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     net::MessageReader<true> reader(in, kMaxBody);
     boost::system::error_code error;
-    REQUIRE(reader.head(in, error));
+    REQUIRE(reader.readHead(in, error));
     std::string body;
-    reader.append(in, body, kMaxBody, error);
+    reader.appendBody(in, body, kMaxBody, error);
     CHECK(body == "abcde");
     CHECK(!error);
-    CHECK(reader.done());
+    CHECK(reader.isComplete());
     CHECK(in.size() == 0);
 }
 
@@ -64,18 +65,18 @@
     auto in = ringWith("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n");
     net::MessageReader<true> reader(in, kMaxBody);
     boost::system::error_code error;
-    REQUIRE(reader.head(in, error));
+    REQUIRE(reader.readHead(in, error));
     char byte = 0;
-    CHECK(reader.body(in, &byte, 1, error) == 0);
+    CHECK(reader.readBody(in, &byte, 1, error) == 0);
     CHECK(!error);
-    CHECK(!reader.done());
+    CHECK(!reader.isComplete());
 }
 
 TEST_CASE("message reader: what is no message is an error") {
     auto in = ringWith("no message\r\n\r\n");
     net::MessageReader<true> reader(in, kMaxBody);
     boost::system::error_code error;
-    CHECK(!reader.head(in, error));
+    CHECK(!reader.readHead(in, error));
     CHECK(error);
 }
 
@@ -83,14 +84,14 @@
     auto in = ringWith("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 65\r\n\r\nabc");
     net::MessageReader<true> reader(in, kMaxBody);
     boost::system::error_code error;
-    CHECK(!reader.head(in, error));
+    CHECK(!reader.readHead(in, error));
     CHECK(error == boost::beast::http::error::body_limit);
 }
 
 TEST_CASE("message reader: a piece is framed as one chunk only where that is asked for") {
     net::RingBuffer out(64);
-    net::putPiece(out, "0123456789abcdef", true);
-    net::putPiece(out, "plain", false);
+    net::appendBodyPiece(out, "0123456789abcdef", true);
+    net::appendBodyPiece(out, "plain", false);
     const auto parts = out.newest(out.size());
     CHECK(std::string(parts[0]) == "10\r\n0123456789abcdef\r\nplain");
 }
@@ -100,14 +101,14 @@
     boost::system::error_code error;
     auto sized = ringWith("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n");
     net::MessageReader<true> sizedReader(sized, kMaxBody);
-    REQUIRE(sizedReader.head(sized, error));
-    const auto five = net::holdBody(sizedReader.parser(), budget, 40);
-    CHECK(budget.held() == 5);
+    REQUIRE(sizedReader.readHead(sized, error));
+    const auto five = net::reserveBody(sizedReader.parser(), budget, 40);
+    CHECK(budget.reservedBytes() == 5);
     auto chunked = ringWith("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n");
     net::MessageReader<true> chunkedReader(chunked, kMaxBody);
-    REQUIRE(chunkedReader.head(chunked, error));
-    const auto most = net::holdBody(chunkedReader.parser(), budget, 40);
-    CHECK(budget.held() == 45);
+    REQUIRE(chunkedReader.readHead(chunked, error));
+    const auto most = net::reserveBody(chunkedReader.parser(), budget, 40);
+    CHECK(budget.reservedBytes() == 45);
 }
 
 TEST_CASE("message reader: a message without a body reserves no memory, but succeeds") {
@@ -115,7 +116,7 @@
     boost::system::error_code error;
     auto in = ringWith("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
     net::MessageReader<true> reader(in, kMaxBody);
-    REQUIRE(reader.head(in, error));
-    CHECK(net::holdBody(reader.parser(), budget, 40) != nullptr);
-    CHECK(budget.held() == 0);
+    REQUIRE(reader.readHead(in, error));
+    CHECK(net::reserveBody(reader.parser(), budget, 40) != nullptr);
+    CHECK(budget.reservedBytes() == 0);
 }
--- a/tests/net/node_pool_test.cpp
+++ b/tests/net/node_pool_test.cpp
@@ -12,7 +12,7 @@
 constexpr net::NodePool::Limits kNoConnections{.maxConnections = 0};
 
 struct FullPool {
-    std::shared_ptr<net::NodePool::Ticket> acquire() {
+    std::shared_ptr<net::NodePool::Acquisition> acquire() {
         return pool.acquire({"127.0.0.1", 9},
                             [this](std::shared_ptr<net::Connection> connection) { result = connection; });
     }
@@ -26,7 +26,7 @@
 
 TEST_CASE("node pool: at its limit and without an idle connection an acquisition fails, on a later turn") {
     FullPool full;
-    const auto ticket = full.acquire();
+    const auto acquisition = full.acquire();
     CHECK(!full.result.has_value());
     full.io.poll();
     REQUIRE(full.result.has_value());
@@ -35,7 +35,7 @@
     CHECK(full.pool.opened() == 0);
 }
 
-TEST_CASE("node pool: an acquisition whose ticket is dropped calls nothing") {
+TEST_CASE("node pool: an acquisition that is dropped calls nothing") {
     FullPool full;
     full.acquire().reset();
     full.io.poll();
--- a/tests/net/pending_output_test.cpp
+++ b/tests/net/pending_output_test.cpp
@@ -57,7 +57,7 @@
     output.append("abcdef");
     output.setSource([&asked](net::RingBuffer& out) {
         ++asked;
-        out.put("X");
+        out.append("X");
     });
     output.fill(ring);
     CHECK(asked == 0);
@@ -80,7 +80,7 @@
     net::PendingOutput output;
     output.setSource([&output](net::RingBuffer& out) {
         output.clearSource();
-        out.put("end");
+        out.append("end");
     });
     output.fill(ring);
     CHECK(output.empty());
--- a/tests/net/reader_support.h
+++ b/tests/net/reader_support.h
@@ -11,7 +11,7 @@
 // A ring that holds `text`, which must fit.
 inline net::RingBuffer ringWith(std::string_view text, std::size_t capacity = 1024) {
     net::RingBuffer ring(capacity);
-    ring.put(text);
+    ring.append(text);
     return ring;
 }
 
--- a/tests/support/net_support.h
+++ b/tests/support/net_support.h
@@ -17,8 +17,8 @@
 #include "config/config.h"
 #include "config/operator_config.h"
 #include "http/front.h"
-#include "net/discovery.h"
-#include "net/peers.h"
+#include "net/discovery_client.h"
+#include "net/peer_transport.h"
 #include "rsync/front.h"
 #include "support/test_config.h"
 
@@ -132,7 +132,7 @@
 /// for discovery.
 struct Rig {
     explicit Rig(config::Config base = testConfig(), std::size_t nodeCount = 1, std::size_t mostClients = 64,
-                 std::size_t ring = net::kMostRing, net::WatchTiming watches = kLongWatches)
+                 std::size_t ring = net::kMaxRingBytes, net::WatchTiming watches = kLongWatches)
         : discoveryServer(io),
           config(prepare(std::move(base), nodeCount)),
           engine(io, config, logger),
@@ -249,8 +249,8 @@
     net::Engine engine;
     net::NodePool pool;
     net::NodePool rsyncPool;
-    net::Discovery discovery;
-    net::Peers peers;
+    net::DiscoveryClient discovery;
+    net::PeerTransport peers;
     http::Front front;
     rsync::Front rsync;
 };
