--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -9,6 +9,7 @@
 #include "http/message_writer.h"
 #include "http/pending_request.h"
 #include "http/rejection.h"
+#include "net/shared_from.h"
 
 namespace wingproxy::http {
 namespace {
@@ -40,22 +41,21 @@
     stream_.reset();
     responseReservation_ = nullptr;
     onBody_ = nullptr;
-    phaseStartedAt_ = Clock::now();
-    lastReceivedAt_ = phaseStartedAt_;
+    activity_.startAwaitingRequest();
     reader_.reset();
 }
 
 void ClientConnection::onReceived() {
-    lastReceivedAt_ = Clock::now();
+    activity_.onReceived();
     if (phase_ == Phase::ReceivingRequest) {
-        if (!reader_.hasParsedAny()) phaseStartedAt_ = lastReceivedAt_;
+        if (!reader_.hasParsedAny()) activity_.startRequest();
         return readRequest();
     }
     if (!bodyIncomplete_) {
         if (phase_ == Phase::AwaitingResponse || isStreaming()) discardPipelined();
         return;
     }
-    if (readDrainedSocket_) bufferEmptiedAt_ = context_.engine().now();
+    if (readDrainedSocket_) responseDeadline_.onSocketDrained(context_.engine().now());
     if (phase_ == Phase::SendingResponse) {
         in_.clear();  // the response did not wait for the rest of the body
     } else if (onBody_) {
@@ -70,7 +70,7 @@
 }
 
 void ClientConnection::onWriteProgress() {
-    if (phase_ == Phase::SendingResponse) phaseStartedAt_ = Clock::now();
+    if (phase_ == Phase::SendingResponse) activity_.startPhase();
 }
 
 void ClientConnection::onOutputSent() {
@@ -150,8 +150,7 @@
 
 void ClientConnection::submit(ParsedRequest parsed, std::shared_ptr<const RequestMessage> message,
                               std::optional<BodyFraming> streamed) {
-    bufferEmptiedAt_ = context_.engine().now();
-    responseTimeoutUs_ = std::max<Micros>(0, parsed.timeoutUs - kResponseTravelUs);
+    responseDeadline_ = ResponseDeadline(context_.engine().now(), parsed.timeoutUs);
     bodyIncomplete_ = streamed.has_value();
     parsed.request.deadlineUs = deadline();
     parsed.request.bodyIncomplete = bodyIncomplete_;
@@ -159,14 +158,14 @@
     context_.onRequestWaiting();
     markActive();
     auto reservation = streamed ? nullptr : reader_.body().releaseReservation();
-    auto pending = std::make_shared<PendingRequest>(context_, self(), std::move(message), streamed,
-                                                    std::move(reservation));
+    auto pending = std::make_shared<PendingRequest>(context_, net::sharedFrom(this), std::move(message),
+                                                    streamed, std::move(reservation));
     requestId_ = context_.engine().submit(std::move(parsed.request), std::move(pending));
     context_.keepConnectionsFree(sessionManager_.activeConnections());
 }
 
 Micros ClientConnection::deadline() const {
-    return std::min(bufferEmptiedAt_ + responseTimeoutUs_, context_.responseDeadline());
+    return std::min(responseDeadline_.time(), context_.responseDeadline());
 }
 
 std::size_t ClientConnection::consumeBody(char* to, std::size_t capacity) {
@@ -179,7 +178,7 @@
     const bool stuck = count == 0 && in_.freeSpace() == 0 && !reader_.isComplete();
     if (error || stuck) {
         // Not from within: the attempt that consumes the body ends with the request.
-        boost::asio::post(sessionManager_.io(), [self = self()] { self->onBodyUnreadable(); });
+        boost::asio::post(sessionManager_.io(), [self = net::sharedFrom(this)] { self->onBodyUnreadable(); });
         return 0;
     }
     if (bodyIncomplete_ && reader_.isComplete()) onBodyCompleted();
@@ -219,7 +218,7 @@
 void ClientConnection::leaveAwaitingResponse() {
     if (phase_ == Phase::AwaitingResponse) context_.onRequestNoLongerWaiting();
     phase_ = Phase::SendingResponse;
-    phaseStartedAt_ = Clock::now();
+    activity_.startPhase();
 }
 
 void ClientConnection::countResponse(int status) {
@@ -288,13 +287,13 @@
 
 bool ClientConnection::isIdle() const {
     if (phase_ != Phase::ReceivingRequest) return false;
-    return !reader_.hasBegun() || sinceLastByte() > kPartialRequestIdle;
+    return !reader_.hasBegun() || activity_.sinceLastByte() > kPartialRequestIdle;
 }
 
 int ClientConnection::evictionPriority() const {
     if (reader_.hasBegun()) return 2;
     if (hasSentRequest_) return 1;
-    return phaseAge() > kPartialRequestIdle ? 0 : 3;
+    return activity_.phaseAge() > kPartialRequestIdle ? 0 : 3;
 }
 
 void ClientConnection::closeGracefully() {
@@ -323,24 +322,24 @@
 
 void ClientConnection::enforceRequestTimeouts() {
     if (reader_.hasBegun()) {
-        if (isRequestOverdue(phaseAge(), sinceLastByte(), reader_.body().size()))
+        if (isRequestOverdue(activity_.phaseAge(), activity_.sinceLastByte(), reader_.body().size()))
             reject(rejectOverdueRequest());
         return;
     }
-    if (unreadBytes() > 0 || phaseAge() <= idleTimeout(hasSentRequest_, isCrowded())) return;
+    if (unreadBytes() > 0 || activity_.phaseAge() <= idleTimeout(hasSentRequest_, isCrowded())) return;
     ++context_.counters().silent;
     startLingeringClose();
 }
 
 // The request is the engine's to end, but for a client that stopped sending its body.
 void ClientConnection::enforceBodyTimeout() {
-    if (!bodyIncomplete_ || in_.freeSpace() == 0 || sinceLastByte() < kStalledClientTimeout) return;
+    if (!bodyIncomplete_ || in_.freeSpace() == 0 || activity_.sinceLastByte() < kStalledClientTimeout) return;
     context_.engine().clientDisconnected(requestId_);
     reject(rejectStalledBody());
 }
 
 void ClientConnection::enforceSendTimeout() {
-    if (phaseAge() <= kStalledClientTimeout) return;
+    if (activity_.phaseAge() <= kStalledClientTimeout) return;
     ++context_.counters().unread;
     onDisconnected();
     close();
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -3,16 +3,17 @@
 /// which is buffered or streamed.
 #pragma once
 
-#include <chrono>
 #include <functional>
 #include <memory>
 #include <optional>
 
 #include "http/client_stream.h"
+#include "http/connection_activity.h"
 #include "http/front_context.h"
 #include "http/messages.h"
 #include "http/request_parser.h"
 #include "http/request_reader.h"
+#include "http/response_deadline.h"
 #include "http/streamed_response.h"
 #include "net/session.h"
 
@@ -58,7 +59,6 @@
     void onOutputSent() override;
 
 private:
-    using Clock = std::chrono::steady_clock;
     enum class Phase { ReceivingRequest, AwaitingResponse, SendingResponse };
 
     // Receiving a request.
@@ -69,7 +69,7 @@
     void dispatch(std::optional<BodyFraming> streamed);
     void submit(ParsedRequest parsed, std::shared_ptr<const RequestMessage> message,
                 std::optional<BodyFraming> streamed);
-    Micros deadline() const;
+    Micros deadline() const;  // on the engine's clock
     void onBodyCompleted();
     void onBodyUnreadable();
     void discardPipelined();
@@ -87,11 +87,6 @@
     void enforceRequestTimeouts();
     bool isCrowded() const;
     bool closesAfterResponse() const;
-    Clock::duration phaseAge() const { return Clock::now() - phaseStartedAt_; }
-    Clock::duration sinceLastByte() const { return Clock::now() - lastReceivedAt_; }
-    std::shared_ptr<ClientConnection> self() {
-        return std::static_pointer_cast<ClientConnection>(shared_from_this());
-    }
 
     FrontContext& context_;
     RequestReader reader_;
@@ -104,11 +99,8 @@
     bool expectsContinue_ = false;  // the client sends the body after "100 Continue"
     bool bodyIncomplete_ = false;   // the engine has the request, and its body is still being received
     std::optional<StreamedResponse> stream_;  // from its beginning to the next request
-    Clock::time_point
-        phaseStartedAt_;  // connect or a request's first byte; then the last progress in sending
-    Clock::time_point lastReceivedAt_;  // the client's last byte
-    Micros bufferEmptiedAt_ = 0;        // engine's clock; the body's last byte had not been sent before
-    Micros responseTimeoutUs_ = 0;      // from the body's last byte
+    ConnectionActivity activity_;
+    ResponseDeadline responseDeadline_;  // of the request that awaits its response
     std::function<void()> onBody_;
     net::ByteBudget::Reservation responseReservation_;
 };
--- a/src/http/client_limits.h
+++ b/src/http/client_limits.h
@@ -1,24 +1,21 @@
 /// \file
 /// Times and shares of the connection budget that hold for every client connection. Stateless.
 ///
-/// They come from the platform's protocol pages and are the same for every customer, so no setting names
-/// them.
+/// They come from the platform's protocol and are the same for every customer, so no setting names them.
 #pragma once
 
 #include <chrono>
 #include <cstddef>
 
-#include "wingproxy/policy.h"
-
 namespace wingproxy::http {
 
-/// A response is sent so long before the client's deadline, in microseconds: the way to the client takes less
-/// than 1 ms within a data centre, and the pages allow every deadline more than ten times this.
-constexpr Micros kResponseTravelUs = 3'000;
+/// A response is sent so long before the client's deadline: the way to the client takes less than 1 ms within
+/// a data centre, and every deadline of the protocol is more than ten times this.
+constexpr std::chrono::milliseconds kResponseTravelTime{3};
 
 /// The Retry-After of a request that the front rejects itself because it is out of memory, out of connections
-/// or stopping, in microseconds: soon, as no node's work has to end first.
-constexpr Micros kOverloadRetryAfterUs = 100'000;
+/// or stopping: soon, as no node's work has to end first.
+constexpr std::chrono::milliseconds kOverloadRetryAfter{100};
 
 /// A partly received request that has brought nothing for so long may be evicted for another client.
 constexpr std::chrono::milliseconds kPartialRequestIdle{250};
@@ -31,7 +28,7 @@
 constexpr std::chrono::seconds kUnreadBodyLinger{10};
 
 /// How long a connection may stay open between requests.
-/// \param hasSentRequest a connection without any request may be closed after 2 s, by the protocol pages
+/// \param hasSentRequest a connection without any request may be closed after 2 s, by the protocol
 /// \param crowded see `isCrowded`
 std::chrono::seconds idleTimeout(bool hasSentRequest, bool crowded);
 
--- a/src/http/rejection.cpp
+++ b/src/http/rejection.cpp
@@ -6,6 +6,7 @@
 
 #include "http/client_limits.h"
 #include "http/message_writer.h"
+#include "net/clock.h"
 
 namespace wingproxy::http {
 namespace {
@@ -41,7 +42,7 @@
 }
 
 Rejection rejectPartialRequest(const Settings& settings) {
-    return {503, retryAfterField(settings, kOverloadRetryAfterUs), "", nullptr, true};
+    return {503, retryAfterField(settings, net::toMicros(kOverloadRetryAfter)), "", nullptr, true};
 }
 
 Rejection rejectForMemory(const Settings& settings) {
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -8,6 +8,12 @@
 
 namespace wingproxy::net {
 
+/// A duration of the policy's as one of the standard library's.
+constexpr std::chrono::microseconds toDuration(Micros micros) { return std::chrono::microseconds(micros); }
+
+/// A duration of the standard library's in the policy's unit. A finer one does not convert without a cast.
+constexpr Micros toMicros(std::chrono::microseconds duration) { return duration.count(); }
+
 /// Unix time in microseconds that never goes back: the system clock is read once, at construction, and the
 /// steady clock is added to it. Unix time is needed because `startedAtMs` of the endpoint list counts so.
 class Clock {
--- a/src/net/watch_timing.cpp
+++ b/src/net/watch_timing.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "net/clock.h"
+
 namespace wingproxy::net {
 namespace {
 
@@ -20,7 +22,7 @@
     DiscoveryTiming timing{watch, kMaxRetryDelay};
     if (settings.pollsEndpointList) return timing;
     timing.watch.firstTimeout = std::min(timing.watch.firstTimeout, kMaxPushedTimeout);
-    const std::chrono::microseconds grace(settings.drainGraceUs);
+    const auto grace = toDuration(settings.drainGraceUs);
     if (grace.count() <= 0) return timing;
     const auto timeout = std::chrono::duration_cast<milliseconds>(grace / kTimeoutGracePart);
     timing.watch.firstTimeout = std::min(timing.watch.firstTimeout, timeout);
--- /dev/null
+++ b/tests/http/response_deadline_test.cpp
@@ -0,0 +1,29 @@
+// Until when a response has to be sent.
+#include "http/response_deadline.h"
+
+#include <doctest/doctest.h>
+
+using namespace wingproxy;
+
+namespace {
+
+constexpr Micros kSubmittedAt = 1'000'000;
+constexpr Micros kClientTimeout = 50'000;
+constexpr Micros kTravelTime = 3'000;
+
+}  // namespace
+
+TEST_CASE("response deadline: the client's timeout without the time that the response travels") {
+    const http::ResponseDeadline deadline(kSubmittedAt, kClientTimeout);
+    CHECK(deadline.time() == kSubmittedAt + kClientTimeout - kTravelTime);
+}
+
+TEST_CASE("response deadline: it counts from the last time that the socket was read empty") {
+    http::ResponseDeadline deadline(kSubmittedAt, kClientTimeout);
+    deadline.onSocketDrained(kSubmittedAt + 400);
+    CHECK(deadline.time() == kSubmittedAt + 400 + kClientTimeout - kTravelTime);
+}
+
+TEST_CASE("response deadline: a timeout below the travel time is over at once") {
+    CHECK(http::ResponseDeadline(kSubmittedAt, kTravelTime - 1).time() == kSubmittedAt);
+}
--- a/tests/net/clock_test.cpp
+++ b/tests/net/clock_test.cpp
@@ -25,3 +25,8 @@
     CHECK(clock.at(now + 5'000) - clock.at(now) == std::chrono::milliseconds(5));
     CHECK(clock.at(now) <= std::chrono::steady_clock::now());
 }
+
+TEST_CASE("clock: durations translate between the policy's unit and the standard library's") {
+    CHECK(net::toDuration(1'500) == std::chrono::microseconds(1'500));
+    CHECK(net::toMicros(std::chrono::milliseconds(3)) == 3'000);
+}
