--- a/src/http/request_attempt.cpp
+++ b/src/http/request_attempt.cpp
@@ -7,7 +7,9 @@
 
 #include "http/message_writer.h"
 #include "http/node_response.h"
+#include "net/clock.h"
 #include "net/http_exchange.h"
+#include "net/shared_from.h"
 
 namespace wingproxy::http {
 namespace {
@@ -19,8 +21,6 @@
 // another attempt may still be in time.
 constexpr double kStallShareOfObjective = 0.2;
 
-constexpr std::string_view kLastChunk = "0\r\n\r\n";
-
 }  // namespace
 
 RequestAttempt::RequestAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptParams& params,
@@ -32,7 +32,7 @@
       streamed_(streamed),
       client_(std::move(client)),
       onResponse_(std::move(onResponse)),
-      stallTimer_(engine.io()) {}
+      stallTimer_(engine.io().get_executor()) {}
 
 void RequestAttempt::onConnectedTooLate(std::shared_ptr<net::Connection> connection) {
     pool_.release(std::move(connection));
@@ -42,62 +42,29 @@
     connection_ = std::move(connection);
     const auto host = fmt::format("{}:{}", params_.node.host, params_.node.port);
     const auto remainingUs = params_.timeoutAt - engine_.now();
-    requestText_ = serializeNodeRequest(*message_, host, remainingUs, streamed_ ? &*streamed_ : nullptr);
-    bodyQueued_ = !streamed_;
+    auto text = serializeNodeRequest(*message_, host, remainingUs, streamed_ ? &*streamed_ : nullptr);
+    requestWriter_.emplace(std::move(text), streamed_, client_);
     reader_.emplace(connection_->in, kMaxBody);
     write();
     // The response to a buffered request is read once it is sent; a streamed one may be answered before.
     if (streamed_ && !ended_) read();
 }
 
-void RequestAttempt::fillSendBuffer() {
-    requestTextQueued_ += connection_->out.append(std::string_view(requestText_).substr(requestTextQueued_));
-    if (requestTextQueued_ < requestText_.size()) return;
-    std::string().swap(requestText_);  // frees its memory
-    requestTextQueued_ = 0;
-    const auto client = client_.lock();
-    while (!bodyQueued_ && client && connection_->out.freeSpace() > net::kMaxChunkOverhead)
-        if (!queueBodyPiece(*client)) return;
-}
-
-// False: no more can be queued now.
-bool RequestAttempt::queueBodyPiece(ClientStream& client) {
-    auto& out = connection_->out;
-    char piece[16 * 1024];
-    const auto count =
-        client.consumeBody(piece, std::min(sizeof piece, out.freeSpace() - net::kMaxChunkOverhead));
-    if (ended_) return false;
-    if (count > 0) {
-        bodyConsumed_ = true;
-        net::appendBodyPiece(out, {piece, count}, streamed_->chunked);
-    }
-    if (client.isBodyConsumed()) {
-        if (out.freeSpace() < net::kMaxChunkOverhead)
-            return false;  // the last chunk follows when a part is written
-        if (streamed_->chunked) out.append(kLastChunk);
-        bodyQueued_ = true;
-        return false;
-    }
-    if (count > 0) return true;
-    client.awaitBody([weak = weak_from_this()] {
-        if (const auto attempt = weak.lock()) static_cast<RequestAttempt&>(*attempt).write();
-    });
-    return false;
-}
-
 void RequestAttempt::write() {
     if (ended_ || writing_ || requestSent_) return;
-    fillSendBuffer();
-    if (ended_) return;
     auto& out = connection_->out;
+    const auto progress = requestWriter_->fill(out);
+    if (ended_) return;
+    if (progress == NodeRequestWriter::Progress::AwaitingBody) awaitBody();
     if (out.size() == 0) {
-        if (bodyQueued_) onRequestSent();
+        if (progress == NodeRequestWriter::Progress::Complete) onRequestSent();
         return;  // otherwise the client has to send more of the body
     }
     if (engine_.now() > params_.lastByteBy) return fail();  // the rest would be past the idempotency window
     writing_ = true;
     connection_->socket.async_write_some(
-        out.data(), [self = self()](const boost::system::error_code& error, std::size_t count) {
+        out.data(),
+        [self = net::sharedFrom(this)](const boost::system::error_code& error, std::size_t count) {
             self->writing_ = false;
             if (self->ended_) return;
             self->connection_->out.consume(count);
@@ -108,6 +75,14 @@
         });
 }
 
+void RequestAttempt::awaitBody() {
+    const auto client = client_.lock();
+    if (!client) return;
+    client->awaitBody([weak = net::weakFrom(this)] {
+        if (const auto attempt = weak.lock()) attempt->write();
+    });
+}
+
 void RequestAttempt::onRequestSent() {
     requestSent_ = true;
     engine_.attemptRequestSent(params_.id, params_.attempt);
@@ -115,19 +90,16 @@
 }
 
 void RequestAttempt::read() {
-    if (ended_ || reading_ || nodeClosed_ || connection_->in.freeSpace() == 0) return;
-    reading_ = true;
-    connection_->socket.async_read_some(
-        connection_->in.prepare(),
-        [self = self()](const boost::system::error_code& error, std::size_t count) {
-            self->reading_ = false;
-            if (self->ended_) return;
-            self->connection_->in.commit(count);
-            self->stallTimer_.cancel();
-            if (error && error != boost::asio::error::eof) return self->fail();
-            self->nodeClosed_ = bool(error);
-            self->processReceived();
-        });
+    if (ended_) return;
+    socketReader_.read(connection_->socket, connection_->in,
+                       [self = net::sharedFrom(this)](const boost::system::error_code& error,
+                                                      std::size_t /*count*/) { self->onRead(error); });
+}
+
+void RequestAttempt::onRead(const boost::system::error_code& error) {
+    stallTimer_.cancel();
+    if (error && error != boost::asio::error::eof) return fail();
+    processReceived();
 }
 
 void RequestAttempt::processReceived() {
@@ -159,9 +131,9 @@
 }
 
 void RequestAttempt::processBufferedBody(boost::system::error_code error) {
-    if (!error && nodeClosed_) reader_->onEndOfStream(error);
+    if (!error && hasNodeClosed()) reader_->onEndOfStream(error);
     if (!error && reader_->isComplete()) return finish();
-    if (error || nodeClosed_ || connection_->in.freeSpace() == 0) return fail();
+    if (error || hasNodeClosed() || connection_->in.freeSpace() == 0) return fail();
     reportHead();
     if (ended_) return;
     if (reader_->hasParsedAny()) startStallTimer(stallTimeout());
@@ -179,25 +151,11 @@
     const std::chrono::microseconds longest = net::HttpExchange::kStallTimeout;
     const auto objective = engine_.settings().shortestLatencyObjective();
     if (objective <= 0) return longest;
-    return std::min(longest, std::chrono::microseconds(Micros(kStallShareOfObjective * double(objective))));
+    return std::min(longest, net::toDuration(Micros(kStallShareOfObjective * double(objective))));
 }
 
 void RequestAttempt::startStallTimer(std::chrono::microseconds timeout) {
-    stallTimer_.expires_after(timeout);
-    stallTimer_.async_wait([self = self(), timeout](const boost::system::error_code& cancelled) {
-        if (!cancelled && !self->ended_ && self->connection_) self->onStallTimer(timeout);
-    });
-}
-
-// Where this process was slow and not the node, the timer was set anew in this turn, or unread bytes wait.
-void RequestAttempt::onStallTimer(std::chrono::microseconds timeout) {
-    if (stallTimer_.expiry() > std::chrono::steady_clock::now()) return;
-    boost::system::error_code error;
-    const auto unread = connection_->socket.available(error);
-    if (unread > 0 && !error)
-        startStallTimer(timeout);
-    else
-        fail();
+    stallTimer_.start(timeout, connection_->socket, [self = net::sharedFrom(this)] { self->fail(); });
 }
 
 // From now on the response is the client's: no other attempt can replace it.
@@ -211,9 +169,9 @@
     if (const auto length = parser.content_length()) head.contentLength = *length;
     engine_.responseForwardingStarted(params_.id, params_.attempt, true);
     if (ended_) return;
-    client->startStreaming(head, [weak = weak_from_this()](char* to, std::size_t capacity) -> std::size_t {
+    client->startStreaming(head, [weak = net::weakFrom(this)](char* to, std::size_t capacity) -> std::size_t {
         const auto attempt = weak.lock();
-        return attempt ? static_cast<RequestAttempt&>(*attempt).consumeResponse(to, capacity) : 0;
+        return attempt ? attempt->consumeResponse(to, capacity) : 0;
     });
 }
 
@@ -228,10 +186,10 @@
 
 void RequestAttempt::continueStreaming(std::size_t consumed, boost::system::error_code error) {
     const bool isBufferEmpty = connection_->in.size() == 0;
-    if (!error && nodeClosed_ && isBufferEmpty) reader_->onEndOfStream(error);
+    if (!error && hasNodeClosed() && isBufferEmpty) reader_->onEndOfStream(error);
     if (error) return fail();
     if (reader_->isComplete()) return finish();
-    const bool isTruncated = nodeClosed_ && consumed == 0;
+    const bool isTruncated = hasNodeClosed() && consumed == 0;
     const bool isChunkHeaderTooLong = connection_->in.freeSpace() == 0 && consumed == 0;
     if (isTruncated || isChunkHeaderTooLong) return fail();
     // No read while bytes are left that a later turn takes: one under way at the end would cost the
@@ -246,7 +204,7 @@
     // A response before the complete request was sent: the request was not served, whatever the node says,
     // unless it says that it failed.
     if (!requestSent_ && result.outcome == Outcome::Ok) result.outcome = Outcome::Reset;
-    result.requestSpent = result.requestSpent || bodyConsumed_;
+    result.requestSpent = result.requestSpent || requestWriter_->hasConsumedBody();
     if (result.outcome == Outcome::Ok && !streaming_) {
         ResponseMessage response{ResponseHead(head)};
         response.body() = responseBody_.releaseBytes();
@@ -257,20 +215,22 @@
 }
 
 bool RequestAttempt::isConnectionReusable() const {
-    const bool isQuiet = !nodeClosed_ && !reading_ && connection_->in.size() == 0;
-    return requestSent_ && isQuiet && reader_->keepAlive();
+    const bool isIdle = !hasNodeClosed() && !socketReader_.isReading() && connection_->in.size() == 0;
+    return requestSent_ && isIdle && reader_->keepAlive();
 }
 
 // The connection broke, or what came on it cannot be read.
 void RequestAttempt::fail() {
     core::AttemptFinished result;
     result.outcome = requestSent_ ? Outcome::Reset : Outcome::ConnectFailed;
-    result.requestSpent = bodyConsumed_;
+    result.requestSpent = requestWriter_->hasConsumedBody();
     finishAttempt(std::move(result));
 }
 
 void RequestAttempt::closeConnection() {
-    stallTimer_.cancel();
+    stallTimer_.stop();
+    socketReader_.stop();
+    if (requestWriter_) requestWriter_->stop();
     boost::system::error_code ignored;
     if (connection_) connection_->socket.close(ignored);  // its buffers stay until the handlers have run
 }
--- a/src/http/request_attempt.h
+++ b/src/http/request_attempt.h
@@ -7,13 +7,15 @@
 #include <functional>
 #include <memory>
 #include <optional>
-#include <string>
 
 #include "http/buffered_body.h"
 #include "http/client_stream.h"
 #include "http/messages.h"
+#include "http/node_request_writer.h"
 #include "net/node_attempt.h"
 #include "net/response_reader.h"
+#include "net/socket_reader.h"
+#include "net/stall_timer.h"
 
 namespace wingproxy::http {
 
@@ -37,21 +39,21 @@
 
     // Sending the request.
     void write();
-    void fillSendBuffer();
-    bool queueBodyPiece(ClientStream& client);
+    void awaitBody();
     void onRequestSent();
 
     // Receiving the response.
     void read();
+    void onRead(const boost::system::error_code& error);
     void processReceived();
     void processHead();
     void readBufferedBody(boost::system::error_code& error);
     void processBufferedBody(boost::system::error_code error);
     void reportHead();
+    bool hasNodeClosed() const { return socketReader_.hasEnded(); }
     bool isStatusOk() const { return reader_->parser().get().result() == boost::beast::http::status::ok; }
     std::chrono::microseconds stallTimeout() const;
     void startStallTimer(std::chrono::microseconds timeout);
-    void onStallTimer(std::chrono::microseconds timeout);
 
     // Streaming it to the client.
     void startStreaming();
@@ -63,29 +65,21 @@
     bool isConnectionReusable() const;
     void fail();
 
-    std::shared_ptr<RequestAttempt> self() {
-        return std::static_pointer_cast<RequestAttempt>(shared_from_this());
-    }
-
     std::shared_ptr<const RequestMessage> message_;
     std::optional<BodyFraming> streamed_;
     std::weak_ptr<ClientStream> client_;
     OnResponse onResponse_;
     std::shared_ptr<net::Connection> connection_;
-    std::string requestText_;  // of which the send buffer has not taken all
-    std::size_t requestTextQueued_ = 0;
+    std::optional<NodeRequestWriter> requestWriter_;  // these two from the connection on
     std::optional<net::ResponseReader> reader_;
+    net::SocketReader socketReader_;
+    net::StallTimer stallTimer_;
     BufferedBody responseBody_;
-    boost::asio::steady_timer stallTimer_;
-    bool bodyQueued_ = false;    // the complete request is in the send buffer
-    bool requestSent_ = false;   // and written to the socket
-    bool bodyConsumed_ = false;  // a part of the streamed body is taken: no other attempt can send it
+    bool requestSent_ = false;  // written to the socket, complete
     bool writing_ = false;
-    bool reading_ = false;
     bool headReceived_ = false;
     bool headReported_ = false;  // to the engine
     bool streaming_ = false;     // the response goes to the client as it comes
-    bool nodeClosed_ = false;    // the node ended its side of the connection
 };
 
 }  // namespace wingproxy::http
--- a/src/http/streamed_response.cpp
+++ b/src/http/streamed_response.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "http/message_writer.h"
-#include "net/message_reader.h"
+#include "net/chunked_coding.h"
 
 namespace wingproxy::http {
 namespace {
@@ -40,7 +40,7 @@
 }
 
 std::string_view StreamedResponse::trailer() const {
-    return framing_ == ResponseFraming::Chunked ? "0\r\n\r\n" : "";
+    return framing_ == ResponseFraming::Chunked ? net::kLastChunk : "";
 }
 
 }  // namespace wingproxy::http
--- a/src/net/http_exchange.cpp
+++ b/src/net/http_exchange.cpp
@@ -32,15 +32,12 @@
 }
 
 void HttpExchange::read() {
-    connection_->socket.async_read_some(
-        connection_->in.prepare(),
-        [self = shared_from_this()](const boost::system::error_code& error, std::size_t count) {
-            if (self->onFinished_) self->onRead(error, count);
-        });
+    socketReader_.read(connection_->socket, connection_->in,
+                       [self = shared_from_this()](const boost::system::error_code& error,
+                                                   std::size_t /*count*/) { self->onRead(error); });
 }
 
-void HttpExchange::onRead(const boost::system::error_code& error, std::size_t count) {
-    connection_->in.commit(count);
+void HttpExchange::onRead(const boost::system::error_code& error) {
     stallTimer_.cancel();
     const bool nodeClosed = error == boost::asio::error::eof;
     if (error && !nodeClosed)
@@ -60,29 +57,19 @@
     } else if (error || nodeClosed || in.freeSpace() == 0 || body_.size() > bodyLimit_) {
         finish(Result::ConnectionLost);
     } else {
-        awaitMore();
+        startStallTimer();
         read();
     }
 }
 
-void HttpExchange::awaitMore() {
-    stallTimer_.expires_after(stallTimeout_);
-    stallTimer_.async_wait([self = shared_from_this()](const boost::system::error_code& stopped) {
-        if (!stopped && self->onFinished_) self->onStallTimeout();
-    });
-}
-
-// If this process was slow and not the node, more was read in this turn of the loop or is still unread.
-void HttpExchange::onStallTimeout() {
-    if (stallTimer_.expiry() > std::chrono::steady_clock::now()) return;
-    boost::system::error_code error;
-    if (connection_->socket.available(error) > 0 && !error) return awaitMore();
-    finish(Result::ConnectionLost);
+void HttpExchange::startStallTimer() {
+    stallTimer_.start(stallTimeout_, connection_->socket,
+                      [self = shared_from_this()] { self->finish(Result::ConnectionLost); });
 }
 
 void HttpExchange::finish(Result result) {
     const auto onFinished = std::exchange(onFinished_, nullptr);
-    stallTimer_.cancel();
+    stop();
     boost::system::error_code ignored;
     if (!reusable_) connection_->socket.close(ignored);
     Response response;
@@ -96,11 +83,16 @@
 void HttpExchange::cancel() {
     if (!onFinished_) return;
     onFinished_ = nullptr;
-    stallTimer_.cancel();
+    stop();
     boost::system::error_code ignored;
     connection_->socket.close(ignored);
 }
 
+void HttpExchange::stop() {
+    stallTimer_.stop();
+    socketReader_.stop();
+}
+
 std::shared_ptr<Connection> HttpExchange::takeReusableConnection() {
     return reusable_ ? std::exchange(connection_, nullptr) : nullptr;
 }
--- a/src/net/http_exchange.h
+++ b/src/net/http_exchange.h
@@ -12,6 +12,8 @@
 #include "net/node_pool.h"
 #include "net/pending_output.h"
 #include "net/response_reader.h"
+#include "net/socket_reader.h"
+#include "net/stall_timer.h"
 
 namespace wingproxy::net {
 
@@ -48,11 +50,11 @@
 private:
     void write();
     void read();
-    void onRead(const boost::system::error_code& error, std::size_t count);
+    void onRead(const boost::system::error_code& error);
     void parse(bool nodeClosed);
-    void awaitMore();
-    void onStallTimeout();
+    void startStallTimer();
     void finish(Result result);
+    void stop();
 
     std::shared_ptr<Connection> connection_;
     PendingOutput request_;
@@ -60,8 +62,9 @@
     std::size_t bodyLimit_;
     ResponseReader reader_;
     std::string body_;
+    SocketReader socketReader_;
     std::chrono::microseconds stallTimeout_;
-    boost::asio::steady_timer stallTimer_;
+    StallTimer stallTimer_;
     bool reusable_ = false;
 };
 
--- a/src/net/message_reader.h
+++ b/src/net/message_reader.h
@@ -3,8 +3,6 @@
 /// is fed from the ring, and bodies are taken out piece by piece.
 #pragma once
 
-#include <fmt/format.h>
-
 #include <algorithm>
 #include <array>
 #include <boost/beast/http/buffer_body.hpp>
@@ -41,18 +39,6 @@
     return used > 0;
 }
 
-/// The most bytes that the chunked coding adds to one piece: its size in hexadecimal digits and two line
-/// ends.
-constexpr std::size_t kMaxChunkOverhead = 16;
-
-/// Appends a piece of a body to `out`, framed as one chunk if `chunked`. The caller makes sure that the piece
-/// fits, with `kMaxChunkOverhead` bytes more if chunked.
-inline void appendBodyPiece(RingBuffer& out, std::string_view piece, bool chunked) {
-    if (chunked) out.append(fmt::format("{:x}\r\n", piece.size()));
-    out.append(piece);
-    if (chunked) out.append("\r\n");
-}
-
 /// Reads one message: first its head, then its body in pieces of any size, as far as the ring has the bytes.
 template <bool isRequest>
 class MessageReader {
--- a/src/net/session.cpp
+++ b/src/net/session.cpp
@@ -24,20 +24,16 @@
 
 // Goes on while a response is owed as well: that is how a disconnect is noticed.
 void Session::read() {
-    if (reading_ || !open_ || in_.freeSpace() == 0) return;
-    reading_ = true;
-    socket_.async_read_some(in_.prepare(), [self = shared_from_this(), requested = in_.freeSpace()](
-                                               const boost::system::error_code& error, std::size_t count) {
-        self->onRead(error, count, requested);
-    });
+    socketReader_.read(socket_, in_,
+                       [self = shared_from_this(), requested = in_.freeSpace()](
+                           const boost::system::error_code& error, std::size_t count) {
+                           self->readDrainedSocket_ = count < requested;
+                           self->onRead(error);
+                       });
 }
 
-void Session::onRead(const boost::system::error_code& error, std::size_t count, std::size_t requested) {
-    reading_ = false;
-    if (!open_) return;
+void Session::onRead(const boost::system::error_code& error) {
     if (error) return onConnectionError();
-    in_.commit(count);
-    readDrainedSocket_ = count < requested;
     if (isLingering()) {
         in_.clear();
         restartLingerTimer();
@@ -144,7 +140,7 @@
 }
 
 bool Session::hasClientDisconnected() {
-    if (!open_ || reading_ || isLingering()) return false;  // a pending read notices
+    if (!open_ || socketReader_.isReading() || isLingering()) return false;  // a pending read notices
     pollfd descriptor{socket_.native_handle(), POLLRDHUP, 0};
     return ::poll(&descriptor, 1, 0) > 0 && (descriptor.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
@@ -152,6 +148,7 @@
 void Session::close() {
     if (!open_) return;
     open_ = false;
+    socketReader_.stop();
     if (!resetOnClose_) discardUnread();
     boost::system::error_code ignored;
     socket_.close(ignored);
--- a/src/net/session.h
+++ b/src/net/session.h
@@ -13,6 +13,7 @@
 #include "net/pending_output.h"
 #include "net/ring_buffer.h"
 #include "net/session_manager.h"
+#include "net/socket_reader.h"
 
 namespace wingproxy::net {
 
@@ -90,7 +91,7 @@
     bool readDrainedSocket_ = false;  ///< the last read took all that had come
 
 private:
-    void onRead(const boost::system::error_code& error, std::size_t count, std::size_t requested);
+    void onRead(const boost::system::error_code& error);
     void write();
     void onWritten(const boost::system::error_code& error, std::size_t count);
     void onConnectionError();
@@ -98,12 +99,12 @@
     bool hasClientDisconnected();
     void discardUnread();
 
+    SocketReader socketReader_;
     PendingOutput output_;
     LingeringClose lingeringClose_;
     boost::asio::steady_timer lingerTimer_;
     bool open_ = true;
     bool resetOnClose_ = false;
-    bool reading_ = false;
     bool writing_ = false;
 };
 
--- a/src/rsync/client_session.cpp
+++ b/src/rsync/client_session.cpp
@@ -5,6 +5,7 @@
 #include <chrono>
 #include <utility>
 
+#include "net/shared_from.h"
 #include "rsync/pending_transfer.h"
 #include "rsync/protocol.h"
 #include "rsync/transfer_attempt.h"
@@ -25,10 +26,6 @@
       handshakeTimer_(sessionManager.io()),
       handshake_(context.config) {}
 
-std::shared_ptr<ClientSession> ClientSession::self() {
-    return std::static_pointer_cast<ClientSession>(shared_from_this());
-}
-
 void ClientSession::start() {
     startHandshakeTimer();
     send(greeting());
@@ -37,8 +34,8 @@
 
 void ClientSession::startHandshakeTimer() {
     handshakeTimer_.expires_after(kHandshakeTimeout);
-    handshakeTimer_.async_wait([weak = weak_from_this()](const boost::system::error_code& error) {
-        const auto session = std::static_pointer_cast<ClientSession>(weak.lock());
+    handshakeTimer_.async_wait([weak = net::weakFrom(this)](const boost::system::error_code& error) {
+        const auto session = weak.lock();
         if (error || !session || session->stage_ != Stage::Handshake) return;
         session->apply(session->handshake_.reject({HandshakeErrorCode::Timeout, {}}));
     });
@@ -84,7 +81,7 @@
     stage_ = Stage::Transfer;
     handshakeTimer_.cancel();
     ++context_.counters.transfers;
-    auto pending = std::make_shared<PendingTransfer>(context_, self(), std::move(transfer));
+    auto pending = std::make_shared<PendingTransfer>(context_, net::sharedFrom(this), std::move(transfer));
     requestId_ = context_.engine.submit(std::move(request), std::move(pending));
 }
 
--- a/src/rsync/client_session.h
+++ b/src/rsync/client_session.h
@@ -63,7 +63,6 @@
     Request buildRequest(const TransferRequest& transfer) const;
     void closeWithError(const std::string& message);
     void closeAfterSending();
-    std::shared_ptr<ClientSession> self();
 
     FrontContext& context_;
     boost::asio::steady_timer handshakeTimer_;
--- a/src/rsync/transfer_attempt.cpp
+++ b/src/rsync/transfer_attempt.cpp
@@ -4,6 +4,7 @@
 #include <string_view>
 #include <utility>
 
+#include "net/shared_from.h"
 #include "rsync/protocol.h"
 
 namespace wingproxy::rsync {
@@ -29,10 +30,6 @@
       clientStream_(isPull(*request_) ? static_cast<StreamParser&>(generatorStream_) : senderStream_),
       nodeFrames_(nodeStream_) {}
 
-std::shared_ptr<TransferAttempt> TransferAttempt::self() {
-    return std::static_pointer_cast<TransferAttempt>(shared_from_this());
-}
-
 void TransferAttempt::onConnected(std::shared_ptr<net::Connection> connection) {
     connection_ = std::move(connection);
     sendToNode(greeting() + request_->nodeModule + "\n");
@@ -52,7 +49,7 @@
     writingHandshake_ = out.size() > 0;
     if (!writingHandshake_) return onHandshakeWritten();
     connection_->socket.async_write_some(
-        out.data(), [self = self()](const boost::system::error_code& error, std::size_t size) {
+        out.data(), [self = net::sharedFrom(this)](const boost::system::error_code& error, std::size_t size) {
             if (self->ended_) return;
             self->connection_->out.consume(size);
             if (error)
@@ -73,24 +70,18 @@
 // ---------------------------------------------------------------- from the node
 
 void TransferAttempt::readFromNode() {
-    if (readingNode_ || nodeEnded_ || connection_->in.freeSpace() == 0) return;
-    readingNode_ = true;
-    connection_->socket.async_read_some(
-        connection_->in.prepare(), [self = self()](const boost::system::error_code& error, std::size_t size) {
-            self->readingNode_ = false;
-            if (!self->ended_) self->onNodeRead(size, error.failed());
-        });
+    nodeReader_.read(connection_->socket, connection_->in,
+                     [self = net::sharedFrom(this)](const boost::system::error_code& /*error*/,
+                                                    std::size_t size) { self->onNodeRead(size); });
 }
 
-void TransferAttempt::onNodeRead(std::size_t size, bool ended) {
-    connection_->in.commit(size);
-    if (ended) nodeEnded_ = true;
+void TransferAttempt::onNodeRead(std::size_t size) {
     if (stage_ == Stage::Forwarding)
         parseNodeStream(size);
     else
         handleHandshakeLines();
     if (ended_) return;
-    if (nodeEnded_)
+    if (nodeReader_.hasEnded())
         finishIfComplete();
     else
         readFromNode();
@@ -121,7 +112,7 @@
     if (!client) return finish(Outcome::Cancelled);
     stage_ = Stage::Forwarding;
     engine_.responseForwardingStarted(params_.id, params_.attempt);
-    client->startForwarding([weak = std::weak_ptr<TransferAttempt>(self())] {
+    client->startForwarding([weak = net::weakFrom(this)] {
         if (const auto attempt = weak.lock()) attempt->forwardToNode();
     });
     parseNodeStream(connection_->in.size());
@@ -146,7 +137,7 @@
     writingClient_ = true;
     client->socket().async_write_some(
         connection_->in.data(),
-        [self = self(), client](const boost::system::error_code& error, std::size_t size) {
+        [self = net::sharedFrom(this), client](const boost::system::error_code& error, std::size_t size) {
             self->writingClient_ = false;
             if (self->ended_) return;
             self->connection_->in.consume(size);
@@ -172,7 +163,7 @@
     writingNode_ = true;
     boost::asio::async_write(
         connection_->socket, boost::asio::buffer(chunk),
-        [self = self(), client](const boost::system::error_code& error, std::size_t size) {
+        [self = net::sharedFrom(this), client](const boost::system::error_code& error, std::size_t size) {
             self->writingNode_ = false;
             if (self->ended_) return;
             if (error) return self->finish(Outcome::Reset);
@@ -194,7 +185,7 @@
 void TransferAttempt::finishIfComplete() {
     if (ended_) return;
     if (isDelivered()) return finishDelivered();
-    if (!nodeEnded_) return;
+    if (!nodeReader_.hasEnded()) return;
     if (stage_ != Stage::Forwarding)
         finish(requestSent_ ? Outcome::Reset : Outcome::ConnectFailed);
     else if (allForwardedToClient())
@@ -205,7 +196,7 @@
 void TransferAttempt::finishDelivered() {
     if (clientStream_.status() == StreamStatus::Complete && !writingNode_)
         finish(Outcome::Ok);
-    else if (nodeEnded_)
+    else if (nodeReader_.hasEnded())
         finish(isPull(*request_) ? Outcome::Ok : Outcome::Reset);
 }
 
@@ -218,6 +209,7 @@
 }
 
 void TransferAttempt::closeConnection() {
+    nodeReader_.stop();
     boost::system::error_code ignored;
     if (connection_) connection_->socket.close(ignored);  // its buffers stay until the handlers have run
 }
--- a/src/rsync/transfer_attempt.h
+++ b/src/rsync/transfer_attempt.h
@@ -12,6 +12,7 @@
 #include <string>
 
 #include "net/node_attempt.h"
+#include "net/socket_reader.h"
 #include "rsync/client_stream.h"
 #include "rsync/generator_stream.h"
 #include "rsync/multiplexed_stream.h"
@@ -48,7 +49,7 @@
     void onHandshakeWritten();
 
     void readFromNode();
-    void onNodeRead(std::size_t size, bool ended);
+    void onNodeRead(std::size_t size);
     void handleHandshakeLines();
     void startForwardingIfStreamBegan();
     void parseNodeStream(std::size_t newBytes);
@@ -59,7 +60,6 @@
     void finishDelivered();
     void finish(Outcome outcome);
     bool allForwardedToClient() const;
-    std::shared_ptr<TransferAttempt> self();
 
     std::shared_ptr<const TransferRequest> request_;
     std::weak_ptr<ClientStream> client_;
@@ -75,8 +75,7 @@
     StreamParser& nodeStream_;    ///< the one of the two that the node sends
     StreamParser& clientStream_;  ///< the one of the two that the client sends
     MultiplexedStream nodeFrames_;
-    bool readingNode_ = false;
-    bool nodeEnded_ = false;  ///< the node closed its side, or the connection broke
+    net::SocketReader nodeReader_;  ///< ended: the node closed its side, or the connection broke
     bool writingClient_ = false;
     bool writingNode_ = false;
 };
--- a/tests/net/message_reader_test.cpp
+++ b/tests/net/message_reader_test.cpp
@@ -88,14 +88,6 @@
     CHECK(error == boost::beast::http::error::body_limit);
 }
 
-TEST_CASE("message reader: a piece is framed as one chunk only where that is asked for") {
-    net::RingBuffer out(64);
-    net::appendBodyPiece(out, "0123456789abcdef", true);
-    net::appendBodyPiece(out, "plain", false);
-    const auto parts = out.newest(out.size());
-    CHECK(std::string(parts[0]) == "10\r\n0123456789abcdef\r\nplain");
-}
-
 TEST_CASE("message reader: memory is reserved for the announced length, or the most where none is named") {
     net::ByteBudget budget(100);
     boost::system::error_code error;
