--- a/src/http/buffered_body.h
+++ b/src/http/buffered_body.h
@@ -17,7 +17,9 @@
 public:
     /// The reservation is given back when the last byte is consumed, or with this object.
     void setReservation(net::ByteBudget::Reservation reservation) { reservation_ = std::move(reservation); }
+    /// Whether memory is reserved, which also holds for an empty body.
     bool hasReservation() const { return reservation_ != nullptr; }
+    /// Gives the reservation to the caller, as the bytes go elsewhere; null if there is none.
     net::ByteBudget::Reservation releaseReservation() { return std::exchange(reservation_, nullptr); }
 
     /// Appends what has arrived, until the body is longer than may be buffered.
@@ -27,8 +29,11 @@
         reader.appendBody(in, bytes_, kMaxBufferedBody, error);
     }
 
+    /// Whether no byte is left; the body may still be incomplete.
     bool empty() const { return bytes_.empty(); }
+    /// Bytes held now.
     std::size_t size() const { return bytes_.size(); }
+    /// Whether the body is longer than may be buffered, so that it has to be streamed or rejected.
     bool exceedsLimit() const { return bytes_.size() > kMaxBufferedBody; }
 
     /// Moves up to `capacity` bytes from the front to `to`.
--- a/src/http/connection_activity.h
+++ b/src/http/connection_activity.h
@@ -10,6 +10,7 @@
 /// timer.
 class ConnectionActivity {
 public:
+    /// Steady, as the timeouts must not follow changes of the system's time.
     using Clock = std::chrono::steady_clock;
 
     /// A phase begins now, or was extended by progress in it.
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -14,6 +14,7 @@
 /// Owns the session manager of the listener and what its connections share.
 class Front {
 public:
+    /// The counters of this front, for the metrics report.
     using Counters = FrontCounters;
 
     /// \param engine, pool have to outlive the front
@@ -36,7 +37,9 @@
     /// Rejects requests with these Req-Ids until then: another process still serves them.
     void setRequestsOpenElsewhere(const std::vector<std::string>& ids, Micros until);
 
+    /// The listener and its connections, for shutdown and metrics. Lives as long as the front.
     net::SessionManager& sessionManager() { return sessionManager_; }
+    /// Totals since the start.
     const Counters& counters() const { return context_.counters(); }
 
 private:
--- a/src/http/front_context.h
+++ b/src/http/front_context.h
@@ -33,23 +33,33 @@
 /// Shared by the connections of a front, which owns it. It outlives them.
 class FrontContext {
 public:
+    /// \param engine, pool have to outlive the context
     FrontContext(net::Engine& engine, net::NodePool& pool) : engine_(engine), pool_(pool) {}
 
+    /// Where requests are submitted.
     net::Engine& engine() { return engine_; }
+    /// The connections to nodes, which all attempts share.
     net::NodePool& pool() { return pool_; }
+    /// The counters, to be raised by the connections.
     FrontCounters& counters() { return counters_; }
+    /// The counters, to be reported.
     const FrontCounters& counters() const { return counters_; }
+    /// The ids of open requests, to be kept up to date by the requests.
     OpenRequestIds& requestIds() { return requestIds_; }
+    /// The ids of open requests.
     const OpenRequestIds& requestIds() const { return requestIds_; }
 
     /// From now on every response closes its connection.
     void startDraining() { draining_ = true; }
+    /// Whether every response closes its connection.
     bool isDraining() const { return draining_; }
 
     /// No response is later than this, whatever a client allows; set when the program stops.
     /// \param deadline on the engine's clock, in microseconds
     void setResponseDeadline(Micros deadline) { responseDeadline_ = deadline; }
+    /// The latest time of any response, on the engine's clock; a time that never comes if none is set.
     Micros responseDeadline() const { return responseDeadline_; }
+    /// Whether the program stops, and with it every connection at that deadline.
     bool hasResponseDeadline() const { return responseDeadline_ != kNoDeadline; }
 
     /// From now on clients have only the connections that are open: some are kept free for other requests.
--- a/src/http/messages.h
+++ b/src/http/messages.h
@@ -9,9 +9,13 @@
 
 namespace wingproxy::http {
 
+/// The request line and the header fields.
 using RequestHead = boost::beast::http::request_header<>;
+/// A request with a body that is buffered; empty if the body is streamed.
 using RequestMessage = boost::beast::http::request<boost::beast::http::string_body>;
+/// The status line and the header fields.
 using ResponseHead = boost::beast::http::response_header<>;
+/// A response with a body that is buffered.
 using ResponseMessage = boost::beast::http::response<boost::beast::http::string_body>;
 
 /// Bodies of up to so many bytes are buffered completely; longer ones are streamed through the ring buffers.
--- a/src/http/request_reader.h
+++ b/src/http/request_reader.h
@@ -32,8 +32,10 @@
 /// Reads one request after the other; `reset` begins the next. The receive buffer has to outlive it.
 class RequestReader {
 public:
+    /// Beast's parser of the request that is being read.
     using Parser = net::MessageReader<true>::Parser;
 
+    /// \param in the receive buffer; its capacity limits the head
     explicit RequestReader(net::RingBuffer& in) : in_(in) { reset(); }
 
     /// Forgets the request and begins the next one.
@@ -41,6 +43,7 @@
 
     /// Reads on in the head. \return whether it is complete and has not been reported before
     bool readHead(boost::system::error_code& error);
+    /// Whether `readHead` has reported the head of this request.
     bool hasHead() const { return headComplete_; }
 
     /// Reserves memory for a body that will be buffered. To be called once, with the complete head.
@@ -58,15 +61,20 @@
 
     /// Whether the announced length alone says that the body will be streamed.
     bool announcesLongBody() const;
+    /// Whether the last byte of the request has been parsed.
     bool isComplete() const { return reader_->isComplete(); }
     /// Whether any byte of the request has arrived.
     bool hasBegun() const { return in_.size() > 0 || reader_->hasParsedAny(); }
     /// Whether any byte of the request has been parsed.
     bool hasParsedAny() const { return reader_->hasParsedAny(); }
 
+    /// Gives access to what the head says about the message, as its length.
     const Parser& parser() const { return reader_->parser(); }
+    /// The request line and the header fields; valid once `hasHead`.
     const RequestHead& head() const { return reader_->parser().get().base(); }
+    /// The buffered part of the body, which `consumeBody` takes first.
     BufferedBody& body() { return body_; }
+    /// The buffered part of the body, which `consumeBody` takes first.
     const BufferedBody& body() const { return body_; }
 
 private:
--- a/src/http/streamed_response.h
+++ b/src/http/streamed_response.h
@@ -20,8 +20,11 @@
 /// Frames the body pieces of one response. It owns their source until it is replaced.
 class StreamedResponse {
 public:
+    /// \param source gives the body as it comes from the node
+    /// \param isHttp10 the client does not know chunks
     StreamedResponse(ClientStream::StreamedHead head, ClientStream::BodySource source, bool isHttp10);
 
+    /// Chosen by the head and the client's version of HTTP.
     ResponseFraming framing() const { return framing_; }
     /// The status line and the header fields.
     std::string serializeHead(bool keepAlive) const;
--- a/src/net/discovery_client.h
+++ b/src/net/discovery_client.h
@@ -32,6 +32,7 @@
     void setAddress(const config::Endpoint& address);
     /// Ends the watch and closes the connections.
     void stop();
+    /// Totals since the start.
     const Counters& counters() const { return counters_; }
 
 private:
--- a/src/net/discovery_error.h
+++ b/src/net/discovery_error.h
@@ -6,6 +6,7 @@
 
 namespace wingproxy::net {
 
+/// What went wrong with one request; the next one follows in each case.
 enum class DiscoveryError {
     ConnectFailed,
     TimedOut,
--- a/src/net/engine.h
+++ b/src/net/engine.h
@@ -75,6 +75,7 @@
     /// \param io, logger must outlive the engine
     Engine(boost::asio::io_context& io, const config::Config& config, log::Logger& logger);
 
+    /// Sets the receivers. To be called before start(); an effect without a receiver is dropped.
     void setEffectHandlers(EffectHandlers handlers) { effectHandlers_ = std::move(handlers); }
     /// Applies the cached endpoint list and lets the policy decide for the first time.
     void start();
@@ -86,29 +87,43 @@
     RequestId submit(Request request, std::shared_ptr<RequestHandler> handler);
     /// The client of an unanswered request is gone: its handler is not called any more.
     void clientDisconnected(RequestId id);
+    /// The front runs out of client connections.
+    /// \param connections how many of those that waiting requests hold should be freed by rejecting them
     void capacityNeeded(int connections) { process(CapacityNeeded{connections}); }
+    /// The program shuts down gracefully, without a successor.
+    /// \param servesUntilUs when the last response is sent
     void shutdownStarted(Micros servesUntilUs) { process(ShutdownStarted{servesUntilUs}); }
+    /// The last byte of the request was written to the node's connection: the node may run it from now on.
     void attemptRequestSent(RequestId id, AttemptIndex attempt) {
         process(core::AttemptRequestSent{id, attempt});
     }
+    /// The head of a response arrived, of which the body is still coming: the node has done its work.
     void responseHeadReceived(RequestId id, AttemptIndex attempt) {
         process(core::ResponseHeadReceived{id, attempt});
     }
+    /// The first bytes of the node's response go to the client, so that no other attempt can replace it.
     /// \param unbounded the node has done its work, and no deadline runs any more
     void responseForwardingStarted(RequestId id, AttemptIndex attempt, bool unbounded = false) {
         process(core::ResponseForwardingStarted{id, attempt, unbounded});
     }
+    /// The last byte of a streamed request body arrived.
+    /// \param deadlineUs until when the response has to be sent, counted from that byte
     void requestBodyCompleted(RequestId id, Micros deadlineUs) {
         process(RequestBodyCompleted{id, deadlineUs});
     }
+    /// An attempt has ended. Releases it, and may start the next attempt or answer the client before it
+    /// returns.
     void attemptFinished(core::AttemptFinished result) { process(std::move(result)); }
     /// Takes in a complete endpoint list, or the changes to the last one.
     void endpointListReceived(config::EndpointListing listing);
     /// The endpoint list could not be had: the policy is told, and the last one stays.
     void endpointListUnavailable();
+    /// A datagram came from another host.
+    /// \param from index of the peer
     void peerMessageReceived(HostIndex from, std::string bytes) {
         process(PeerMessageReceived{from, std::move(bytes)});
     }
+    /// A health check that the policy ordered has ended, with or without a response.
     void healthCheckCompleted(HealthCheckCompleted check) { process(std::move(check)); }
 
     /// Sets or ends the administrative drain of a node, which has precedence over the endpoint list.
@@ -116,6 +131,7 @@
     bool setAdminDrain(const std::string& node, bool drained);
     /// Applies overrides that another process of this front was given.
     void applyOverrides(const core::AdminOverrides& overrides);
+    /// The newest administrative order for each node.
     const core::AdminOverrides& overrides() const { return state_.overrides(); }
 
     /// What a successor process starts from. The requests in flight are no part of it: they end here.
@@ -124,23 +140,33 @@
     /// \return false: the policy's part did not fit these settings and is left out
     bool restore(EngineSnapshot snapshot);
 
+    /// The event loop on which everything runs.
     boost::asio::io_context& io() { return io_; }
     /// Microseconds since the Unix epoch; never goes back.
     Micros now() const { return clock_.now(); }
+    /// The clock behind `now()`, for timers at a time of the engine's.
     const Clock& clock() const { return clock_; }
     /// Memory for the bodies of all requests and responses.
     ByteBudget& bodyBudget() { return bodyBudget_; }
+    /// The settings, which stay the same for the life of the engine.
     const Settings& settings() const { return settings_; }
+    /// The program's log.
     log::Logger& logger() { return logger_; }
+    /// Requests that have no final response yet.
     std::size_t openRequests() const { return state_.openRequests(); }
     /// Nodes on the endpoint list.
     std::size_t nodeCount() const { return addresses_.size(); }
+    /// Listed nodes that get no requests: draining, or ejected by the policy.
     std::size_t avoidedNodes() const { return state_.avoidedNodes(); }
+    /// Nodes under an administrative drain.
     std::size_t adminDrainedNodes() const { return state_.adminDrainedNodes(); }
+    /// What this host may spend and lend after its start.
     const fleet::RestartRecovery& recovery() const { return state_.recovery(); }
+    /// The version of the endpoint list that was received last, as discovery counts them.
     std::int64_t listVersion() const { return listVersion_; }
     /// Entries of all tables together, to see in the metrics that none grows without bound.
     std::size_t tableEntries() const { return state_.tableEntries() + requests_.size() + addresses_.size(); }
+    /// Totals since the start.
     const core::Counters& counters() const { return state_.counters(); }
 
 private:
--- a/src/net/http_exchange.h
+++ b/src/net/http_exchange.h
@@ -20,8 +20,10 @@
 /// An exchange in progress. Its pending handlers keep it alive.
 class HttpExchange : public std::enable_shared_from_this<HttpExchange> {
 public:
+    /// The response with its complete body.
     using Response = boost::beast::http::response<boost::beast::http::string_body>;
 
+    /// How the exchange ended.
     enum class Result {
         Completed,       ///< the response is complete
         NotWritten,      ///< the connection broke before the request's last byte was written
@@ -41,6 +43,7 @@
     HttpExchange(std::shared_ptr<Connection> connection, std::string_view request, std::size_t bodyLimit,
                  OnFinished onFinished, std::chrono::microseconds stallTimeout = kStallTimeout);
 
+    /// Writes the request, then reads the response. To be called once.
     void start();
     /// Closes the connection and calls nothing.
     void cancel();
--- a/src/net/lingering_close.h
+++ b/src/net/lingering_close.h
@@ -13,6 +13,7 @@
 /// without bytes, and in any case at a limit.
 class LingeringClose {
 public:
+    /// Steady, as the limits must not follow changes of the system's time.
     using Clock = std::chrono::steady_clock;
 
     /// Many times a round trip in the network of one site.
--- a/src/net/lru_list.h
+++ b/src/net/lru_list.h
@@ -14,6 +14,7 @@
 template <typename Item>
 class LruList {
 public:
+    /// The items, the least recently active first.
     using Items = std::list<std::shared_ptr<Item>>;
 
     /// Adds an item that is not in the list, as the most recently active one.
@@ -34,11 +35,15 @@
         positions_.erase(it);
         items_.erase(position);
     }
+    /// The number of items.
     std::size_t size() const { return items_.size(); }
+    /// Whether there is no item.
     bool empty() const { return items_.empty(); }
     /// The item that has been inactive the longest; the list is not empty.
     const std::shared_ptr<Item>& front() const { return items_.front(); }
+    /// Starts with the item that has been inactive the longest.
     typename Items::const_iterator begin() const { return items_.begin(); }
+    /// Behind the item that was active last.
     typename Items::const_iterator end() const { return items_.end(); }
 
 private:
--- a/src/net/message_reader.h
+++ b/src/net/message_reader.h
@@ -43,6 +43,7 @@
 template <bool isRequest>
 class MessageReader {
 public:
+    /// Beast's parser, whose body is taken out through a buffer of the caller's.
     using Parser = boost::beast::http::parser<isRequest, boost::beast::http::buffer_body>;
 
     /// \param in the ring that is read later on; its capacity limits the head
@@ -97,6 +98,7 @@
     bool hasParsedAny() const { return parser_.got_some(); }
     /// Gives access to the head.
     const Parser& parser() const { return parser_; }
+    /// The same for Beast's functions that are not const, as `content_length()`.
     Parser& parser() { return parser_; }
 
 private:
--- a/src/net/node_attempt.h
+++ b/src/net/node_attempt.h
@@ -11,6 +11,7 @@
 /// Base of the attempts of a protocol. Engine and pool must outlive it.
 class NodeAttempt : public Attempt, public std::enable_shared_from_this<NodeAttempt> {
 public:
+    /// \param params where to connect, and until when bytes may be sent
     NodeAttempt(Engine& engine, NodePool& pool, const AttemptParams& params)
         : engine_(engine), pool_(pool), params_(params) {}
 
--- a/src/net/node_pool.h
+++ b/src/net/node_pool.h
@@ -16,6 +16,7 @@
 /// A pool of connections, keyed by the node's address. Single-threaded; must outlive pending acquisitions.
 class NodePool {
 public:
+    /// Limits and timeouts of a pool, from the configuration.
     struct Limits {
         std::size_t maxConnections = 400;                   ///< open ones, idle ones included
         std::chrono::microseconds connectTimeout{250'000};  ///< a connect that takes longer has failed
@@ -35,6 +36,7 @@
     /// Receives the connection, or null if none could be had. Called once, and never from within acquire().
     using OnAcquired = std::function<void(std::shared_ptr<Connection>)>;
 
+    /// \param io the event loop, which must outlive the pool
     NodePool(boost::asio::io_context& io, Limits limits);
 
     /// Takes an idle connection to `to`, or connects. At the limit, the connection that has been idle the
--- a/src/net/peer_transport.h
+++ b/src/net/peer_transport.h
@@ -42,6 +42,7 @@
     void send(PeerRecipient to, const std::string& bytes);
     /// Closes the socket.
     void stop();
+    /// Totals since the start.
     const Counters& counters() const { return counters_; }
 
 private:
--- a/src/net/pool_acquisitions.h
+++ b/src/net/pool_acquisitions.h
@@ -16,6 +16,8 @@
 class ConnectAcquisition : public NodePool::Acquisition,
                            public std::enable_shared_from_this<ConnectAcquisition> {
 public:
+    /// \param connection its socket is open, and its address set
+    /// \param onAcquired gets the connection once it is up, or null if it failed or took too long
     ConnectAcquisition(boost::asio::io_context& io, std::shared_ptr<Connection> connection,
                        NodePool::OnAcquired onAcquired);
     ~ConnectAcquisition() override;
@@ -37,6 +39,8 @@
 /// an earlier response, and another connection is acquired instead.
 class ReuseAcquisition : public NodePool::Acquisition, public std::enable_shared_from_this<ReuseAcquisition> {
 public:
+    /// \param pool acquires the replacement; must outlive this
+    /// \param onAcquired gets this connection, or what came of the replacement
     ReuseAcquisition(boost::asio::io_context& io, NodePool& pool, std::shared_ptr<Connection> connection,
                      NodePool::OnAcquired onAcquired);
 
@@ -57,8 +61,10 @@
 class FailedAcquisition : public NodePool::Acquisition,
                           public std::enable_shared_from_this<FailedAcquisition> {
 public:
+    /// \param onAcquired gets null
     FailedAcquisition(boost::asio::io_context& io, NodePool::OnAcquired onAcquired);
 
+    /// Lets the loop call back in its next turn.
     void start();
 
 private:
--- a/src/net/response_reader.h
+++ b/src/net/response_reader.h
@@ -13,6 +13,7 @@
 /// An incremental response reader over a connection's ring buffer, which it does not own.
 class ResponseReader {
 public:
+    /// Beast's parser of the current response.
     using Parser = MessageReader<false>::Parser;
 
     /// \param maxBodyBytes a longer body is an error
@@ -59,6 +60,7 @@
     }
     /// Gives access to the head.
     const Parser& parser() const { return reader_->parser(); }
+    /// The same for Beast's functions that are not const, as `content_length()`.
     Parser& parser() { return reader_->parser(); }
 
 private:
--- a/src/net/session.h
+++ b/src/net/session.h
@@ -21,6 +21,7 @@
 /// pending keeps it alive until it has run. Single-threaded.
 class Session : public std::enable_shared_from_this<Session> {
 public:
+    /// \param socket connected, and non-blocking
     Session(SessionManager& sessionManager, boost::asio::ip::tcp::socket socket);
     virtual ~Session() = default;
 
@@ -71,13 +72,16 @@
     /// Adds output of unknown length behind what send() was given: `source` is asked whenever the ring has
     /// room. Where it has nothing yet, resumeOutput() asks it again; clearOutputSource() ends it.
     void setOutputSource(Source source);
+    /// The source has more output: asks it again, and goes on writing.
     void resumeOutput() { write(); }
+    /// Ends the source: its last output is in the ring. May be called from within the source.
     void clearOutputSource();
     /// Nothing more is to be sent: shuts the sending side down and closes once the client has closed, is
     /// quiet, or `limit` is over; see `LingeringClose`.
     void startLingeringClose(std::chrono::milliseconds limit = std::chrono::milliseconds(2'000));
     /// Makes this the last of its equals to be evicted.
     void markActive() { sessionManager_.onSessionActive(*this); }
+    /// Whether the socket has not been closed here.
     bool isOpen() const { return open_; }
     /// Closes with a reset, so that the client sees that its response is truncated.
     void reset();
--- a/src/net/session_manager.h
+++ b/src/net/session_manager.h
@@ -32,6 +32,7 @@
     SessionManager(boost::asio::io_context& io, const config::Endpoint& address, std::size_t capacity,
                    SessionFactory makeSession, std::size_t ringBytes = kMaxRingBytes, int inherited = -1);
 
+    /// Starts to accept; only for a manager with an inherited listening socket.
     void open() { listener_.open(); }
     /// Stops to accept and leaves the waiting clients to another process that has the same socket.
     void releaseListener() { listener_.release(); }
@@ -52,18 +53,23 @@
     std::uint64_t evictions() const { return evictions_; }
     /// Disconnects noticed so far by the sweep, as nothing was read from the client.
     std::uint64_t detectedDisconnects() const { return detectedDisconnects_; }
+    /// The limit of connections.
     std::size_t capacity() const { return capacity_; }
+    /// Changes the limit. Connections above a lower one stay until they are closed.
     void setCapacity(std::size_t connections) { capacity_ = connections; }
     /// Bytes of each direction's ring buffer of a connection.
     std::size_t ringBytes() const { return ringBytes_; }
     /// The address as bound; also after the listening socket is closed.
     config::Endpoint address() const { return address_; }
+    /// The event loop of the listener and its sessions.
     boost::asio::io_context& io() { return io_; }
 
     /// \name Called by sessions
     /// \{
-    /// Makes the session the last one to be evicted among equals.
+
+    /// The client did something: among equals this session is the last one to be evicted.
     void onSessionActive(const Session& session) { sessions_.touch(session); }
+    /// The session only waits for its client to close, and no longer counts as active.
     void onSessionLingering() { ++lingeringCount_; }
     /// Drops a session that has closed its socket.
     void onSessionClosed(const Session& session);
--- a/src/rsync/front.h
+++ b/src/rsync/front.h
@@ -13,6 +13,7 @@
 /// Listens for rsync clients.
 class Front {
 public:
+    /// The counters of this front, for the metrics report.
     using Counters = FrontCounters;
 
     /// Binds the listener, which accepts at once.
@@ -23,7 +24,9 @@
     Front(net::Engine& engine, net::NodePool& pool, const config::RsyncFront& config, std::size_t maxClients,
           std::size_t ringSize = net::kMaxRingBytes);
 
+    /// The listener and its connections, for shutdown and metrics. Lives as long as the front.
     net::SessionManager& sessionManager() { return sessionManager_; }
+    /// Totals since the start.
     const Counters& counters() const { return context_.counters; }
 
 private:
--- a/src/rsync/generator_stream.h
+++ b/src/rsync/generator_stream.h
@@ -16,6 +16,7 @@
     /// does not.
     enum class FilterRules { Sent, NotSent };
 
+    /// \param filterRules what the stream starts with
     explicit GeneratorStream(FilterRules filterRules);
 
 private:
--- a/src/rsync/sender_stream.h
+++ b/src/rsync/sender_stream.h
@@ -20,6 +20,8 @@
     /// not.
     enum class Totals { Sent, NotSent };
 
+    /// \param options decide which fields an entry of the file list has
+    /// \param totals what the stream ends with
     SenderStream(const TransferOptions& options, Totals totals);
 
     /// \return the entries of the file list so far
--- a/src/rsync/stream_parser.h
+++ b/src/rsync/stream_parser.h
@@ -58,12 +58,15 @@
     /// Follows the next bytes of the stream; where one call ends and the next begins does not matter.
     /// \return the status after these bytes; once Broken, further bytes are ignored
     StreamStatus feed(std::string_view bytes);
+    /// The status after the bytes so far.
     StreamStatus status() const { return status_; }
     /// The code is None unless the status is Broken.
     const StreamError& error() const { return error_; }
 
 protected:
+    /// Runs when a field is complete or bytes were skipped, and names the step after it.
     using Step = std::function<void()>;
+    /// A step that gets the integer that was read.
     using IntegerStep = std::function<void(std::int64_t)>;
 
     /// Buffers a field of `size` bytes, at least 1, then runs `next`, which reads it by field(), byteField()
@@ -73,7 +76,10 @@
     void readWideInt(IntegerStep next);
     /// Passes over `size` bytes, then runs `next`; runs it at once if there are none.
     void skip(std::uint64_t size, Step next);
+    /// The stream came to its end: further bytes break it.
     void complete() { status_ = StreamStatus::Complete; }
+    /// The bytes break the protocol: no further step runs.
+    /// \param value what in the stream caused it; its meaning depends on the code
     void fail(StreamErrorCode code, std::int64_t value);
 
     /// \return the field that was read; valid until the next step is named
