--- a/src/app/metrics_snapshot.cpp
+++ b/src/app/metrics_snapshot.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 NodePoolMetrics nodePoolMetrics(const net::NodePool& pool) {
-    return {pool.open(), pool.opened(), pool.reused()};
+    return {pool.openConnections(), pool.opened(), pool.reused()};
 }
 
 TableMetrics tableMetrics(const net::Engine& engine) {
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -91,7 +91,7 @@
         [this](PeerRecipient to, const std::string& bytes) { peers_.send(to, bytes); },
         [this](bool watching) { discovery_.setWatching(watching); },
         [this](const std::string& id, const config::Endpoint& address) {
-            http::probe(engine_, httpPool_, id, address);
+            http::startHealthCheck(engine_, httpPool_, id, address);
         },
     });
 }
--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -215,7 +215,7 @@
     respond(rejection.status, rejection.fields, rejection.body);
 }
 
-void ClientConnection::leaveAwaitingResponse() {
+void ClientConnection::startSendingResponse() {
     if (phase_ == Phase::AwaitingResponse) context_.onRequestNoLongerWaiting();
     phase_ = Phase::SendingResponse;
     activity_.startPhase();
@@ -244,7 +244,7 @@
     reader_.body().releaseReservation();
     responseReservation_ = std::move(reservation);
     countResponse(status);
-    leaveAwaitingResponse();
+    startSendingResponse();
     if (closesAfterResponse()) keepAlive_ = false;
     std::string allFields(fields);
     if (isHttp10_ && keepAlive_) allFields += "Connection: keep-alive\r\n";
@@ -256,7 +256,7 @@
 
 void ClientConnection::startStreaming(const StreamedHead& head, BodySource source) {
     if (!isOpen() || phase_ != Phase::AwaitingResponse) return;
-    leaveAwaitingResponse();
+    startSendingResponse();
     stream_.emplace(head, std::move(source), isHttp10_);
     if (closesAfterResponse() || stream_->framing() == ResponseFraming::UntilClose) keepAlive_ = false;
     send(stream_->serializeHead(keepAlive_));
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -76,7 +76,7 @@
     void reject(const Rejection& rejection);
 
     // Sending a response.
-    void leaveAwaitingResponse();
+    void startSendingResponse();
     void countResponse(int status);
     bool isStreaming() const { return stream_ && stream_->isActive(); }
     void abortStreaming();
--- a/src/http/front_context.h
+++ b/src/http/front_context.h
@@ -24,7 +24,7 @@
     std::uint64_t repeated = 0;     ///< Req-Ids of open requests: 409
     std::uint64_t noMemory = 0;     ///< bodies beyond the memory budget: 503
     std::uint64_t crowded = 0;      ///< times that a waiting request was shed for a free connection
-    std::uint64_t pipelined = 0;    ///< connections with a request behind one that had no answer yet
+    std::uint64_t pipelined = 0;    ///< connections with a request behind one that had no response yet
     std::uint64_t ok = 0;           ///< responses with 200
     std::uint64_t rejected = 0;     ///< responses with 503
     std::uint64_t failed = 0;       ///< every other response, and those that were aborted
--- a/src/http/health_check.cpp
+++ b/src/http/health_check.cpp
@@ -83,8 +83,8 @@
 
 }  // namespace
 
-void probe(net::Engine& engine, net::NodePool& pool, const std::string& node,
-           const config::Endpoint& address) {
+void startHealthCheck(net::Engine& engine, net::NodePool& pool, const std::string& node,
+                      const config::Endpoint& address) {
     std::make_shared<HealthCheck>(engine, pool, node, address)->start();
 }
 
--- a/src/http/health_check.h
+++ b/src/http/health_check.h
@@ -15,7 +15,7 @@
 /// \param engine, pool have to outlive the check
 /// \param node the id on the endpoint list
 /// \param address where it listens
-void probe(net::Engine& engine, net::NodePool& pool, const std::string& node,
-           const config::Endpoint& address);
+void startHealthCheck(net::Engine& engine, net::NodePool& pool, const std::string& node,
+                      const config::Endpoint& address);
 
 }  // namespace wingproxy::http
--- a/src/http/open_request_ids.h
+++ b/src/http/open_request_ids.h
@@ -1,5 +1,5 @@
 /// \file
-/// The Req-Ids of requests that have no answer yet, here or in another process of this host.
+/// The Req-Ids of requests that have no response yet, here or in another process of this host.
 #pragma once
 
 #include <string>
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -28,7 +28,7 @@
     boost::asio::ip::tcp::socket socket;
     RingBuffer in;
     RingBuffer out;
-    config::Endpoint to;                              ///< the node
+    config::Endpoint node;                            ///< the node
     std::chrono::steady_clock::time_point idleSince;  ///< of a connection in the pool
 };
 
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -39,7 +39,7 @@
 void DiscoveryClient::setAddress(const config::Endpoint& address) {
     if (address == address_) return;
     cancelPoll();
-    pool_.forget(address_);
+    pool_.closeIdleTo(address_);
     address_ = address;
     needsFullList_ = true;  // versions may count differently there
     if (watching_) poll();
--- a/src/net/engine.h
+++ b/src/net/engine.h
@@ -38,8 +38,8 @@
     virtual void cancel() = 0;
 };
 
-/// The front's side of one request: how to send it to a node, and how to answer the client. Each request gets
-/// exactly one of `deliverResponse`, `sendRejection` and `sendFailure`, unless its client disconnected
+/// The front's side of one request: how to send it to a node, and how to respond to the client. Each request
+/// gets exactly one of `deliverResponse`, `sendRejection` and `sendFailure`, unless its client disconnected
 /// before.
 class RequestHandler {
 public:
@@ -111,7 +111,7 @@
     void requestBodyCompleted(RequestId id, Micros deadlineUs) {
         process(RequestBodyCompleted{id, deadlineUs});
     }
-    /// An attempt has ended. Releases it, and may start the next attempt or answer the client before it
+    /// An attempt has ended. Releases it, and may start the next attempt or respond to the client before it
     /// returns.
     void attemptFinished(core::AttemptFinished result) { process(std::move(result)); }
     /// Takes in a complete endpoint list, or the changes to the last one.
@@ -190,7 +190,7 @@
     void apply(const WatchEndpointList& effect);
     void apply(const StartHealthCheck& effect);
     void apply(const LogLine& effect);
-    // Returns the handler if the request had no answer yet, else null.
+    // Returns the handler if the request had no response yet, else null.
     std::shared_ptr<RequestHandler> markAnswered(RequestId id);
     std::shared_ptr<Attempt> removeAttempt(RequestId id, AttemptIndex attempt);
     void eraseIfComplete(RequestId id);
--- a/src/net/node_pool.cpp
+++ b/src/net/node_pool.cpp
@@ -49,7 +49,7 @@
 std::shared_ptr<Connection> NodePool::openConnection(const config::Endpoint& to) {
     if (*open_ >= limits_.maxConnections && !closeLongestIdle()) return nullptr;
     auto connection = makeConnection();
-    connection->to = to;
+    connection->node = to;
     boost::system::error_code error;
     connection->socket.open(tcp::v4(), error);
     return error ? nullptr : connection;
@@ -87,7 +87,7 @@
     connection->in.clear();
     connection->out.clear();
     connection->idleSince = std::chrono::steady_clock::now();
-    idle_[connection->to].push_back(std::move(connection));
+    idle_[connection->node].push_back(std::move(connection));
 }
 
 void NodePool::clear() {
--- a/src/net/node_pool.h
+++ b/src/net/node_pool.h
@@ -45,14 +45,14 @@
     /// Returns a connection for reuse: its last exchange is complete, and no byte of it is unread.
     void release(std::shared_ptr<Connection> connection);
     /// Closes the idle connections to `to`.
-    void forget(const config::Endpoint& to) { idle_.erase(to); }
+    void closeIdleTo(const config::Endpoint& to) { idle_.erase(to); }
     /// Closes all idle connections, and later those that are released.
     void clear();
     /// Changes `Limits::maxConnections`. Connections above the new limit stay open until they are idle.
     void setCapacity(std::size_t maxConnections) { limits_.maxConnections = maxConnections; }
 
     /// Connections open now, idle ones included.
-    std::size_t open() const { return *open_; }
+    std::size_t openConnections() const { return *open_; }
     /// Connects started so far.
     std::uint64_t opened() const { return opened_; }
     /// Idle connections taken so far.
--- a/src/net/pending_output.h
+++ b/src/net/pending_output.h
@@ -19,7 +19,7 @@
 
     /// Adds text behind the text that is pending.
     void append(std::string_view text);
-    /// From now on `source` is asked whenever the ring has room and no text is pending.
+    /// From now on `source` is asked whenever the ring has free space and no text is pending.
     void setSource(Source source) { source_ = std::move(source); }
     /// The source will produce no more.
     void clearSource() { source_ = nullptr; }
--- a/src/net/pool_acquisitions.cpp
+++ b/src/net/pool_acquisitions.cpp
@@ -22,7 +22,7 @@
         if (const auto self = weak.lock(); self && !error) self->complete(asio::error::timed_out);
     });
     connection_->socket.async_connect(
-        tcpEndpoint(connection_->to),
+        tcpEndpoint(connection_->node),
         [weak, keepAlive = connection_](const boost::system::error_code& error) {
             if (const auto self = weak.lock()) self->complete(error);
         });
@@ -60,7 +60,7 @@
     if (connection->isReusable())
         onAcquired(connection);
     else
-        replacement_ = pool_.acquire(connection->to, std::move(onAcquired));
+        replacement_ = pool_.acquire(connection->node, std::move(onAcquired));
 }
 
 FailedAcquisition::FailedAcquisition(asio::io_context& io, NodePool::OnAcquired onAcquired)
--- a/src/net/ring_buffer.h
+++ b/src/net/ring_buffer.h
@@ -55,7 +55,7 @@
 
     /// Drops the oldest `count` bytes, at most `size()`.
     void consume(std::size_t count) {
-        // The head is never reset to 0: a read into the room behind the tail may be in progress.
+        // The head is never reset to 0: a read into the free space behind the tail may be in progress.
         count = std::min(count, size_);
         size_ -= count;
         head_ = (head_ + count) % capacity_;
--- a/src/net/session.cpp
+++ b/src/net/session.cpp
@@ -22,7 +22,7 @@
       out_(sessionManager.ringBytes()),
       lingerTimer_(sessionManager.io()) {}
 
-// Goes on while a response is owed as well: that is how a disconnect is noticed.
+// Goes on while a response is outstanding as well: that is how a disconnect is noticed.
 void Session::read() {
     socketReader_.read(socket_, in_,
                        [self = shared_from_this(), requested = in_.freeSpace()](
--- a/src/net/session.h
+++ b/src/net/session.h
@@ -27,7 +27,7 @@
 
     /// Called once, when the manager has the session.
     virtual void start() { read(); }
-    /// Whether nothing is owed to the client, so that the connection may be closed.
+    /// Whether no response is outstanding, so that the connection may be closed.
     virtual bool isIdle() const = 0;
     /// Of the sessions that may be evicted, the one with the lowest priority goes first, and of equals the
     /// one that has been inactive the longest.
@@ -36,16 +36,17 @@
     virtual void enforceTimeouts() {}
     /// Closes at once. Unread bytes are read and dropped first, as they would turn the close into a reset.
     void close();
-    /// Called at shutdown, when nothing is owed: closes without a reset. What still comes is not served.
+    /// Called at shutdown, when no response is outstanding: closes without a reset. What still comes is not
+    /// served.
     virtual void closeGracefully() { startLingeringClose(); }
-    /// Closes in favour of a new client, when nothing is owed.
+    /// Closes in favour of a new client, when no response is outstanding.
     virtual void evict() { close(); }
 
     /// Whether the connection is only kept for the client to read the last response.
     bool isLingering() const { return lingeringClose_.isActive(); }
     /// Whether this may be closed in favour of a new client.
     bool isEvictable() const;
-    /// Calls closeGracefully() if nothing is owed and nothing unread has come.
+    /// Calls closeGracefully() if no response is outstanding and no byte is unread.
     void closeGracefullyIfIdle();
     /// Notices a client that has closed or reset its connection though nothing is read from it, as its ring
     /// buffer is full.
@@ -70,7 +71,7 @@
     /// Adds text to the output.
     void send(std::string_view text);
     /// Adds output of unknown length behind what send() was given: `source` is asked whenever the ring has
-    /// room. Where it has nothing yet, resumeOutput() asks it again; clearOutputSource() ends it.
+    /// free space. Where it has nothing yet, resumeOutput() asks it again; clearOutputSource() ends it.
     void setOutputSource(Source source);
     /// The source has more output: asks it again, and goes on writing.
     void resumeOutput() { write(); }
--- a/src/rsync/client_session.h
+++ b/src/rsync/client_session.h
@@ -25,7 +25,7 @@
 
     /// Sends the greeting and starts the handshake's timer.
     void start() override;
-    /// Before a transfer, the connection may be closed to make room for another client.
+    /// Before a transfer, the connection may be evicted in favour of another client.
     bool isIdle() const override { return stage_ == Stage::Handshake; }
 
     boost::asio::ip::tcp::socket& socket() override { return socket_; }
--- a/tests/http/client_disconnects_test.cpp
+++ b/tests/http/client_disconnects_test.cpp
@@ -132,14 +132,15 @@
         const auto client = rig.client();
         client->say(Ask{.deadlineMs = 30'000}.text());
         rig.until([&] { return rig.engine.counters().attempts == 1; });
-        REQUIRE(rig.pool.open() == 1);
+        REQUIRE(rig.pool.openConnections() == 1);
         if (reset)
             client->reset();
         else
             client->close();
         rig.until([&] { return rig.engine.counters().disconnected == 1; });
         CHECK(rig.engine.counters().cancelledBeforeSent == 1);
-        rig.until([&] { return rig.pool.open() == 0; });  // closed, so nothing can be written on it
+        rig.until(
+            [&] { return rig.pool.openConnections() == 0; });  // closed, so nothing can be written on it
         CHECK(rig.outcomes(Outcome::Cancelled) == 1);
         CHECK(rig.engine.counters().requestsSent == 0);
     }
--- a/tests/http/invalid_responses_test.cpp
+++ b/tests/http/invalid_responses_test.cpp
@@ -79,7 +79,7 @@
 TEST_CASE("unread bytes in the socket keep a response from being a stalled one") {
     Rig rig;
     std::shared_ptr<net::Connection> connection;
-    const auto ticket = rig.pool.acquire(rig.node().address(), [&](auto c) { connection = c; });
+    const auto acquisition = rig.pool.acquire(rig.node().address(), [&](auto c) { connection = c; });
     rig.until([&] { return connection && !rig.node().wires.empty(); });
     std::optional<net::HttpExchange::Result> result;
     const auto exchange = std::make_shared<net::HttpExchange>(
@@ -121,7 +121,8 @@
     rig.until([&] { return client->has("dos"); });
     // Between the choice of an idle connection and the first byte on it something came: another one is used.
     std::shared_ptr<net::Connection> got;
-    const auto ticket = rig.pool.acquire(rig.node().address(), [&](auto connection) { got = connection; });
+    const auto acquisition =
+        rig.pool.acquire(rig.node().address(), [&](auto connection) { got = connection; });
     boost::asio::write(second->socket, boost::asio::buffer(ok("dos")));
     rig.until([&] { return got != nullptr; });
     CHECK(rig.pool.opened() == 3);
--- a/tests/http/node_pool_test.cpp
+++ b/tests/http/node_pool_test.cpp
@@ -16,13 +16,13 @@
         net::NodePool pool(
             io, {8, std::chrono::seconds(1), std::chrono::seconds(15), net::kMinRingBytes, kCoolDown});
         std::shared_ptr<net::Connection> first, second;
-        auto ticket = pool.acquire(node.address(), [&](auto c) { first = c; });
+        auto acquisition = pool.acquire(node.address(), [&](auto c) { first = c; });
         until([&] { return first != nullptr && node.wires.size() == 1; });
         const auto* const was = first.get();
         const auto since = std::chrono::steady_clock::now();
         pool.release(std::exchange(first, nullptr));
-        ticket = pool.acquire(node.address(),
-                              [&](auto c) { second = c; });  // quiet now; the second answer comes after
+        acquisition = pool.acquire(node.address(),
+                                   [&](auto c) { second = c; });  // quiet now; the second answer comes after
         if (twice) asio::write(node.wires[0]->socket, asio::buffer(ok("otra vez")));
         until([&] { return second != nullptr; });
         CHECK(std::chrono::steady_clock::now() - since >= kCoolDown);
@@ -70,7 +70,7 @@
     const auto c = pool.acquire(wanted.address(), [&](auto taken) { got = taken; });
     until([&] { return got != nullptr && idle.wires[1]->ended; });
     CHECK(!idle.wires[0]->ended);
-    CHECK(pool.open() == 2);
+    CHECK(pool.openConnections() == 2);
     pool.clear();
 }
 
--- a/tests/http/streaming_bodies_test.cpp
+++ b/tests/http/streaming_bodies_test.cpp
@@ -242,8 +242,9 @@
     CHECK(rig.engine.openRequests() == 1);
     // A client that leaves in the middle takes its node's connection along.
     slow.close();
-    rig.until(
-        [&] { return rig.engine.openRequests() == 0 && rig.pool.open() == 1; });  // the other node's is kept
+    rig.until([&] {
+        return rig.engine.openRequests() == 0 && rig.pool.openConnections() == 1;
+    });  // the other node's is kept
     CHECK(rig.engine.counters().disconnected == 1);
 }
 
--- a/tests/net/node_pool_test.cpp
+++ b/tests/net/node_pool_test.cpp
@@ -31,7 +31,7 @@
     full.io.poll();
     REQUIRE(full.result.has_value());
     CHECK(*full.result == nullptr);
-    CHECK(full.pool.open() == 0);
+    CHECK(full.pool.openConnections() == 0);
     CHECK(full.pool.opened() == 0);
 }
 
--- a/tests/support/net_support.h
+++ b/tests/support/net_support.h
@@ -146,7 +146,7 @@
             {[this](PeerRecipient to, const std::string& bytes) { peers.send(to, bytes); },
              [this](bool on) { discovery.setWatching(on); },
              [this](const std::string& id, const config::Endpoint& at) {
-                 http::probe(engine, pool, id, at);
+                 http::startHealthCheck(engine, pool, id, at);
              }});
         engine.start();
     }
