--- a/src/rsync/transfer_attempt.cpp
+++ b/src/rsync/transfer_attempt.cpp
@@ -39,13 +39,13 @@
 // ---------------------------------------------------------------- handshake, to the node
 
 void TransferAttempt::sendToNode(const std::string& text) {
-    handshakeOutput_ += text;
+    handshakeOutput_.append(text);
     if (!writingHandshake_) writeHandshake();
 }
 
 void TransferAttempt::writeHandshake() {
     auto& out = connection_->out;
-    handshakeOutput_.erase(0, out.append(handshakeOutput_));
+    handshakeOutput_.fill(out);
     writingHandshake_ = out.size() > 0;
     if (!writingHandshake_) return onHandshakeWritten();
     connection_->socket.async_write_some(
--- a/src/rsync/transfer_attempt.h
+++ b/src/rsync/transfer_attempt.h
@@ -12,6 +12,7 @@
 #include <string>
 
 #include "net/node_attempt.h"
+#include "net/pending_output.h"
 #include "net/socket_reader.h"
 #include "rsync/client_stream.h"
 #include "rsync/generator_stream.h"
@@ -66,7 +67,7 @@
     std::shared_ptr<net::Connection> connection_;
     Stage stage_ = Stage::Handshake;
     NodeHandshake handshake_;
-    std::string handshakeOutput_;  ///< what does not fit the connection's buffer yet
+    net::PendingOutput handshakeOutput_;  ///< what does not fit the connection's buffer yet
     bool writingHandshake_ = false;
     bool requestSent_ = false;  ///< the last byte of the arguments was written: the node may run the transfer
 
