--- a/src/core/attempt_lifecycle.h
+++ b/src/core/attempt_lifecycle.h
@@ -24,6 +24,7 @@
         const EndpointTable& endpoints;
         FinalAnswers& answers;
     };
+    /// Starts without attempts; the parts may still be empty.
     explicit AttemptLifecycle(Parts parts) : parts_(parts) {}
 
     /// Starts the attempt that the policy ordered, unless its request or its node does not allow it any more.
