--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -17,14 +17,14 @@
 /// Owns the water levels of the cells, and fills and spends the quotas of the volumes.
 class Admission {
 public:
-    static constexpr double kUnlimited =
-        1e9;  ///< a level with no end: whatever is asked lies inside the share
+    /// A level with no end: whatever is asked for lies inside the share.
+    static constexpr double kUnlimited = 1e9;
 
     /// The rate above which a cell's load counts as spare: units a second that a volume may ask the cell for,
     /// for each share of its plan, beyond its guaranteed rate.
     struct WaterLevel {
-        double peakDemand =
-            0;  ///< the most that any volume asked for lately, in the same unit; decays slowly
+        /// The most that any volume asked for lately, in the same unit; decays slowly.
+        double peakDemand = 0;
         double level = kUnlimited;
     };
     /// \param usage gives this host's part of a volume's use
--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -31,7 +31,7 @@
         return;
     }
     node.outliers().onAnswer(outcome == Outcome::Error, sentAt, context_.now);
-    // A quick error says nothing of a node's pace: taken for an answer it would draw all new objects to it.
+    // A quick error says nothing of a node's latency: as an answer it would draw all new objects to the node.
     if (outcome == Outcome::Ok) onAnswer(node, units, elapsed);
 }
 
@@ -49,7 +49,7 @@
         node.slowStart().onCompleted(units, context_.now);
         cell.usage->onSlowStartCompleted(units);
     }
-    // The report may come back at once as an aggregate, which counts as heard too.
+    // The report may come back at once as an aggregate, which counts as an update too.
     const LatencyEstimate& estimate = node.concurrency().estimate();
     const Micros updatedBefore = estimate.updatedAt;
     const double wait = double(elapsed) - estimate.floor.value() * units;
--- a/src/policy/dispatcher.cpp
+++ b/src/policy/dispatcher.cpp
@@ -8,8 +8,7 @@
 constexpr double kNoNodeWait = 1e15;      // microseconds; a cell without a node
 constexpr double kLastResortWait = 1e12;  // likewise; a node that is a suspect, or full by slow start
 constexpr double kSuspectWaitFactor = 100;
-constexpr std::uint64_t kCellStride =
-    7;  // prime to usual numbers of cells: each object starts at another one
+constexpr std::uint64_t kCellStride = 7;  // prime to usual cell counts: each object starts elsewhere
 
 }  // namespace
 
@@ -74,7 +73,7 @@
     for (const auto& [key, request] : queues_.of(number).entries()) {
         const NodeIndex node = chooseNode(*request, cell);
         if (node.isNone()) continue;
-        PendingRequest& chosen = *request;  // `request` lies in the queue's entry, which goes now
+        PendingRequest& chosen = *request;  // `request` lies in the queue's entry, which is erased now
         dequeue(chosen);
         attempts_.send(chosen, node);
         return true;
--- a/src/policy/event_window.h
+++ b/src/policy/event_window.h
@@ -8,7 +8,7 @@
 
 namespace wingproxy {
 
-/// The times of recent events, oldest first. The owner says which are too old.
+/// The times of recent events, oldest first. The owner decides which are too old.
 struct EventWindow {
     std::deque<Micros> times;
 
--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -17,8 +17,8 @@
 constexpr double kChangedAggregateRequests = 0.25;
 constexpr double kIdlePart = 0.125;
 // Weight of a report in the time that each outstanding attempt adds to a wait: over about fifty reports, so
-// that a pause of a node is not taken for its pace. From nothing, so that the first few say little.
-constexpr double kPaceSmoothing = 0.02;
+// that a pause of a node does not pass for its usual latency. From 0, so that the first few count for little.
+constexpr double kWaitSmoothing = 0.02;
 constexpr double kWaitDrainRate = 1;  // a queue is worked off by its own length in as much time
 
 // How much a figure must differ from the one last sent to be sent again; `least` is the least such change.
@@ -55,26 +55,26 @@
 void Gossip::handle(HostIndex from, const peer::UsageReport& report) {
     KeyAggregate& aggregate = aggregates_[report.key];
     const bool isNew = aggregate.record(from, report.rate.value(), report.outstanding, context_.now);
-    aggregate.slowStart.add(context_.now, kRateMemory, report.slowStartUnits);
-    if (report.joins && aggregate.joined.insert(from).second) introduce(report.key, aggregate, from);
+    aggregate.recordSlowStart(report.slowStartUnits, context_.now, kRateMemory);
+    if (report.joins && aggregate.join(from)) introduce(report.key, aggregate, from);
     if (report.wait.code > 0)
-        aggregate.recordWait(report.wait.us(), totalsOf(aggregate).outstanding, kPaceSmoothing);
+        aggregate.recordWait(report.wait.us(), totalsOf(aggregate).outstanding, kWaitSmoothing);
     if (isNew) sendAggregate(report.key, aggregate, totalsOf(aggregate), from);
 }
 
 void Gossip::sendAggregate(std::uint32_t key, const KeyAggregate& aggregate, const UsageTotals& totals,
                            HostIndex to) {
-    const double others = totals.rate - aggregate.hosts.at(to).rate.rate(context_.now, kUsageMemory);
+    const double others = totals.rate - aggregate.rateOf(to, context_.now, kUsageMemory);
     send(to, peer::UsageAggregate{key, peer::FixedPoint::of(others), peer::EncodedWait::of(totals.wait),
                                   peer::EncodedRate::of(totals.slowStartRate)});
 }
 
 bool Gossip::isDue(const KeyAggregate& aggregate, const UsageTotals& totals) const {
-    if (context_.now - aggregate.sentWait.at >= kAggregateRefresh) return true;
-    const double rateChange = std::abs(totals.rate - aggregate.sentRate);
-    if (rateChange >= changeThreshold(aggregate.sentRate, significantRate())) return true;
-    const double slowStartChange = std::abs(totals.slowStartRate - aggregate.sentSlowStartRate);
-    if (slowStartChange > changeThreshold(aggregate.sentSlowStartRate, significantRate())) return true;
+    if (context_.now - aggregate.sentAt() >= kAggregateRefresh) return true;
+    const double rateChange = std::abs(totals.rate - aggregate.sentRate());
+    if (rateChange >= changeThreshold(aggregate.sentRate(), significantRate())) return true;
+    const double slowStartChange = std::abs(totals.slowStartRate - aggregate.sentSlowStartRate());
+    if (slowStartChange > changeThreshold(aggregate.sentSlowStartRate(), significantRate())) return true;
     const double wait = std::max(totals.wait, significantWait());
     const double sentWait = std::max(aggregate.sentWaitLeft(context_.now, kWaitDrainRate), significantWait());
     return std::abs(wait / sentWait - 1) >= kChangedPart;
@@ -86,7 +86,7 @@
         const UsageTotals totals = totalsOf(aggregate);
         if (!isDue(aggregate, totals)) continue;
         aggregate.onSent(totals, context_.now);
-        for (const auto& [host, usage] : aggregate.hosts)
+        for (const auto& [host, usage] : aggregate.hosts())
             sendAggregate(key, aggregate, totals, host);
     }
 }
--- a/src/policy/gossip.h
+++ b/src/policy/gossip.h
@@ -2,7 +2,7 @@
 /// Reports to each host what the others are asked for, through one rendezvous host for each key.
 ///
 /// Hosts do not broadcast. What a volume or a cell is asked for through a host goes to the rendezvous host of
-/// its key, when it has changed. That host sums it up and tells each host concerned what the others are asked
+/// its key, when it has changed. That host sums it up and reports to each host what the others are asked
 /// for, how long requests wait there, and what starting nodes completed.
 #pragma once
 
@@ -69,7 +69,7 @@
     }
     /// Forgets keys that no host uses.
     void forgetUnused() {
-        std::erase_if(aggregates_, [](const auto& entry) { return entry.second.hosts.empty(); });
+        std::erase_if(aggregates_, [](const auto& entry) { return entry.second.hosts().empty(); });
     }
 
     /// Least time between two reports of a key that changed, in microseconds.
@@ -91,7 +91,7 @@
             outbox_.send(to, message);
     }
     void introduce(std::uint32_t key, const KeyAggregate& aggregate, HostIndex newcomer) {
-        for (const HostIndex other : aggregate.joined) {
+        for (const HostIndex other : aggregate.joined()) {
             send(newcomer, peer::MembershipNotice{key, other});
             send(other, peer::MembershipNotice{key, newcomer});
         }
--- a/src/policy/latency_floor.h
+++ b/src/policy/latency_floor.h
@@ -10,7 +10,7 @@
 namespace wingproxy {
 
 /// The least sample of the current span and the one before it, so that a floor outlives a pause but not a
-/// change of pace.
+/// lasting change of the latency.
 struct LatencyFloor {
     double current = 0;    ///< least sample of this span; 0: none
     double previous = 0;   ///< least sample of the span before; 0: none
--- a/src/policy/lease_allocator.cpp
+++ b/src/policy/lease_allocator.cpp
@@ -34,26 +34,27 @@
 
 // ---- limits
 
-void LeaseAllocator::splitIntoChunks(VolumeLimit& limit, const PlanInfo& plan, int hosts) {
+VolumeLimit::Shares LeaseAllocator::splitIntoChunks(const PlanInfo& plan, int hosts) {
     const double hostRate = plan.limit / hosts;
     const double hostBurst = plan.limitBurst / hosts;
-    limit.ownedChunks = std::max(kMinOwnedChunks, int(std::lround(double(kChunksOfLimit) / hosts)));
-    limit.baseRate = std::min(plan.guaranteedRate / hosts, hostRate);
-    limit.baseBurst = hostBurst * limit.baseRate / hostRate;
-    limit.chunkRate = (hostRate - limit.baseRate) / limit.ownedChunks;
-    limit.chunkBurst = (hostBurst - limit.baseBurst) / limit.ownedChunks;
+    VolumeLimit::Shares shares;
+    shares.ownedChunks = std::max(kMinOwnedChunks, int(std::lround(double(kChunksOfLimit) / hosts)));
+    shares.baseRate = std::min(plan.guaranteedRate / hosts, hostRate);
+    shares.baseBurst = hostBurst * shares.baseRate / hostRate;
+    shares.chunkRate = (hostRate - shares.baseRate) / shares.ownedChunks;
+    shares.chunkBurst = (hostBurst - shares.baseBurst) / shares.ownedChunks;
+    return shares;
 }
 
 void LeaseAllocator::open(Volume& volume) {
     VolumeLimit& limit = volume.limit();
-    limit.bucket.at = context_.now;
+    limit.startFilling(context_.now);
     if (volume.plan().isNone()) return;
     const PlanInfo& plan = context_.settings.plans.at(volume.plan().position());
-    limit.limited = plan.limit > 0;
-    if (!limit.limited) return;
-    splitIntoChunks(limit, plan, volume.hosts());
+    if (plan.limit <= 0) return;
+    limit.setShares(splitIntoChunks(plan, volume.hosts()));
     // A bucket starts empty, as an earlier process of this host may have spent it, and fills from there.
-    limit.bucket.at = volume.hosts() == 1 ? context_.startedAt : std::min(state_.recoveredAt, context_.now);
+    limit.startFilling(volume.hosts() == 1 ? context_.startedAt : std::min(state_.recoveredAt, context_.now));
     refill(volume);
     if (context_.handedOver) limit.keepOnly(0);
 }
@@ -63,9 +64,9 @@
     double fillRate = limit.rateOf(chunksInUse(volume));
     const double othersLeave =
         context_.settings.plans.at(volume.plan().position()).limit - usage_.othersRate(volume.usage());
-    for (const auto& [peer, lease] : limit.held)
+    for (const auto& [peer, lease] : limit.held())
         if (lease.isAwaited(context_.now, kRequestTimeout)) fillRate = std::max(fillRate, othersLeave);
-    return std::max(0.0, units - limit.bucket.tokens) * 1e6 / std::max(fillRate, kMinFillRate);
+    return std::max(0.0, units - limit.tokens()) * 1e6 / std::max(fillRate, kMinFillRate);
 }
 
 // ---- leases of this host
@@ -76,19 +77,20 @@
 
 void LeaseAllocator::rebalance(Volume& volume) {
     VolumeLimit& limit = volume.limit();
-    if (!limit.limited || volume.hosts() <= 1 || !context_.settings.mayGossip || limit.chunkRate <= 0) return;
+    const double chunkRate = limit.shares().chunkRate;
+    if (volume.hosts() <= 1 || !context_.settings.mayGossip || chunkRate <= 0) return;
     refill(volume);
     limit.dropExpiredGrants(context_.now);
     const double demand = demandOf(volume);
     const double claim = limit.rateOf(chunksInUse(volume));
     if (returnIdleChunks(volume, claim - demand)) return;
-    if (context_.now - limit.lastRequestAt < kRequestInterval) return;
-    requestChunks(volume, std::max(0, int(std::ceil((demand - claim) / limit.chunkRate))));
+    if (context_.now - limit.lastRequestAt() < kRequestInterval) return;
+    requestChunks(volume, std::max(0, int(std::ceil((demand - claim) / chunkRate))));
 }
 
 bool LeaseAllocator::returnIdleChunks(Volume& volume, double surplus) {
-    const int idle = int(surplus / volume.limit().chunkRate) - kIdleChunksKept;
-    for (auto& [peer, lease] : volume.limit().held) {
+    const int idle = int(surplus / volume.limit().shares().chunkRate) - kIdleChunksKept;
+    for (auto& [peer, lease] : volume.limit().held()) {
         if (!lease.isRunning(context_.now) || idle < 1) continue;
         lease.reduceTo(std::max(0, lease.chunks - idle));
         outbox_.send(peer, peer::LeaseReturn{volume.hash(), std::uint8_t(lease.chunks), lease.stamp});
@@ -99,7 +101,7 @@
 
 void LeaseAllocator::requestChunks(Volume& volume, int missing) {
     const std::set<HostIndex>& peers = volume.usage().peers();
-    auto peer = peers.upper_bound(volume.limit().lastPeerAsked);
+    auto peer = peers.upper_bound(volume.limit().lastPeerAsked());
     for (std::size_t i = 0; i < peers.size() && state_.requestBudget > 0; ++i, ++peer) {
         if (peer == peers.end()) peer = peers.begin();
         missing -= requestFrom(volume, *peer, missing);
@@ -108,17 +110,17 @@
 
 int LeaseAllocator::requestFrom(Volume& volume, HostIndex peer, int missing) {
     VolumeLimit& limit = volume.limit();
-    HeldLease& lease = limit.held[peer];
+    const int ownedChunks = limit.shares().ownedChunks;
+    HeldLease& lease = limit.leaseOf(peer);
     const Micros now = context_.now;
     const bool running = lease.isRunning(now);
     const bool renews = running && lease.until - now < kRenewBefore;
     if ((missing == 0 && !renews) || lease.isAwaited(now, kRequestTimeout)) return 0;
-    if (!renews && running && lease.chunks >= limit.ownedChunks) return 0;
+    if (!renews && running && lease.chunks >= ownedChunks) return 0;
     const int held = running ? lease.chunks : 0;
-    const int wanted = std::min(limit.ownedChunks, held + missing);
+    const int wanted = std::min(ownedChunks, held + missing);
     lease.onRequested(newStamp(), now);
-    limit.lastRequestAt = now;
-    limit.lastPeerAsked = peer;
+    limit.onRequestSent(peer, now);
     state_.requestBudget -= double(peer::LeaseRequest::kEncodedBytes);
     outbox_.send(peer, peer::LeaseRequest{volume.hash(), std::uint8_t(wanted), lease.stamp});
     return (wanted - held + 1) / 2;  // a peer may grant less: twice what lacks is requested
@@ -137,8 +139,8 @@
     // The owner counts what it granted before until it learns that no more than this is used.
     if (lease->until > context_.now && int(grant.chunks) < lease->chunks)
         outbox_.send(from, peer::LeaseReturn{volume->hash(), grant.chunks, grant.stamp});
-    lease->onGranted(std::min(int(grant.chunks), volume->limit().ownedChunks), kLeaseDuration);
-    if (lease->until > context_.now) volume->limit().bucket.tokens += grant.tokens.value();
+    lease->onGranted(std::min(int(grant.chunks), volume->limit().shares().ownedChunks), kLeaseDuration);
+    if (lease->until > context_.now) volume->limit().addTokens(grant.tokens.value());
     refill(*volume);
     return true;
 }
@@ -156,7 +158,7 @@
 void LeaseAllocator::serve(const ReceivedRequest& received) {
     const auto& [peer, request] = received;
     Volume* const volume = volumes_.find(request.volume);
-    if (!volume || volume->limit().chunkRate <= 0 || !recovery_.mayLend(context_.now)) return;
+    if (!volume || volume->limit().shares().chunkRate <= 0 || !recovery_.mayLend(context_.now)) return;
     VolumeLimit& limit = volume->limit();
     volume->onNeeded(context_.now);
     refill(*volume);
@@ -164,16 +166,16 @@
     const int grantedBefore = limit.chunksGranted() - limit.chunksGranted(peer);
     if (granted == 0 && grantedBefore == 0) return;
     const auto saved = splitSavedTokens(*volume, std::max(0, granted - grantedBefore));
-    limit.granted.push_back({peer, granted, context_.now + kLeaseDuration, request.stamp});
+    limit.addGrant({peer, granted, context_.now + kLeaseDuration, request.stamp});
     refill(*volume);
     outbox_.send(peer, peer::LeaseGrant{volume->hash(), std::uint8_t(granted), saved, request.stamp});
 }
 
 int LeaseAllocator::grantable(const Volume& volume, HostIndex peer, int wanted) const {
-    const VolumeLimit& limit = volume.limit();
-    const double ownDemand = std::max(0.0, demandOf(volume) - limit.baseRate);
-    const int ownChunks = std::min(limit.ownedChunks, int(std::ceil(ownDemand / limit.chunkRate)));
-    return std::clamp(limit.ownedChunks - limit.chunksGranted(peer) - ownChunks, 0, wanted);
+    const VolumeLimit::Shares& shares = volume.limit().shares();
+    const double ownDemand = std::max(0.0, demandOf(volume) - shares.baseRate);
+    const int ownChunks = std::min(shares.ownedChunks, int(std::ceil(ownDemand / shares.chunkRate)));
+    return std::clamp(shares.ownedChunks - volume.limit().chunksGranted(peer) - ownChunks, 0, wanted);
 }
 
 peer::FixedPoint LeaseAllocator::splitSavedTokens(Volume& volume, int newChunks) const {
--- a/src/policy/lease_allocator.h
+++ b/src/policy/lease_allocator.h
@@ -33,20 +33,16 @@
     void open(Volume& volume);
     /// Whether the volume may spend `units` now. Brings its bucket up to date.
     [[nodiscard]] bool hasTokens(Volume& volume, double units) {
-        if (!volume.limit().limited) return true;
+        if (!volume.limit().isLimited()) return true;
         refill(volume);
-        return volume.limit().bucket.tokens >= units;
+        return volume.limit().tokens() >= units;
     }
     /// Takes tokens for a request that is sent. `hasTokens` must have allowed it in this batch.
-    static void spend(Volume& volume, double units) {
-        if (volume.limit().limited) volume.limit().bucket.tokens -= units;
-    }
+    static void spend(Volume& volume, double units) { volume.limit().spend(units); }
     /// Units of requests that wait without tokens: a demand beyond what arrives.
-    static void addQueuedUnits(Volume& volume, double units) { volume.limit().queuedUnits += units; }
+    static void addQueuedUnits(Volume& volume, double units) { volume.limit().addQueuedUnits(units); }
     /// These units wait no more, or have their tokens.
-    static void removeQueuedUnits(Volume& volume, double units) {
-        volume.limit().queuedUnits = std::max(0.0, volume.limit().queuedUnits - units);
-    }
+    static void removeQueuedUnits(Volume& volume, double units) { volume.limit().removeQueuedUnits(units); }
     /// Microseconds until the volume has tokens for `units`. A request for chunks that is under way counts as
     /// granted, as far as the other hosts leave of the limit.
     [[nodiscard]] double timeToTokens(const Volume& volume, double units) const;
@@ -83,7 +79,7 @@
     void onPeerRestarted(HostIndex peer) {
         for (auto& [name, volume] : volumes_.all()) {
             refill(volume);
-            volume.limit().held.erase(peer);
+            volume.limit().dropLease(peer);
         }
     }
 
@@ -123,12 +119,10 @@
     };
     // Base and owned chunks together are limit / hosts at every host, in rate and burst: the sum needs no
     // message to arrive.
-    static void splitIntoChunks(VolumeLimit& limit, const PlanInfo& plan, int hosts);
+    static VolumeLimit::Shares splitIntoChunks(const PlanInfo& plan, int hosts);
     void refill(Volume& volume) const {
         VolumeLimit& limit = volume.limit();
-        if (!limit.limited) return;
-        const int chunks = chunksInUse(volume);
-        limit.bucket.refill(limit.rateOf(chunks), limit.burstOf(chunks), context_.now);
+        if (limit.isLimited()) limit.refill(chunksInUse(volume), context_.now);
     }
     [[nodiscard]] bool mayUseOwnedChunks(const Volume& volume) const {
         return state_.recoveredAt <= context_.now || volume.hosts() == 1;
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -7,12 +7,11 @@
 // nature.
 constexpr Micros kMinSilence = 400'000;
 constexpr double kSilenceLatencies = 4;
-constexpr Micros kTrialInterval =
-    300'000;                             // a suspect still gets one request this often, to show its recovery
-constexpr int kMaxFailures = 4;          // the ejection doubles with each up to this one
-constexpr double kErrorSmoothing = 0.2;  // weight of the newest answer
-// A node of whose answers all are errors looks so many objectives further away to a new object, until it was
-// not heard from for so long.
+constexpr Micros kTrialInterval = 300'000;  // a suspect gets one request this often, to show its recovery
+constexpr int kMaxFailures = 4;             // the ejection doubles with each up to this one
+constexpr double kErrorSmoothing = 0.2;     // weight of the newest answer
+// A node of whose answers all are errors looks so many objectives slower to a new object, until its last sign
+// of life is so old.
 constexpr double kErrorObjectives = 4;
 constexpr Micros kErrorMemory = 5'000'000;
 
@@ -40,7 +39,7 @@
 }
 
 bool OutlierDetector::onFailure(Outcome outcome, Micros sentAt, Micros now) {
-    // Where the node answered what was sent later, the answer was lost and the node is well.
+    // Where the node answered what was sent later, the answer was lost and the node works.
     if (outcome == Outcome::Cancelled || sentAt < state_.newestAnswered) return false;
     state_.failures = std::min(state_.failures + 1, kMaxFailures);
     // A lone reset may be one damaged answer; those of a dead node follow each other.
--- a/src/policy/pending_request.h
+++ b/src/policy/pending_request.h
@@ -71,7 +71,7 @@
     /// Whether its units were taken from the volume's limit; retries are not charged again.
     [[nodiscard]] bool hasTokens() const { return hasTokens_; }
     /// Whether it waits for tokens of a limited volume.
-    [[nodiscard]] bool needsTokens() const { return volume_->limit().limited && !hasTokens_; }
+    [[nodiscard]] bool needsTokens() const { return volume_->limit().isLimited() && !hasTokens_; }
 
     // -- its attempts
     /// Attempts so far.
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -66,7 +66,8 @@
     const Cell& cell = cluster_.cell(request.cell());
     usage_.record(*cell.usage, weightedUnits);
     cluster_.earnSlowStartCredit(cell, weightedUnits);
-    if (volume.hosts() > 1) gossip_.reportUsage(volume.key(), volume.usage(), {volume.limit().limited, 0, 0});
+    if (volume.hosts() > 1)
+        gossip_.reportUsage(volume.key(), volume.usage(), {volume.limit().isLimited(), 0, 0});
 }
 
 void Policy::Impl::handle(const AttemptOutcome& event) {
--- a/src/policy/snapshot_archive.cpp
+++ b/src/policy/snapshot_archive.cpp
@@ -56,18 +56,20 @@
 }
 template <typename Archive>
 void serialize(Archive& archive, KeyAggregate& aggregate) {
-    archive(aggregate.hosts, aggregate.joined, aggregate.sentRate, aggregate.sentSlowStartRate,
-            aggregate.meanWait, aggregate.meanOutstanding, aggregate.sentWait, aggregate.slowStart,
-            aggregate.slowStartUntil);
+    KeyAggregate::State state = aggregate.state();
+    archive(state.hosts, state.joined, state.sentRate, state.sentSlowStartRate, state.meanWait,
+            state.meanOutstanding, state.sentWait, state.slowStart, state.slowStartUntil);
+    aggregate = KeyAggregate(std::move(state));
 }
 template <typename Archive>
 void serialize(Archive& archive, Volume& volume) {
     Volume::State state = volume.state();
-    VolumeLimit& limit = state.limit;
+    VolumeLimit::State& limit = state.limit;
+    VolumeLimit::Shares& shares = limit.shares;
     archive(state.hash, state.plan, state.hosts, state.demand, state.quota.byCell, state.quota.demandByClass,
             limit.lastPeerAsked, state.quota.guaranteed, limit.lastRequestAt, limit.bucket.at, state.neededAt,
-            limit.limited, limit.bucket.tokens, limit.baseRate, limit.baseBurst, limit.chunkRate,
-            limit.chunkBurst, limit.ownedChunks, limit.granted, limit.held);
+            limit.limited, limit.bucket.tokens, shares.baseRate, shares.baseBurst, shares.chunkRate,
+            shares.chunkBurst, shares.ownedChunks, limit.granted, limit.held);
     volume = Volume(std::move(state));
 }
 template <typename Archive>
--- a/src/policy/volume_table.cpp
+++ b/src/policy/volume_table.cpp
@@ -28,7 +28,7 @@
     for (auto entry = volumes_.begin(); entry != volumes_.end();) {
         const Volume& volume = entry->second;
         double secondsToFill = 0;
-        if (volume.limit().limited) {
+        if (volume.limit().isLimited()) {
             const PlanInfo& plan = context_.settings.plans.at(volume.plan().position());
             secondsToFill = plan.limitBurst / plan.limit;
         }
--- a/tests/policy/value_types_test.cpp
+++ b/tests/policy/value_types_test.cpp
@@ -137,24 +137,25 @@
 
 TEST(VolumeLimit, CountsTheLargestRunningGrantOfEachPeer) {
     VolumeLimit limit;
-    limit.ownedChunks = 10;
-    limit.granted = {
-        {HostIndex(1), 4, kSecond, 1}, {HostIndex(1), 2, kSecond, 2}, {HostIndex(2), 3, kSecond, 1}};
+    limit.setShares({0, 0, 0, 0, 10});
+    limit.addGrant({HostIndex(1), 4, kSecond, 1});
+    limit.addGrant({HostIndex(1), 2, kSecond, 2});
+    limit.addGrant({HostIndex(2), 3, kSecond, 1});
     EXPECT_EQ(limit.chunksGranted(), 7);
     EXPECT_EQ(limit.chunksGranted(HostIndex(1)), 3);
     EXPECT_EQ(limit.chunksInUse(true, 0), 3);
     EXPECT_EQ(limit.chunksInUse(false, 0), 0);
     limit.onReturned(HostIndex(1), 1, 1);  // up to the first request: the second grant runs on
     EXPECT_EQ(limit.chunksGranted(), 5);
-    limit.bucket.at = kSecond;
+    limit.startFilling(kSecond);
     EXPECT_EQ(limit.chunksGranted(), 0);
     limit.dropExpiredGrants(kSecond);
-    EXPECT_TRUE(limit.granted.empty());
+    EXPECT_TRUE(limit.grants().empty());
 }
 
 TEST(VolumeLimit, FindsTheLeaseThatAnAnswerBelongsTo) {
     VolumeLimit limit;
-    limit.held[HostIndex(1)].onRequested(7, kSecond);
+    limit.leaseOf(HostIndex(1)).onRequested(7, kSecond);
     EXPECT_EQ(limit.findRequested(HostIndex(1), 6), nullptr);
     EXPECT_EQ(limit.findRequested(HostIndex(2), 7), nullptr);
     HeldLease* const lease = limit.findRequested(HostIndex(1), 7);
@@ -169,15 +170,15 @@
 
 TEST(VolumeLimit, SetsAsideWhatQueuedRequestsNeed) {
     VolumeLimit limit;
-    limit.bucket.tokens = 8;
+    limit.addTokens(8);
     EXPECT_EQ(limit.reserve(0.25), 2);
-    limit.queuedUnits = 5;
+    limit.addQueuedUnits(5);
     EXPECT_EQ(limit.reserve(0.25), 5);
-    EXPECT_EQ(limit.bucket.tokens, 1);
+    EXPECT_EQ(limit.tokens(), 1);
     EXPECT_EQ(limit.backlog(), 4);
     limit.keepOnly(3);
-    limit.bucket.refill(limit.rateOf(5), limit.burstOf(5), 60 * kSecond);
-    EXPECT_EQ(limit.bucket.tokens, 3);
+    limit.refill(5, 60 * kSecond);
+    EXPECT_EQ(limit.tokens(), 3);
 }
 
 TEST(KeyAggregate, SumsItsHostsAndForgetsIdleOnes) {
@@ -185,7 +186,9 @@
     EXPECT_TRUE(aggregate.record(HostIndex(1), 10, 2, 0));
     EXPECT_TRUE(aggregate.record(HostIndex(2), 1, 1, 0));
     EXPECT_FALSE(aggregate.record(HostIndex(1), 20, 2, 0));
-    aggregate.joined = {HostIndex(1), HostIndex(2)};
+    EXPECT_TRUE(aggregate.join(HostIndex(1)));
+    EXPECT_TRUE(aggregate.join(HostIndex(2)));
+    EXPECT_FALSE(aggregate.join(HostIndex(1)));
     aggregate.recordWait(1000, 2, 1);
     const UsageTotals totals = aggregate.totals(0, kSecond, kSecond);
     EXPECT_DOUBLE_EQ(totals.rate, 21);
@@ -194,8 +197,8 @@
     aggregate.onSent(totals, 0);
     EXPECT_DOUBLE_EQ(aggregate.sentWaitLeft(500, 1), 1000);
     aggregate.dropIdle(2, 0, kSecond);
-    EXPECT_EQ(aggregate.hosts.size(), 1u);
-    EXPECT_EQ(aggregate.joined, std::set<HostIndex>{HostIndex(1)});
+    EXPECT_EQ(aggregate.hosts().size(), 1u);
+    EXPECT_EQ(aggregate.joined(), std::set<HostIndex>{HostIndex(1)});
 }
 
 }  // namespace
