--- a/include/wingproxy/index.h
+++ b/include/wingproxy/index.h
@@ -45,6 +45,7 @@
     [[nodiscard]] constexpr Index next() const { return Index(value_ + 1); }
 
     /// By the number; an index that names nothing comes first.
+    // NOLINTNEXTLINE(modernize-use-nullptr): false positive on the comparison with 0 that C++20 generates
     constexpr auto operator<=>(const Index&) const = default;
 
     /// Writes to a cereal archive, or reads from one, the same bytes as those of `value()`.
