--- a/src/app/hot_restart_coordinator.h
+++ b/src/app/hot_restart_coordinator.h
@@ -1,6 +1,6 @@
 /// \file
 /// What a hot restart does to the other parts of the gateway: which state passes between the processes, and
-/// when (docs/handover.md). The locks and files are `hot_restart::HotRestart`'s.
+/// when (docs/hot_restart.md). The locks and files are `hot_restart::HotRestart`'s.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
