--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -1,5 +1,6 @@
 /// \file
-/// Which of a gateway's processes serves, and how the service passes from one to the next (docs/hot_restart.md).
+/// Which of a gateway's processes serves, and how the service passes from one to the next
+/// (docs/hot_restart.md).
 ///
 /// The processes of one gateway share a folder with three lock files: `wingproxy.serving` is held by the
 /// process that serves, `wingproxy.successor` by one that waits to take over, `wingproxy.leaving` (shared) by
