--- a/tests/log/logger_test.cpp
+++ b/tests/log/logger_test.cpp
@@ -1,28 +1,22 @@
 // The log: what a line looks like, and which levels are written.
 #include <doctest/doctest.h>
 
-#include <cstdio>
-#include <memory>
 #include <string>
 
 #include "log/log.h"
+#include "support/captured_log.h"
 
 using namespace wingproxy;
 
 namespace {
 
-using File = std::unique_ptr<std::FILE, int (*)(std::FILE*)>;
-
 /// What `write` logs with this threshold.
 template <typename Function>
 std::string logged(log::Level threshold, Function&& write) {
-    const File file(std::tmpfile(), &std::fclose);
-    REQUIRE(file);
-    log::Logger logger(threshold, file.get());
+    const test::CapturedLog captured;
+    log::Logger logger(threshold, captured.stream());
     write(logger);
-    std::rewind(file.get());
-    char text[1024];
-    return {text, std::fread(text, 1, sizeof text, file.get())};
+    return captured.text();
 }
 
 }  // namespace
--- a/tests/support/captured_log.h
+++ b/tests/support/captured_log.h
@@ -1,14 +1,20 @@
-// A stream for a test's logger, whose lines the test reads.
+/// \file
+/// A stream for a test's logger, whose lines the test reads.
 #pragma once
 
+#include <doctest/doctest.h>
+
 #include <cstdio>
 #include <memory>
 #include <string>
 
 namespace wingproxy::test {
 
+/// Owns a temporary file without a name.
 class CapturedLog {
 public:
+    CapturedLog() { REQUIRE(file_); }
+
     /// Valid as long as this object.
     [[nodiscard]] std::FILE* stream() const { return file_.get(); }
 
