--- a/tests/app/metrics_snapshot_test.cpp
+++ b/tests/app/metrics_snapshot_test.cpp
@@ -14,7 +14,7 @@
 
 /// A gateway with its HTTP and rsync fronts, without admin server and hot restart.
 struct Gateway {
-    Rig rig{baseConfig(), 1};
+    Rig rig{testConfig(), 1};
     app::ConfigReload reload{"", rig.config, [](const config::Config&) {}, rig.logger};
     app::MetricsSources sources{rig.engine, rig.front, &rig.rsync, rig.pool, rig.discovery,
                                 nullptr,    nullptr,   reload,     rig.peers};
