--- a/src/rsync/transfer_attempt.cpp
+++ b/src/rsync/transfer_attempt.cpp
@@ -128,7 +128,7 @@
     forwardToClient();
 }
 
-// ---------------------------------------------------------------- relay
+// ---------------------------------------------------------------- forwarding
 
 void TransferAttempt::forwardToClient() {
     const auto client = client_.lock();
--- a/tests/rsync/front_test.cpp
+++ b/tests/rsync/front_test.cpp
@@ -136,7 +136,7 @@
     CHECK(rig.node().wires.empty());
 }
 
-TEST_CASE("rsync front: a pull is relayed both ways and completes with the client's goodbye") {
+TEST_CASE("rsync front: a pull is forwarded both ways and completes with the client's goodbye") {
     Rig rig;
     const auto transfer = startPull(rig);
     const auto node = transfer.acceptAtNode();
@@ -158,7 +158,7 @@
     CHECK(rig.engine.counters().total().delivered == 1);
 }
 
-TEST_CASE("rsync front: a push is relayed both ways and completes when the client has the node's goodbye") {
+TEST_CASE("rsync front: a push is forwarded both ways and completes when the client has the node's goodbye") {
     Rig rig;
     const auto transfer = startPush(rig);
     const auto node = transfer.acceptAtNode();
