--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -13,9 +13,10 @@
 
 namespace {
 
-/// An admin server for the rig's front, wired as main.cpp does it.
+/// An admin server for the fixture's front, wired as main.cpp does it.
 struct AdminFixture {
-    explicit AdminFixture(Rig& rig) : rig(rig), server(rig.io, {"127.0.0.1", 0}, handler()) {}
+    explicit AdminFixture(GatewayFixture& fixture)
+        : fixture(fixture), server(fixture.io, {"127.0.0.1", 0}, handler()) {}
     ~AdminFixture() {
         server.sessionManager().closeListener();
         server.sessionManager().stop();
@@ -23,25 +24,25 @@
     admin::AdminHandler handler() {
         return {[this] { return ready; }, [this] { return metrics(); },
                 [this](const std::string& nodeId, bool drained) {
-                    return rig.engine.setAdminDrain(nodeId, drained);
+                    return fixture.engine.setAdminDrain(nodeId, drained);
                 }};
     }
     admin::AdminMetrics metrics() const {
         admin::AdminMetrics metrics{{},
-                                    rig.engine.counters(),
-                                    rig.engine.openRequests(),
-                                    rig.engine.nodeCount(),
-                                    rig.engine.avoidedNodes()};
-        for (const auto& info : rig.engine.settings().classes)
+                                    fixture.engine.counters(),
+                                    fixture.engine.openRequests(),
+                                    fixture.engine.nodeCount(),
+                                    fixture.engine.avoidedNodes()};
+        for (const auto& info : fixture.engine.settings().classes)
             metrics.classNames.push_back(info.name);
         return metrics;
     }
     /// The complete response to one HTTP request.
     std::string send(const std::string& request) {
-        const auto connection = rig.connect(server.sessionManager().address());
-        connection->say(request);
-        rig.until([&] { return connection->ended; }, request.c_str());
-        return connection->got;
+        const auto connection = fixture.connect(server.sessionManager().address());
+        connection->send(request);
+        fixture.waitUntil([&] { return connection->ended; }, request.c_str());
+        return connection->received;
     }
     std::string post(const std::string& path, const std::string& body) {
         return send(fmt::format("POST {} HTTP/1.1\r\nHost: f\r\nContent-Length: {}\r\n\r\n{}", path,
@@ -52,7 +53,7 @@
         return nlohmann::json::parse(response.substr(response.find("\r\n\r\n") + 4));
     }
 
-    Rig& rig;
+    GatewayFixture& fixture;
     bool ready = true;
     admin::AdminServer server;
 };
@@ -86,8 +87,8 @@
         {"GET /_ready HTTP/1.1\r\nX: " + std::string(9000, 'a') + "\r\n\r\n", 431},
         {"hello\r\n\r\n", 400},
     };
-    Rig rig;
-    AdminFixture admin(rig);
+    GatewayFixture fixture;
+    AdminFixture admin(fixture);
     for (const auto& c : cases) {
         const auto response = admin.send(c.request);
         CHECK_MESSAGE(hasStatus(response, c.status), c.request.substr(0, 60), " -> ", response);
@@ -95,15 +96,15 @@
 }
 
 TEST_CASE("admin server: a front that no longer accepts requests is not ready") {
-    Rig rig;
-    AdminFixture admin(rig);
+    GatewayFixture fixture;
+    AdminFixture admin(fixture);
     admin.ready = false;
     CHECK(hasStatus(admin.send("GET /_ready HTTP/1.1\r\n\r\n"), 503));
 }
 
 TEST_CASE("admin server: requests are counted by how they ended") {
-    Rig rig;
-    AdminFixture admin(rig);
+    GatewayFixture fixture;
+    AdminFixture admin(fixture);
     admin.send("GET /_ready HTTP/1.1\r\n\r\n");
     admin.post("/_chunk-servers/detach", "s-9");
     admin.send("GET / HTTP/1.1\r\n\r\n");
@@ -113,43 +114,45 @@
 }
 
 TEST_CASE("admin server: connections without a complete request are closed for one that sends its request") {
-    Rig rig;
-    AdminFixture admin(rig);
-    std::vector<WirePtr> stuck;
+    GatewayFixture fixture;
+    AdminFixture admin(fixture);
+    std::vector<TestConnectionPtr> stuck;
     for (std::size_t i = 0; i < admin::kMaxConnections; ++i) {
-        stuck.push_back(rig.connect(admin.server.sessionManager().address()));
-        if (i % 2) stuck.back()->say("POST /_chunk-servers/det");
+        stuck.push_back(fixture.connect(admin.server.sessionManager().address()));
+        if (i % 2) stuck.back()->send("POST /_chunk-servers/det");
     }
-    rig.until([&] { return admin.server.sessionManager().activeConnections() == admin::kMaxConnections; });
+    fixture.waitUntil(
+        [&] { return admin.server.sessionManager().activeConnections() == admin::kMaxConnections; });
     const auto start = std::chrono::steady_clock::now();
     CHECK(hasStatus(admin.send("GET /_ready HTTP/1.1\r\n\r\n"), 200));
     CHECK(std::chrono::steady_clock::now() - start < std::chrono::seconds(1));
 }
 
 TEST_CASE("admin metrics: requests are counted by their final answer, attempts when they are written") {
-    Rig rig(testConfig(), 2);
-    AdminFixture admin(rig);
-    const auto served = rig.client();
-    const auto retried = rig.client();
-    const auto cancelled = rig.client();
-    const auto rejected = rig.client();
-    served->say(Ask{.id = "0000000000000001"}.text());
-    rig.nodeHas("0000000000000001")->say(ok("uno"));
-    rig.until([&] { return served->has("uno"); });
-    retried->say(Ask{.id = "0000000000000002", .kind = "alta"}.text());  // two attempts, one answer
-    const auto firstAttempt = rig.nodeHas("0000000000000002");
-    firstAttempt->drop();
-    firstAttempt->say(status(503, "Srv-Declined: 1\r\n"));
-    rig.nodeHas("0000000000000002")->say(ok("dos"));
-    rig.until([&] { return retried->has("dos"); });
-    cancelled->say(Ask{.id = "0000000000000003"}.text());
-    rig.nodeHas("0000000000000003");
+    GatewayFixture fixture(testConfig(), 2);
+    AdminFixture admin(fixture);
+    const auto served = fixture.client();
+    const auto retried = fixture.client();
+    const auto cancelled = fixture.client();
+    const auto rejected = fixture.client();
+    served->send(PlatformRequest{.id = "0000000000000001"}.text());
+    fixture.waitForNodeToReceive("0000000000000001")->send(ok("uno"));
+    fixture.waitUntil([&] { return served->hasReceived("uno"); });
+    retried->send(
+        PlatformRequest{.id = "0000000000000002", .kind = "alta"}.text());  // two attempts, one answer
+    const auto firstAttempt = fixture.waitForNodeToReceive("0000000000000002");
+    firstAttempt->clearReceived();
+    firstAttempt->send(status(503, "Srv-Declined: 1\r\n"));
+    fixture.waitForNodeToReceive("0000000000000002")->send(ok("dos"));
+    fixture.waitUntil([&] { return retried->hasReceived("dos"); });
+    cancelled->send(PlatformRequest{.id = "0000000000000003"}.text());
+    fixture.waitForNodeToReceive("0000000000000003");
     CHECK(admin.vars()["open_requests"] == 1);
     cancelled->close();
-    rig.until([&] { return rig.engine.openRequests() == 0; });
+    fixture.waitUntil([&] { return fixture.engine.openRequests() == 0; });
     // No node has shard 3, so the request is rejected without an attempt.
-    rejected->say(Ask{.id = "0000000000000004", .deadlineMs = 60, .shard = 3}.text());
-    rig.until([&] { return rejected->has("HTTP/1.1 503"); });
+    rejected->send(PlatformRequest{.id = "0000000000000004", .deadlineMs = 60, .shard = 3}.text());
+    fixture.waitUntil([&] { return rejected->hasReceived("HTTP/1.1 503"); });
     const auto vars = admin.vars();
     CHECK(vars["fulfilled"] == nlohmann::json{{"lectura", 1}, {"alta", 1}});
     CHECK(vars["throttled"] == nlohmann::json{{"lectura", 1}, {"alta", 0}});
@@ -165,28 +168,29 @@
     constexpr Micros kDrainGraceUs = 20'000;
     auto config = testConfig();
     config.settings.drainGraceUs = kDrainGraceUs;
-    Rig rig(std::move(config));
-    AdminFixture admin(rig);
-    const auto before = rig.client();
-    before->say(Ask{.id = "0000000000000001"}.text());
-    const auto inFlight = rig.nodeHas("0000000000000001");
+    GatewayFixture fixture(std::move(config));
+    AdminFixture admin(fixture);
+    const auto before = fixture.client();
+    before->send(PlatformRequest{.id = "0000000000000001"}.text());
+    const auto inFlight = fixture.waitForNodeToReceive("0000000000000001");
     CHECK(hasStatus(admin.post("/_chunk-servers/detach", "s-0"), 200));
     CHECK(hasStatus(admin.post("/_chunk-servers/detach", "s-0"), 200));  // a repetition changes nothing
     CHECK(admin.vars()["out_of_rotation"] == 1);
-    inFlight->say(ok("uno"));  // requests in flight are completed
-    rig.until([&] { return before->has("uno"); });
-    const auto graceEnd = rig.engine.now() + kDrainGraceUs;  // until then a cell's only node is still used
-    rig.until([&] { return rig.engine.now() > graceEnd; });
-    rig.tellState("s-0", "draining");
-    rig.tellState("s-0", "up");
-    const auto during = rig.client();
-    during->say(Ask{.id = "0000000000000002", .deadlineMs = 200}.text());
-    rig.until([&] { return during->has("HTTP/1.1 503"); });
+    inFlight->send(ok("uno"));  // requests in flight are completed
+    fixture.waitUntil([&] { return before->hasReceived("uno"); });
+    const auto graceEnd =
+        fixture.engine.now() + kDrainGraceUs;  // until then a cell's only node is still used
+    fixture.waitUntil([&] { return fixture.engine.now() > graceEnd; });
+    fixture.announceNodeState("s-0", "draining");
+    fixture.announceNodeState("s-0", "up");
+    const auto during = fixture.client();
+    during->send(PlatformRequest{.id = "0000000000000002", .deadlineMs = 200}.text());
+    fixture.waitUntil([&] { return during->hasReceived("HTTP/1.1 503"); });
     CHECK(hasStatus(admin.post("/_chunk-servers/attach", "s-0"), 200));
-    const auto after = rig.client();
-    after->say(Ask{.id = "0000000000000003"}.text());
-    rig.nodeHas("0000000000000003")->say(ok("tres"));
-    rig.until([&] { return after->has("tres"); });
+    const auto after = fixture.client();
+    after->send(PlatformRequest{.id = "0000000000000003"}.text());
+    fixture.waitForNodeToReceive("0000000000000003")->send(ok("tres"));
+    fixture.waitUntil([&] { return after->hasReceived("tres"); });
     CHECK(admin.vars()["out_of_rotation"] == 0);
 }
 
@@ -194,7 +198,9 @@
 // -tc="measure*"`. docs/bodies.md has its results.
 TEST_CASE("measure: processor time of a connection that sends no request and is closed" * doctest::skip()) {
     Platform platform(192);
-    platform.rig.node().greets = [](Wire& wire) { wire.reply = ok("x"); };
+    platform.fixture.node().onConnection = [](TestConnection& connection) {
+        connection.autoResponse = ok("x");
+    };
     auto& front = platform.startReady();
     const auto processorSeconds = [&] {  // user and system, of the process
         std::ifstream in(fmt::format("/proc/{}/stat", front.pid));
@@ -218,7 +224,7 @@
     std::deque<tcp::socket> connections;
     int served = 0;
     for (int i = 0; i < kConnections; ++i) {
-        connections.emplace_back(platform.rig.io);
+        connections.emplace_back(platform.fixture.io);
         connections.back().connect(platform.listening.local_endpoint());
         if (connections.size() > kOpen) connections.pop_front();
         if (i % 200 != 199) continue;
--- a/tests/app/metrics_snapshot_test.cpp
+++ b/tests/app/metrics_snapshot_test.cpp
@@ -14,10 +14,11 @@
 
 /// A gateway with its HTTP and rsync fronts, without admin server and hot restart.
 struct Gateway {
-    Rig rig{testConfig(), 1};
-    app::ConfigReload reload{"", rig.config, [](const config::Config&) {}, rig.logger};
-    app::MetricsSources sources{rig.engine, rig.front, &rig.rsync, rig.pool, rig.discovery,
-                                nullptr,    nullptr,   reload,     rig.peers};
+    GatewayFixture fixture{testConfig(), 1};
+    app::ConfigReload reload{"", fixture.config, [](const config::Config&) {}, fixture.logger};
+    app::MetricsSources sources{fixture.engine,    fixture.front, &fixture.rsync, fixture.pool,
+                                fixture.discovery, nullptr,       nullptr,        reload,
+                                fixture.peers};
 
     [[nodiscard]] std::vector<std::string_view> groupNames() const {
         std::vector<std::string_view> names;
@@ -52,10 +53,12 @@
 TEST_CASE("metrics snapshot: the counters are those of the moment of the call") {
     Gateway gateway;
     CHECK(gateway.line("requests").starts_with("counters requests: taken=0 delivered=0 "));
-    gateway.rig.node().greets = [](Wire& wire) { wire.reply = ok("x"); };
-    const auto client = gateway.rig.client();
-    client->say(Ask{}.text());
-    gateway.rig.until([&] { return client->has(" 200 "); });
+    gateway.fixture.node().onConnection = [](TestConnection& connection) {
+        connection.autoResponse = ok("x");
+    };
+    const auto client = gateway.fixture.client();
+    client->send(PlatformRequest{}.text());
+    gateway.fixture.waitUntil([&] { return client->hasReceived(" 200 "); });
     CHECK(gateway.line("requests").starts_with("counters requests: taken=1 delivered=1 "));
     CHECK(gateway.line("nodes") == "counters nodes: connections=1 opened=1 reused=0");
 }
--- a/tests/fleet/fleet_process_test.cpp
+++ b/tests/fleet/fleet_process_test.cpp
@@ -12,13 +12,15 @@
 /// Sends requests to all fronts as fast as they answer, until the condition holds. The limit of the volume
 /// must hold at every moment.
 void loadUntil(Fleet& fleet, const std::function<bool()>& condition, const char* what) {
-    const auto mayAsk = [&] { return fleet.asking.size() < kRequestsInFlightPerFront * fleet.fronts.size(); };
-    fleet.rig.until(
+    const auto mayAsk = [&] {
+        return fleet.pendingConnections.size() < kRequestsInFlightPerFront * fleet.fronts.size();
+    };
+    fleet.fixture.waitUntil(
         [&] {
-            fleet.settle();
+            fleet.collectResponses();
             REQUIRE(fleet.units() <= fleet.allowed());
             for (std::size_t i = 0; i < fleet.fronts.size() && mayAsk(); ++i)
-                if (fleet.fronts[i] && fleet.fronts[i]->running()) fleet.ask(i);
+                if (fleet.fronts[i] && fleet.fronts[i]->running()) fleet.sendRequest(i);
             return condition();
         },
         what);
@@ -28,7 +30,7 @@
     for (std::size_t i = 0; i < fleet.fronts.size(); ++i)
         fleet.start(i);
     for (std::size_t i = 0; i < fleet.fronts.size(); ++i)
-        fleet.untilFleetSays(i, "may_lend=true");
+        fleet.waitUntilCountersShow(i, "may_lend=true");
 }
 
 void loadUntilServed(Fleet& fleet, int requests) {
@@ -53,8 +55,8 @@
     startAll(fleet);
     loadUntilServed(fleet, 40);
     const auto openConnection = fleet.client(0);  // the front serves it until the time that its notice names
-    openConnection->say("GET /up HTTP/1.1\r\nHost: f\r\n\r\n");
-    fleet.rig.until([&] { return openConnection->has("up\n"); });
+    openConnection->send("GET /up HTTP/1.1\r\nHost: f\r\n\r\n");
+    fleet.fixture.waitUntil([&] { return openConnection->hasReceived("up\n"); });
     fleet.fronts[3]->signal(SIGKILL);
     fleet.fronts[0]->signal(SIGTERM);
     loadUntil(
@@ -62,13 +64,13 @@
     CHECK(fleet.fronts[0]->status == 0);
     const auto restartedAt = std::chrono::steady_clock::now();
     fleet.start(0);
-    fleet.untilFleetSays(0, "recovered_by=shutdown_notice");
+    fleet.waitUntilCountersShow(0, "recovered_by=shutdown_notice");
     CHECK(std::chrono::steady_clock::now() - restartedAt < std::chrono::seconds(10));
     // Not before front 3, which is a notice holder too, knows of this incarnation.
-    CHECK(!fleet.fronts[0]->said("may_lend=true"));
+    CHECK(!fleet.fronts[0]->hasLogged("may_lend=true"));
     fleet.start(3);
     loadUntil(
-        fleet, [&] { return fleet.says(0, "may_lend=true"); }, "it lends again");
+        fleet, [&] { return fleet.countersShow(0, "may_lend=true"); }, "it lends again");
     CHECK(fleet.relay->counters().lost > 0);
     CHECK(fleet.relay->counters().doubled > 0);
     CHECK(fleet.relay->counters().largest <= 256);
@@ -89,10 +91,11 @@
             fleet, [&] { return !fleet.fronts[0]->running(); }, "it is dead");
         fleet.start(0);
         loadUntil(
-            fleet, [&] { return fleet.says(0, "recovered_by=lease_expired"); }, "its leases have expired");
-        CHECK(!fleet.fronts[0]->said("recovered_by=shutdown_notice"));
-        CHECK(!fleet.fronts[0]->said("may_lend=true"));
+            fleet, [&] { return fleet.countersShow(0, "recovered_by=lease_expired"); },
+            "its leases have expired");
+        CHECK(!fleet.fronts[0]->hasLogged("recovered_by=shutdown_notice"));
+        CHECK(!fleet.fronts[0]->hasLogged("may_lend=true"));
     }
     loadUntilServed(fleet, 20);
-    CHECK(fleet.refused > 0);  // the limit was reached
+    CHECK(fleet.rejected > 0);  // the limit was reached
 }
--- a/tests/fleet/restart_recovery_test.cpp
+++ b/tests/fleet/restart_recovery_test.cpp
@@ -33,21 +33,21 @@
     }
     /// Sends what is due and delivers it with all replies. Returns the number of datagrams sent.
     std::size_t deliverDue() {
-        std::deque<Sent> wire;
+        std::deque<Sent> network;
         for (int i = 0; i < int(hosts.size()); ++i) {
             if (dead.contains(i)) continue;
             for (auto& datagram : host(i).dueDatagrams(now))
-                wire.push_back({i, std::move(datagram)});
+                network.push_back({i, std::move(datagram)});
         }
         std::size_t sentCount = 0;
-        for (; !wire.empty(); wire.pop_front(), ++sentCount) {
-            const Sent sent = wire.front();
+        for (; !network.empty(); network.pop_front(), ++sentCount) {
+            const Sent sent = network.front();
             largest = std::max(largest, sent.datagram.bytes.size());
             const int to = sent.datagram.to.value();
             if (dead.contains(to)) continue;
             for (auto& reply :
                  host(to).handleDatagram(HostIndex(sent.from), sent.datagram.bytes, now).replies)
-                wire.push_back({to, std::move(reply)});
+                network.push_back({to, std::move(reply)});
         }
         return sentCount;
     }
--- a/tests/health/check_listeners_test.cpp
+++ b/tests/health/check_listeners_test.cpp
@@ -16,8 +16,8 @@
 /// A gateway that is ready and whose capacity is half used.
 health::GatewayStatus halfUsed() { return {.ready = true, .utilization = 0.5}; }
 
-WirePtr connectTo(asio::io_context& io, const net::SessionManager& server) {
-    return connectWire(io, net::tcpEndpoint(server.address()));
+TestConnectionPtr connectTo(asio::io_context& io, const net::SessionManager& server) {
+    return test::connectTo(io, net::tcpEndpoint(server.address()));
 }
 
 void stop(net::SessionManager& server) {
@@ -32,7 +32,7 @@
     const auto agent = health::makeAgentCheckListener(io, kAnyPort, halfUsed);
     const auto client = connectTo(io, *agent);
     runUntil(io, [&] { return client->ended; });
-    CHECK(client->got == "ready up 50%\n");
+    CHECK(client->received == "ready up 50%\n");
     stop(*agent);
 }
 
@@ -41,9 +41,9 @@
     asio::io_context io;
     const auto http = health::makeHttpCheckListener(io, kAnyPort, halfUsed);
     const auto client = connectTo(io, *http);
-    client->say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+    client->send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
     runUntil(io, [&] { return client->ended; });
-    CHECK(client->got.find("HTTP/1.1 200 OK\r\n") == 0);
+    CHECK(client->received.find("HTTP/1.1 200 OK\r\n") == 0);
     stop(*http);
 }
 
@@ -51,10 +51,10 @@
     asio::io_context io;
     const auto http = health::makeHttpCheckListener(io, kAnyPort, halfUsed);
     const auto client = connectTo(io, *http);
-    client->say("GET /live HTTP/1.1\r\n\r\nGET /ready HTTP/1.1\r\n\r\n");
+    client->send("GET /live HTTP/1.1\r\n\r\nGET /ready HTTP/1.1\r\n\r\n");
     runUntil(io, [&] { return client->ended; });
-    CHECK(client->has("\r\n\r\nlive\n"));
-    CHECK_FALSE(client->has("ready"));
+    CHECK(client->hasReceived("\r\n\r\nlive\n"));
+    CHECK_FALSE(client->hasReceived("ready"));
     stop(*http);
 }
 
@@ -62,8 +62,8 @@
     asio::io_context io;
     const auto http = health::makeHttpCheckListener(io, kAnyPort, halfUsed);
     const auto client = connectTo(io, *http);
-    client->say("GET /" + std::string(net::kMaxRingBytes, 'x'));
+    client->send("GET /" + std::string(net::kMaxRingBytes, 'x'));
     runUntil(io, [&] { return client->ended; });
-    CHECK(client->got.empty());
+    CHECK(client->received.empty());
     stop(*http);
 }
--- a/tests/hot_restart/hot_restart_process_test.cpp
+++ b/tests/hot_restart/hot_restart_process_test.cpp
@@ -27,7 +27,9 @@
 
 /// The node answers each request at once.
 void answerAll(Platform& platform) {
-    platform.rig.node().greets = [](Wire& wire) { wire.reply = ok("x"); };
+    platform.fixture.node().onConnection = [](TestConnection& connection) {
+        connection.autoResponse = ok("x");
+    };
 }
 
 std::string vars(Platform& platform, const Process& process) {
@@ -38,13 +40,13 @@
     return platform.post(process, "/_chunk-servers/detach", "s-0").starts_with("HTTP/1.1 200");
 }
 
-void untilEnded(Platform& platform, Process& process) {
-    platform.rig.until([&] { return !process.running(); }, "the process ends");
+void waitUntilEnded(Platform& platform, Process& process) {
+    platform.fixture.waitUntil([&] { return !process.running(); }, "the process ends");
 }
 
 void kill(Platform& platform, Process& process) {
     process.signal(SIGKILL);
-    untilEnded(platform, process);
+    waitUntilEnded(platform, process);
 }
 
 /// A process that has served a request on `connection`, and the successor that waits for it.
@@ -52,18 +54,18 @@
     Platform platform;
     RequestIds ids;
     Process& old = startServing();
-    WirePtr connection = serveOne();
+    TestConnectionPtr connection = serveOne();
     Process& next = platform.startReady();
 
     /// SIGTERM to the old process, and the successor has the service.
     void transfer() {
         old.signal(SIGTERM);
-        platform.untilSaid(next, kTakenOver);
+        platform.waitUntilLogged(next, kTakenOver);
     }
-    void serve(const WirePtr& client) { platform.serve(client, ids.next()); }
+    void serve(const TestConnectionPtr& client) { platform.serve(client, ids.next()); }
     void serveNewClient() { serve(platform.client()); }
     void checkOldEndsInOrder() {
-        untilEnded(platform, old);
+        waitUntilEnded(platform, old);
         CHECK(old.status == 0);
     }
 
@@ -72,7 +74,7 @@
         answerAll(platform);
         return platform.startReady();
     }
-    WirePtr serveOne() {
+    TestConnectionPtr serveOne() {
         auto client = platform.client();
         serve(client);
         return client;
@@ -84,19 +86,19 @@
 TEST_CASE("upgrade: clients are the old process's until SIGTERM, and the successor's from then on") {
     Upgrade upgrade;
     upgrade.serveNewClient();
-    CHECK(!upgrade.next.said(kTakenOver));
+    CHECK(!upgrade.next.hasLogged(kTakenOver));
     upgrade.transfer();
     upgrade.serveNewClient();
     upgrade.checkOldEndsInOrder();
     upgrade.serveNewClient();
-    CHECK(upgrade.old.said(kTransferred));
+    CHECK(upgrade.old.hasLogged(kTransferred));
 }
 
 TEST_CASE("upgrade: the old process answers one more request on an open connection, and closes it") {
     Upgrade upgrade;
     upgrade.transfer();
     upgrade.serve(upgrade.connection);
-    CHECK(upgrade.connection->has("Connection: close"));
+    CHECK(upgrade.connection->hasReceived("Connection: close"));
     upgrade.checkOldEndsInOrder();
 }
 
@@ -112,13 +114,13 @@
         platform.serve(platform.client(), ids.next());  // still the old one's
         if (upgrade == 1) CHECK(detach(platform, *serving));
         serving->signal(SIGTERM);
-        platform.untilSaid(next, kTakenOver);
+        platform.waitUntilLogged(next, kTakenOver);
         if (upgrade == 0) {
             platform.serve(connection, ids.next());
-            CHECK(connection->has("Connection: close"));
+            CHECK(connection->hasReceived("Connection: close"));
             platform.serve(platform.client(), ids.next());
         }
-        untilEnded(platform, *serving);
+        waitUntilEnded(platform, *serving);
         CHECK(serving->status == 0);
         serving = &next;
     }
@@ -132,9 +134,10 @@
     Upgrade upgrade;  // its connection keeps the old process running
     auto& platform = upgrade.platform;
     upgrade.old.signal(SIGTERM);
-    platform.untilSaid(upgrade.old, kTransferred);
+    platform.waitUntilLogged(upgrade.old, kTransferred);
     CHECK(detach(platform, upgrade.old));
-    platform.rig.until([&] { return vars(platform, upgrade.next).find(kOneDrained) != std::string::npos; });
+    platform.fixture.waitUntil(
+        [&] { return vars(platform, upgrade.next).find(kOneDrained) != std::string::npos; });
 }
 
 TEST_CASE("upgrade: a successor that dies before the transfer leaves an ordinary shutdown") {
@@ -143,19 +146,19 @@
     auto& old = platform.startReady();
     kill(platform, platform.startReady());
     old.signal(SIGTERM);
-    platform.untilSaid(old, "stopping");
+    platform.waitUntilLogged(old, "stopping");
     platform.serve(platform.client(), "0000000000000001");  // it accepts for a while, as at any shutdown
-    untilEnded(platform, old);
+    waitUntilEnded(platform, old);
     CHECK(old.status == 0);
-    CHECK(!old.said(kTransferred));
+    CHECK(!old.hasLogged(kTransferred));
 }
 
 TEST_CASE("upgrade: a successor that is ended before the transfer stops without having served") {
     Upgrade upgrade;
     upgrade.next.signal(SIGTERM);
-    untilEnded(upgrade.platform, upgrade.next);
+    waitUntilEnded(upgrade.platform, upgrade.next);
     CHECK(upgrade.next.status == 0);
-    CHECK(upgrade.next.said("stopped: 0 requests taken since SIGTERM"));
+    CHECK(upgrade.next.hasLogged("stopped: 0 requests taken since SIGTERM"));
     upgrade.serveNewClient();
 }
 
@@ -168,41 +171,42 @@
     auto& next = platform.startReady();
     platform.folder.write("wingproxy.snapshot", "WPS1 half");
     old.signal(SIGKILL);
-    platform.untilSaid(next, "snapshot rejected, truncated");
+    platform.waitUntilLogged(next, "snapshot rejected, truncated");
     platform.serve(platform.client(), "0000000000000001");
 }
 
 TEST_CASE("upgrade: long bodies in flight both ways are completed by the old process") {
     Platform platform;
-    auto& rig = platform.rig;
+    auto& fixture = platform.fixture;
     auto& old = platform.startReady();
     const std::string body(200'000, 'b');
     constexpr std::size_t kBodyBytesSentLater = 60'000;
     constexpr std::size_t kResponseBytesSentFirst = 120'000;
     const auto uploading = platform.client();
     const auto downloading = platform.client();
-    const auto put = Ask{.id = "00000000000000b1", .kind = "alta", .body = body, .deadlineMs = 3000}.text();
-    uploading->say(put.substr(0, put.size() - kBodyBytesSentLater));
-    const auto uploadNode = rig.nodeHas("00000000000000b1");
-    downloading->say(Ask{.id = "00000000000000b2"}.text());
-    const auto downloadNode = rig.nodeHas("00000000000000b2");
+    const auto put =
+        PlatformRequest{.id = "00000000000000b1", .kind = "alta", .body = body, .deadlineMs = 3000}.text();
+    uploading->send(put.substr(0, put.size() - kBodyBytesSentLater));
+    const auto uploadNode = fixture.waitForNodeToReceive("00000000000000b1");
+    downloading->send(PlatformRequest{.id = "00000000000000b2"}.text());
+    const auto downloadNode = fixture.waitForNodeToReceive("00000000000000b2");
     const auto response = ok(body);
-    downloadNode->say(response.substr(0, kResponseBytesSentFirst));
-    rig.until([&] { return downloading->got.size() > 100'000; });
+    downloadNode->send(response.substr(0, kResponseBytesSentFirst));
+    fixture.waitUntil([&] { return downloading->received.size() > 100'000; });
     auto& next = platform.startReady();
     old.signal(SIGTERM);
-    platform.untilSaid(next, kTakenOver);
-    uploading->say(put.substr(put.size() - kBodyBytesSentLater));
-    downloadNode->say(response.substr(kResponseBytesSentFirst));
-    rig.until([&] { return downloading->has(body); }, "the response is complete");
-    rig.until([&] { return uploadNode->has(body); }, "the request body is complete");
-    uploadNode->say(ok("hecho"));
-    rig.until([&] { return uploading->has("hecho"); });
+    platform.waitUntilLogged(next, kTakenOver);
+    uploading->send(put.substr(put.size() - kBodyBytesSentLater));
+    downloadNode->send(response.substr(kResponseBytesSentFirst));
+    fixture.waitUntil([&] { return downloading->hasReceived(body); }, "the response is complete");
+    fixture.waitUntil([&] { return uploadNode->hasReceived(body); }, "the request body is complete");
+    uploadNode->send(ok("hecho"));
+    fixture.waitUntil([&] { return uploading->hasReceived("hecho"); });
     const auto newClient = platform.client();
-    newClient->say(Ask{.id = "00000000000000b3"}.text());
-    rig.nodeHas("00000000000000b3")->say(ok("nuevo"));
-    rig.until([&] { return newClient->has("nuevo"); });
-    untilEnded(platform, old);
+    newClient->send(PlatformRequest{.id = "00000000000000b3"}.text());
+    fixture.waitForNodeToReceive("00000000000000b3")->send(ok("nuevo"));
+    fixture.waitUntil([&] { return newClient->hasReceived("nuevo"); });
+    waitUntilEnded(platform, old);
     CHECK(old.status == 0);
 }
 
@@ -216,11 +220,11 @@
     upgrade.serve(upgrade.connection);
     upgrade.serveNewClient();
     upgrade.next.signal(SIGHUP);  // and one that reaches the successor in its first moments
-    platform.untilSaid(upgrade.next, "reloaded: discovery at");
+    platform.waitUntilLogged(upgrade.next, "reloaded: discovery at");
     upgrade.serveNewClient();
     upgrade.checkOldEndsInOrder();
-    CHECK(upgrade.old.said("reloaded: discovery at"));
-    CHECK(upgrade.old.said(kTransferred));
+    CHECK(upgrade.old.hasLogged("reloaded: discovery at"));
+    CHECK(upgrade.old.hasLogged(kTransferred));
 }
 
 namespace {
@@ -229,23 +233,24 @@
 /// answer and that the successor acts on the admin request.
 void checkAdminRequestDuringTransfer(Platform& platform, RequestIds& ids, Process& serving, Process& next,
                                      const std::string& call) {
-    std::vector<WirePtr> clients;
+    std::vector<TestConnectionPtr> clients;
     for (int i = 0; i < 12; ++i) {
         clients.push_back(platform.client());
-        clients.back()->say(Ask{.id = ids.next()}.text());
+        clients.back()->send(PlatformRequest{.id = ids.next()}.text());
     }
-    const auto admin = platform.rig.connect(serving.mgmt);
-    admin->say(fmt::format("POST /_chunk-servers/{} HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-0", call));
+    const auto admin = platform.fixture.connect(serving.mgmt);
+    admin->send(fmt::format("POST /_chunk-servers/{} HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-0", call));
     serving.signal(SIGTERM);
-    platform.rig.until([&] { return admin->ended; }, "the admin request is answered");
-    CHECK(admin->got.starts_with("HTTP/1.1 200 "));
-    platform.untilSaid(next, kTakenOver);
+    platform.fixture.waitUntil([&] { return admin->ended; }, "the admin request is answered");
+    CHECK(admin->received.starts_with("HTTP/1.1 200 "));
+    platform.waitUntilLogged(next, kTakenOver);
     const std::string expected = call == "detach" ? kOneDrained : kNoneDrained;
-    platform.rig.until([&] { return vars(platform, next).find(expected) != std::string::npos; },
-                       expected.c_str());
+    platform.fixture.waitUntil([&] { return vars(platform, next).find(expected) != std::string::npos; },
+                               expected.c_str());
     for (const auto& client : clients)
-        platform.rig.until([&] { return client->has("HTTP/1.1 200 ") || client->has("HTTP/1.1 503 "); },
-                           "each request is answered");
+        platform.fixture.waitUntil(
+            [&] { return client->hasReceived("HTTP/1.1 200 ") || client->hasReceived("HTTP/1.1 503 "); },
+            "each request is answered");
 }
 
 }  // namespace
@@ -259,7 +264,7 @@
     for (const std::string call : {"detach", "attach", "detach"}) {
         auto& next = platform.startReady();
         checkAdminRequestDuringTransfer(platform, ids, *serving, next, call);
-        untilEnded(platform, *serving);
+        waitUntilEnded(platform, *serving);
         CHECK(serving->status == 0);
         serving = &next;
     }
@@ -273,10 +278,10 @@
     upgrade.transfer();
     kill(platform, upgrade.next);
     const auto waiting = platform.client();  // nobody accepts now, it waits in the listener's queue
-    waiting->say(Ask{.id = upgrade.ids.next()}.text());
+    waiting->send(PlatformRequest{.id = upgrade.ids.next()}.text());
     auto& third = platform.startReady();
-    platform.rig.until([&] { return waiting->has("HTTP/1.1 200 "); }, "served by the third");
-    CHECK(third.said("n0 listens on"));
+    platform.fixture.waitUntil([&] { return waiting->hasReceived("HTTP/1.1 200 "); }, "served by the third");
+    CHECK(third.hasLogged("n0 listens on"));
     upgrade.serve(upgrade.connection);  // what the old one accepted it still answers
     upgrade.checkOldEndsInOrder();
 }
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -41,7 +41,7 @@
 };
 
 struct TwoInstances {
-    void until(const std::function<bool()>& condition) {
+    void waitUntil(const std::function<bool()>& condition) {
         const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(15);
         while (!condition() && std::chrono::steady_clock::now() < end)
             io.run_one_for(std::chrono::milliseconds(50));
@@ -52,7 +52,7 @@
         second.start();
     }
     void untilTakenOver() {
-        until([this] { return second.takeOvers > 0; });
+        waitUntil([this] { return second.takeOvers > 0; });
     }
     [[nodiscard]] static Snapshot snapshot() {
         Snapshot taken;
@@ -186,7 +186,7 @@
     CHECK(third.takeOvers == 0);
     both.first.die();
     both.second.hotRestart->transfer(TwoInstances::snapshot());
-    both.until([&] { return third.takeOvers > 0; });
+    both.waitUntil([&] { return third.takeOvers > 0; });
     CHECK(third.received);
 }
 
--- a/tests/hot_restart/snapshot_test.cpp
+++ b/tests/hot_restart/snapshot_test.cpp
@@ -15,8 +15,8 @@
 
 /// A snapshot of an engine with three nodes, one of them drained by an operator.
 struct SnapshotOfThreeNodes {
-    Rig rig{testConfig(), 3};
-    Snapshot snapshot{"n0", rig.engine.now(), takeEngineSnapshot(), {"0000000000000001"}};
+    GatewayFixture fixture{testConfig(), 3};
+    Snapshot snapshot{"n0", fixture.engine.now(), takeEngineSnapshot(), {"0000000000000001"}};
     std::string bytes = encode(snapshot);
 
     [[nodiscard]] std::variant<Snapshot, SnapshotError> decodeOwn(std::string_view b) const {
@@ -25,8 +25,8 @@
 
 private:
     net::EngineSnapshot takeEngineSnapshot() {
-        rig.engine.setAdminDrain("s-0", true);
-        return rig.engine.takeSnapshot();
+        fixture.engine.setAdminDrain("s-0", true);
+        return fixture.engine.takeSnapshot();
     }
 };
 
@@ -48,7 +48,7 @@
     const auto& snapshot = std::get<Snapshot>(decoded);
     CHECK(snapshot.takenAt == taken.snapshot.takenAt);
     CHECK(snapshot.engine.core.endpoints.size() == 3);
-    CHECK(snapshot.engine.addresses[2] == taken.rig.node(2).address());
+    CHECK(snapshot.engine.addresses[2] == taken.fixture.node(2).address());
     CHECK(snapshot.openRequestIds == taken.snapshot.openRequestIds);
     CHECK(encode(snapshot) == taken.bytes);
 }
@@ -109,7 +109,7 @@
 TEST_CASE("snapshot: the policy's state is restored by a host of the same settings only") {
     SnapshotOfThreeNodes taken;
     const std::string& policyState = taken.snapshot.engine.core.policySnapshot;
-    Policy same(taken.rig.config.settings, taken.snapshot.takenAt);
+    Policy same(taken.fixture.config.settings, taken.snapshot.takenAt);
     Policy other(test::settings(0, 2), taken.snapshot.takenAt);
     CHECK(same.restore(policyState));
     CHECK(!other.restore(policyState));
--- a/tests/http/attempt_deadlines_test.cpp
+++ b/tests/http/attempt_deadlines_test.cpp
@@ -90,52 +90,54 @@
 }
 
 TEST_CASE("an attempt past its idempotency window writes nothing on an open connection") {
-    Rig rig;
+    GatewayFixture fixture;
     const auto message = std::make_shared<http::RequestMessage>(boost::beast::http::verb::get, "/api", 11);
     const auto attempt = std::make_shared<http::RequestAttempt>(
-        rig.engine, rig.pool,
-        net::AttemptParams{9, AttemptIndex(0), rig.node().address(), rig.engine.now() + 1'000'000,
-                           rig.engine.now() + 1'000'000, rig.engine.now() - 1},
+        fixture.engine, fixture.pool,
+        net::AttemptParams{9, AttemptIndex(0), fixture.node().address(), fixture.engine.now() + 1'000'000,
+                           fixture.engine.now() + 1'000'000, fixture.engine.now() - 1},
         message, std::nullopt, std::weak_ptr<http::ClientStream>(),
         [](AttemptIndex, http::ResponseMessage, net::ByteBudget::Reservation) {});
     attempt->start();
-    rig.until([&] { return rig.node().wires.size() == 1 && rig.node().wires[0]->ended; });
-    CHECK(rig.node().wires[0]->got.empty());
-    CHECK(rig.engine.counters().requestsSent == 0);
+    fixture.waitUntil(
+        [&] { return fixture.node().connections.size() == 1 && fixture.node().connections[0]->ended; });
+    CHECK(fixture.node().connections[0]->received.empty());
+    CHECK(fixture.engine.counters().requestsSent == 0);
 }
 
 TEST_CASE("an attempt that took too long to connect writes nothing") {
     auto config = testConfig();
-    Rig rig(std::move(config));
+    GatewayFixture fixture(std::move(config));
     const auto message = std::make_shared<http::RequestMessage>(boost::beast::http::verb::get, "/api", 11);
     // Its time is over already when the connection is up: the node may be draining by now.
     const auto attempt = std::make_shared<http::RequestAttempt>(
-        rig.engine, rig.pool,
-        net::AttemptParams{9, AttemptIndex(0), rig.node().address(), rig.engine.now() - 1,
-                           rig.engine.now() + 1'000'000},
+        fixture.engine, fixture.pool,
+        net::AttemptParams{9, AttemptIndex(0), fixture.node().address(), fixture.engine.now() - 1,
+                           fixture.engine.now() + 1'000'000},
         message, std::nullopt, std::weak_ptr<http::ClientStream>(),
         [](AttemptIndex, http::ResponseMessage, net::ByteBudget::Reservation) {});
     attempt->start();
-    rig.until([&] { return rig.engine.counters().lateResults == 1 && rig.node().wires.size() == 1; });
-    CHECK(rig.node().wires[0]->got.empty());
+    fixture.waitUntil(
+        [&] { return fixture.engine.counters().lateResults == 1 && fixture.node().connections.size() == 1; });
+    CHECK(fixture.node().connections[0]->received.empty());
 }
 
 TEST_CASE(
     "at the deadline the client is answered, the attempt's connection is closed, and a late response is "
     "dropped") {
-    Rig rig;
-    const auto client = rig.client();
+    GatewayFixture fixture;
+    const auto client = fixture.client();
     const auto since = std::chrono::steady_clock::now();
-    client->say(Ask{.deadlineMs = 150}.text());
-    const auto node = rig.nodeHas("Req-Id");
-    rig.until([&] { return client->has("\r\n\r\n"); });
+    client->send(PlatformRequest{.deadlineMs = 150}.text());
+    const auto node = fixture.waitForNodeToReceive("Req-Id");
+    fixture.waitUntil([&] { return client->hasReceived("\r\n\r\n"); });
     CHECK(std::chrono::steady_clock::now() - since < std::chrono::seconds(1));
-    CHECK(!client->has(" 200 "));
-    rig.until([&] { return node->ended; });
-    node->say(ok("tarde"));
-    client->drop();
-    client->say(Ask{.id = "00000000000000b2"}.text());
-    rig.nodeHas("00000000000000b2")->say(ok("propia"));
-    rig.until([&] { return client->has("propia"); });
-    CHECK(!client->has("tarde"));
+    CHECK(!client->hasReceived(" 200 "));
+    fixture.waitUntil([&] { return node->ended; });
+    node->send(ok("tarde"));
+    client->clearReceived();
+    client->send(PlatformRequest{.id = "00000000000000b2"}.text());
+    fixture.waitForNodeToReceive("00000000000000b2")->send(ok("propia"));
+    fixture.waitUntil([&] { return client->hasReceived("propia"); });
+    CHECK(!client->hasReceived("tarde"));
 }
--- a/tests/http/client_disconnects_test.cpp
+++ b/tests/http/client_disconnects_test.cpp
@@ -14,11 +14,11 @@
 // A node with as many requests in flight as the policy allows: further ones are queued here.
 struct SaturatedNode {
     static constexpr int kCapacity = 3;
-    SaturatedNode() : rig(config()) {
+    SaturatedNode() : fixture(config()) {
         for (int i = 0; i < kCapacity; ++i) {
-            clients.push_back(rig.client());
-            clients.back()->say(Ask{.id = id(i), .deadlineMs = 30'000}.text());
-            rig.nodeHas(id(i));
+            clients.push_back(fixture.client());
+            clients.back()->send(PlatformRequest{.id = id(i), .deadlineMs = 30'000}.text());
+            fixture.waitForNodeToReceive(id(i));
         }
     }
     static config::Config config() {
@@ -29,29 +29,29 @@
     }
     // A connection whose request is queued, with more behind it or a part of its body.
     std::shared_ptr<tcp::socket> queue(const std::string& text, std::size_t requests = 1) {
-        const auto before = rig.engine.counters().received;
-        const auto socket = std::make_shared<tcp::socket>(rig.io);
-        socket->connect(net::tcpEndpoint(rig.front.sessionManager().address()));
+        const auto before = fixture.engine.counters().received;
+        const auto socket = std::make_shared<tcp::socket>(fixture.io);
+        socket->connect(net::tcpEndpoint(fixture.front.sessionManager().address()));
         asio::write(*socket, asio::buffer(text));
-        rig.until([&] { return rig.engine.counters().received == before + requests; },
-                  "the request is queued");
+        fixture.waitUntil([&] { return fixture.engine.counters().received == before + requests; },
+                          "the request is queued");
         return socket;
     }
     // The node answers, and another client's request reaches it: by then the queued one would have, too.
     void expectNothingSentOf(int disconnected) {
         for (int i = 0; i < kCapacity; ++i)
-            rig.nodeHas(id(i))->say(ok("hecho"));
+            fixture.waitForNodeToReceive(id(i))->send(ok("hecho"));
         for (const auto& client : clients)
-            rig.until([&] { return client->has("hecho"); });
-        const auto last = rig.client();
-        last->say(Ask{.id = id(999)}.text());
-        rig.nodeHas(id(999));
-        for (const auto& wire : rig.node().wires)
-            CHECK(!wire->has(id(disconnected)));
-        CHECK(rig.engine.counters().received == kCapacity + 2);
+            fixture.waitUntil([&] { return client->hasReceived("hecho"); });
+        const auto last = fixture.client();
+        last->send(PlatformRequest{.id = id(999)}.text());
+        fixture.waitForNodeToReceive(id(999));
+        for (const auto& connection : fixture.node().connections)
+            CHECK(!connection->hasReceived(id(disconnected)));
+        CHECK(fixture.engine.counters().received == kCapacity + 2);
     }
-    Rig rig;
-    std::vector<WirePtr> clients;
+    GatewayFixture fixture;
+    std::vector<TestConnectionPtr> clients;
 };
 
 void resetConnection(tcp::socket& socket) {
@@ -78,7 +78,7 @@
 const std::string kPipelinedFlood = [] {
     std::string all;
     for (int i = 0; i < 300; ++i)
-        all += Ask{.id = id(100 + i), .deadlineMs = 30'000}.text();
+        all += PlatformRequest{.id = id(100 + i), .deadlineMs = 30'000}.text();
     return all;
 }();
 // As much of a long body as fills the receive buffer, and more that stays in the system.
@@ -93,8 +93,8 @@
         std::string text;
         bool reset;
     } cases[] = {
-        {"FIN", Ask{.id = id(100), .deadlineMs = 30'000}.text(), false},
-        {"RST", Ask{.id = id(100), .deadlineMs = 30'000}.text(), true},
+        {"FIN", PlatformRequest{.id = id(100), .deadlineMs = 30'000}.text(), false},
+        {"RST", PlatformRequest{.id = id(100), .deadlineMs = 30'000}.text(), true},
         {"hundreds of requests at once, then FIN", kPipelinedFlood, false},
         {"hundreds of requests at once, then RST", kPipelinedFlood, true},
         {"a full receive buffer, then FIN", kPartialBody, false},
@@ -103,19 +103,19 @@
     for (const auto& c : cases) {
         CAPTURE(c.what);
         SaturatedNode saturated;
-        auto& rig = saturated.rig;
+        auto& fixture = saturated.fixture;
         const auto leaver = saturated.queue(c.text);
         const auto since = std::chrono::steady_clock::now();
         if (c.reset)
             resetConnection(*leaver);
         else
             leaver->close();
-        rig.until([&] { return rig.engine.counters().disconnected == 1; }, c.what);
+        fixture.waitUntil([&] { return fixture.engine.counters().disconnected == 1; }, c.what);
         CHECK(std::chrono::steady_clock::now() - since < kDisconnectNoticed);
-        CHECK(rig.engine.openRequests() == SaturatedNode::kCapacity);
+        CHECK(fixture.engine.openRequests() == SaturatedNode::kCapacity);
         saturated.expectNothingSentOf(100);
-        CHECK(rig.front.counters().pipelined == (c.text == kPipelinedFlood ? 1 : 0));
-        CHECK(rig.front.sessionManager().detectedDisconnects() == (c.text == kPartialBody ? 1 : 0));
+        CHECK(fixture.front.counters().pipelined == (c.text == kPipelinedFlood ? 1 : 0));
+        CHECK(fixture.front.sessionManager().detectedDisconnects() == (c.text == kPartialBody ? 1 : 0));
     }
 }
 
@@ -124,36 +124,36 @@
         auto config = testConfig();
         config.connectTimeoutUs = 10'000'000;
         config.settings.drainGraceUs = 0;
-        Rig rig(std::move(config));
-        Unreachable node(rig.io);
-        rig.engine.endpointListReceived(
+        GatewayFixture fixture(std::move(config));
+        Unreachable node(fixture.io);
+        fixture.engine.endpointListReceived(
             {{EndpointListKind::Delta, 2, {{"s-0", "z", CellIndex(0), 1, NodeState::Ready, 1}}},
              {node.address()}});
-        const auto client = rig.client();
-        client->say(Ask{.deadlineMs = 30'000}.text());
-        rig.until([&] { return rig.engine.counters().attempts == 1; });
-        REQUIRE(rig.pool.openConnections() == 1);
+        const auto client = fixture.client();
+        client->send(PlatformRequest{.deadlineMs = 30'000}.text());
+        fixture.waitUntil([&] { return fixture.engine.counters().attempts == 1; });
+        REQUIRE(fixture.pool.openConnections() == 1);
         if (reset)
             client->reset();
         else
             client->close();
-        rig.until([&] { return rig.engine.counters().disconnected == 1; });
-        CHECK(rig.engine.counters().cancelledBeforeSent == 1);
-        rig.until(
-            [&] { return rig.pool.openConnections() == 0; });  // closed, so nothing can be written on it
-        CHECK(rig.outcomes(Outcome::Cancelled) == 1);
-        CHECK(rig.engine.counters().requestsSent == 0);
+        fixture.waitUntil([&] { return fixture.engine.counters().disconnected == 1; });
+        CHECK(fixture.engine.counters().cancelledBeforeSent == 1);
+        fixture.waitUntil(
+            [&] { return fixture.pool.openConnections() == 0; });  // closed, so nothing can be written on it
+        CHECK(fixture.outcomes(Outcome::Cancelled) == 1);
+        CHECK(fixture.engine.counters().requestsSent == 0);
     }
 }
 
 TEST_CASE("a request in flight is closed when its client disconnects") {
-    Rig rig;
-    const auto client = rig.client();
-    client->say(Ask{}.text());
-    const auto node = rig.nodeHas("Req-Id");
+    GatewayFixture fixture;
+    const auto client = fixture.client();
+    client->send(PlatformRequest{}.text());
+    const auto node = fixture.waitForNodeToReceive("Req-Id");
     client->close();
-    rig.until([&] { return rig.engine.counters().disconnected == 1; });
-    CHECK(rig.engine.openRequests() == 0);
-    node->say(ok("para nadie"));
-    rig.until([&] { return rig.outcomes(Outcome::Ok) == 1; });
+    fixture.waitUntil([&] { return fixture.engine.counters().disconnected == 1; });
+    CHECK(fixture.engine.openRequests() == 0);
+    node->send(ok("para nadie"));
+    fixture.waitUntil([&] { return fixture.outcomes(Outcome::Ok) == 1; });
 }
--- a/tests/http/connection_limits_test.cpp
+++ b/tests/http/connection_limits_test.cpp
@@ -6,36 +6,36 @@
 
 // Otherwise clients that keep a connection after one request would use up the budget.
 TEST_CASE("above 25% of the connection budget idle keep-alive connections are closed after 2 s") {
-    Rig rig(testConfig(), 1, 12);
-    std::vector<WirePtr> stayed;
+    GatewayFixture fixture(testConfig(), 1, 12);
+    std::vector<TestConnectionPtr> stayed;
     for (int i = 0; i < 4; ++i) {
-        stayed.push_back(rig.client());
-        stayed.back()->say("GET /up HTTP/1.1\r\n\r\n");
-        rig.until([&] { return stayed.back()->has(" 200 "); });
+        stayed.push_back(fixture.client());
+        stayed.back()->send("GET /up HTTP/1.1\r\n\r\n");
+        fixture.waitUntil([&] { return stayed.back()->hasReceived(" 200 "); });
     }
     const auto silent =
-        rig.client();  // ends after 2 s in any case; one of the four brings the others down to 25% again
+        fixture.client();  // ends after 2 s in any case; one of the four brings the others down to 25% again
     const auto count = [&] {
         return std::count_if(stayed.begin(), stayed.end(), [](auto& w) { return w->ended; });
     };
-    rig.until([&] { return silent->ended && count() >= 1; });
+    fixture.waitUntil([&] { return silent->ended && count() >= 1; });
     CHECK(count() < 4);
-    CHECK(rig.front.sessionManager().activeConnections() <= 3);
+    CHECK(fixture.front.sessionManager().activeConnections() <= 3);
 }
 
 TEST_CASE("above 50% of the connection budget responses close their connections, except during a shutdown") {
-    Rig rig(testConfig(), 1, 4);
-    const auto first = rig.client(), second = rig.client(), third = rig.client();
-    rig.until([&] { return rig.front.sessionManager().activeConnections() == 3; });
-    first->say("GET /up HTTP/1.1\r\n\r\n");
-    rig.until([&] { return first->has(" 200 ") && first->ended; });
-    CHECK(first->has("Connection: close\r\n"));
-    rig.front.setResponseDeadline(rig.engine.now() + 1'000'000);
-    const auto fourth = rig.client();
-    rig.until([&] { return rig.front.sessionManager().activeConnections() >= 3; });
-    second->say("GET /up HTTP/1.1\r\n\r\n");
-    rig.until([&] { return second->has(" 200 "); });
-    CHECK(!second->has("Connection: close\r\n"));
+    GatewayFixture fixture(testConfig(), 1, 4);
+    const auto first = fixture.client(), second = fixture.client(), third = fixture.client();
+    fixture.waitUntil([&] { return fixture.front.sessionManager().activeConnections() == 3; });
+    first->send("GET /up HTTP/1.1\r\n\r\n");
+    fixture.waitUntil([&] { return first->hasReceived(" 200 ") && first->ended; });
+    CHECK(first->hasReceived("Connection: close\r\n"));
+    fixture.front.setResponseDeadline(fixture.engine.now() + 1'000'000);
+    const auto fourth = fixture.client();
+    fixture.waitUntil([&] { return fixture.front.sessionManager().activeConnections() >= 3; });
+    second->send("GET /up HTTP/1.1\r\n\r\n");
+    fixture.waitUntil([&] { return second->hasReceived(" 200 "); });
+    CHECK(!second->hasReceived("Connection: close\r\n"));
 }
 
 // A client that finds all of its connections busy where no new one can be opened takes the front for dead.
@@ -44,54 +44,55 @@
     auto config = testConfig();
     for (auto& c : config.settings.classes)
         c.latencyObjectiveUs = 20'000'000;
-    Rig rig(std::move(config));
-    std::vector<WirePtr> clients;
+    GatewayFixture fixture(std::move(config));
+    std::vector<TestConnectionPtr> clients;
     for (int i = 0; i < 6; ++i)
-        clients.push_back(rig.client());
-    rig.until([&] { return rig.front.sessionManager().activeConnections() == 6; });
-    rig.front.expectNoNewConnections();
+        clients.push_back(fixture.client());
+    fixture.waitUntil([&] { return fixture.front.sessionManager().activeConnections() == 6; });
+    fixture.front.expectNoNewConnections();
     for (int i = 0; i < 4; ++i) {  // the last is over the node's concurrency limit
-        clients[i]->say(Ask{.id = fmt::format("{:016x}", i), .deadlineMs = 30'000}.text());
-        rig.until([&] { return rig.front.counters().requests == std::uint64_t(i + 1); });
+        clients[i]->send(PlatformRequest{.id = fmt::format("{:016x}", i), .deadlineMs = 30'000}.text());
+        fixture.waitUntil([&] { return fixture.front.counters().requests == std::uint64_t(i + 1); });
     }
-    rig.until([&] { return clients[3]->has("HTTP/1.1 503 ") && clients[3]->has("Retry-After: "); });
-    CHECK(!clients[3]->has("Connection: close"));
-    CHECK(rig.front.counters().crowded >= 1);
-    CHECK(rig.engine.openRequests() == 3);
-    rig.nodeHas(fmt::format("{:016x}", 0))->say(ok("hecho"));
-    rig.until([&] { return clients[0]->has("hecho"); });
+    fixture.waitUntil(
+        [&] { return clients[3]->hasReceived("HTTP/1.1 503 ") && clients[3]->hasReceived("Retry-After: "); });
+    CHECK(!clients[3]->hasReceived("Connection: close"));
+    CHECK(fixture.front.counters().crowded >= 1);
+    CHECK(fixture.engine.openRequests() == 3);
+    fixture.waitForNodeToReceive(fmt::format("{:016x}", 0))->send(ok("hecho"));
+    fixture.waitUntil([&] { return clients[0]->hasReceived("hecho"); });
 }
 
 TEST_CASE("partial requests are evicted for new clients") {
-    Rig rig(testConfig(), 1, 2);
+    GatewayFixture fixture(testConfig(), 1, 2);
     const auto since = std::chrono::steady_clock::now();
-    const auto first = rig.client(), second = rig.client();
-    first->say("GET ");
-    second->say("GET ");
-    rig.until([&] { return rig.front.sessionManager().activeConnections() == 2; });
-    const auto third = rig.client();
-    third->say("GET /up HTTP/1.1\r\n\r\n");
-    rig.until([&] { return third->has(" 200 "); });
+    const auto first = fixture.client(), second = fixture.client();
+    first->send("GET ");
+    second->send("GET ");
+    fixture.waitUntil([&] { return fixture.front.sessionManager().activeConnections() == 2; });
+    const auto third = fixture.client();
+    third->send("GET /up HTTP/1.1\r\n\r\n");
+    fixture.waitUntil([&] { return third->hasReceived(" 200 "); });
     CHECK(std::chrono::steady_clock::now() - since < std::chrono::seconds(1));
 }
 
 TEST_CASE("at the connection limit the longest idle connection is evicted for a new client") {
-    Rig rig(testConfig(), 1, 2);
-    const auto first = rig.client(), second = rig.client();
-    rig.until([&] { return rig.front.sessionManager().activeConnections() == 2; });
-    const auto third = rig.client();
-    third->say("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
-    rig.until([&] { return third->has("200") && first->ended; });
+    GatewayFixture fixture(testConfig(), 1, 2);
+    const auto first = fixture.client(), second = fixture.client();
+    fixture.waitUntil([&] { return fixture.front.sessionManager().activeConnections() == 2; });
+    const auto third = fixture.client();
+    third->send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
+    fixture.waitUntil([&] { return third->hasReceived("200") && first->ended; });
     CHECK(!second->ended);
 }
 
 TEST_CASE("a partial request that is evicted is rejected with a response") {
-    Rig rig(testConfig(), 1, 1);
-    const auto partial = rig.client();
-    partial->say("GET /api HTTP/1.1\r\nReq-Id: ");
-    rig.until([&] { return rig.front.sessionManager().activeConnections() == 1; });
-    const auto next = rig.client();
-    next->say("GET /up HTTP/1.1\r\n\r\n");
-    rig.until([&] { return next->has(" 200 ") && partial->ended; });
-    CHECK(partial->has("HTTP/1.1 503 "));
+    GatewayFixture fixture(testConfig(), 1, 1);
+    const auto partial = fixture.client();
+    partial->send("GET /api HTTP/1.1\r\nReq-Id: ");
+    fixture.waitUntil([&] { return fixture.front.sessionManager().activeConnections() == 1; });
+    const auto next = fixture.client();
+    next->send("GET /up HTTP/1.1\r\n\r\n");
+    fixture.waitUntil([&] { return next->hasReceived(" 200 ") && partial->ended; });
+    CHECK(partial->hasReceived("HTTP/1.1 503 "));
 }
--- a/tests/http/discovery_watch_test.cpp
+++ b/tests/http/discovery_watch_test.cpp
@@ -9,23 +9,24 @@
 TEST_CASE("an endpoint list without a length ends with a FIN and not with a reset") {
     const std::string list =
         "HTTP/1.1 200 OK\r\n\r\n{\n  \"generation\": 9,\n  \"reset\": true,\n  \"instances\": [ ]\n}\n";
-    Rig rig;
+    GatewayFixture fixture;
     const auto nextPoll = [&](std::size_t i) {
-        rig.until([&] {
-            return rig.discoveryServer.wires.size() == i + 1 && rig.discoveryServer.wires[i]->has("\r\n\r\n");
+        fixture.waitUntil([&] {
+            return fixture.discoveryServer.connections.size() == i + 1 &&
+                   fixture.discoveryServer.connections[i]->hasReceived("\r\n\r\n");
         });
-        return rig.discoveryServer.wires[i];
+        return fixture.discoveryServer.connections[i];
     };
-    auto wire = nextPoll(0);
-    asio::write(wire->socket, asio::buffer(list));
-    wire->reset();
-    rig.until([&] { return rig.discovery.counters().failed == 1; });
-    CHECK(rig.engine.listVersion() != 9);
-    wire = nextPoll(1);
-    wire->say(list);
-    wire->socket.shutdown(tcp::socket::shutdown_send);
-    rig.until([&] { return rig.discovery.counters().answers == 1; });
-    CHECK(rig.engine.listVersion() == 9);
+    auto connection = nextPoll(0);
+    asio::write(connection->socket, asio::buffer(list));
+    connection->reset();
+    fixture.waitUntil([&] { return fixture.discovery.counters().failed == 1; });
+    CHECK(fixture.engine.listVersion() != 9);
+    connection = nextPoll(1);
+    connection->send(list);
+    connection->socket.shutdown(tcp::socket::shutdown_send);
+    fixture.waitUntil([&] { return fixture.discovery.counters().answers == 1; });
+    CHECK(fixture.engine.listVersion() == 9);
 }
 
 // What the agent has counts as published: a front that does not learn of it sends to a draining node.
@@ -33,16 +34,18 @@
     auto config = testConfig();
     config.settings.pollsEndpointList = false;
     config.settings.drainGraceUs = 800'000;
-    Rig rig(std::move(config));
+    GatewayFixture fixture(std::move(config));
     const auto since = std::chrono::steady_clock::now();
-    rig.until([&] {  // takes the first call and says nothing
-        return rig.discoveryServer.wires.size() == 2 && rig.discoveryServer.wires[1]->has("\r\n\r\n");
+    fixture.waitUntil([&] {  // takes the first call and says nothing
+        return fixture.discoveryServer.connections.size() == 2 &&
+               fixture.discoveryServer.connections[1]->hasReceived("\r\n\r\n");
     });
     CHECK(std::chrono::steady_clock::now() - since < milliseconds(500));
-    for (const auto& wire : rig.discoveryServer.wires)
-        CHECK(wire->has("&wait_ms=0 "));  // it has it or not
-    rig.tellState("s-0", "draining");
-    rig.until([&] { return rig.discoveryServer.wires.back()->has("after=2&wait_ms=60000 "); });
+    for (const auto& connection : fixture.discoveryServer.connections)
+        CHECK(connection->hasReceived("&wait_ms=0 "));  // it has it or not
+    fixture.announceNodeState("s-0", "draining");
+    fixture.waitUntil(
+        [&] { return fixture.discoveryServer.connections.back()->hasReceived("after=2&wait_ms=60000 "); });
 }
 
 // The only node of a cell is used for a part of the grace period after its drain was read. Where the call
@@ -54,24 +57,25 @@
         auto config = testConfig();
         config.settings.pollsEndpointList = false;
         config.settings.drainGraceUs = 10'000'000;  // nothing of it passes while the test runs
-        Rig rig(std::move(config));
-        rig.until([&] {
-            return !rig.discoveryServer.wires.empty() && rig.discoveryServer.wires[0]->has("\r\n\r\n");
+        GatewayFixture fixture(std::move(config));
+        fixture.waitUntil([&] {
+            return !fixture.discoveryServer.connections.empty() &&
+                   fixture.discoveryServer.connections[0]->hasReceived("\r\n\r\n");
         });
         if (failed) {
-            rig.discoveryServer.wires[0]->reset();
-            rig.until([&] { return rig.discoveryServer.wires.size() == 2; });
+            fixture.discoveryServer.connections[0]->reset();
+            fixture.waitUntil([&] { return fixture.discoveryServer.connections.size() == 2; });
         }
-        rig.tellState("s-0", "draining");
-        const auto client = rig.client();
-        client->say(Ask{.deadlineMs = 30'000}.text());
+        fixture.announceNodeState("s-0", "draining");
+        const auto client = fixture.client();
+        client->send(PlatformRequest{.deadlineMs = 30'000}.text());
         const auto reached = [&] {
-            return std::any_of(rig.node().wires.begin(), rig.node().wires.end(),
-                               [](const auto& wire) { return wire->has("Req-Id"); });
+            return std::any_of(fixture.node().connections.begin(), fixture.node().connections.end(),
+                               [](const auto& connection) { return connection->hasReceived("Req-Id"); });
         };
-        rig.until([&] { return client->has("HTTP/1.1 ") || reached(); });
+        fixture.waitUntil([&] { return client->hasReceived("HTTP/1.1 ") || reached(); });
         CHECK(reached() == !failed);
-        CHECK(client->has("HTTP/1.1 503 ") == failed);
+        CHECK(client->hasReceived("HTTP/1.1 503 ") == failed);
     }
 }
 
@@ -80,35 +84,40 @@
         CAPTURE(onRequest);
         auto config = testConfig();
         config.settings.pollsEndpointList = onRequest;
-        Rig rig(std::move(config));
-        rig.until([&] {
-            return !rig.discoveryServer.wires.empty() && rig.discoveryServer.wires[0]->has("after=");
+        GatewayFixture fixture(std::move(config));
+        fixture.waitUntil([&] {
+            return !fixture.discoveryServer.connections.empty() &&
+                   fixture.discoveryServer.connections[0]->hasReceived("after=");
         });
-        StandIn next(rig.io);
-        rig.discovery.setAddress(next.address());
-        rig.until([&] { return next.wires.size() == 1 && next.wires[0]->has("\r\n\r\n"); });
-        next.wires[0]->say(status(503));  // too many callers
-        rig.until([&] { return next.wires.back()->has("GET /discovery/hosts HTTP/1.1\r\n"); });
-        next.wires.back()->drop();
-        rig.until([&] { return rig.discovery.counters().failed == 1; });
-        rig.until([&] { return next.wires.back()->has("GET /discovery/hosts HTTP/1.1\r\n"); },
-                  "the list is polled again");
-        next.wires.back()->say(ok(R"({"generation":7,"reset":true,"instances":[]})"));
-        rig.until([&] { return rig.engine.listVersion() == 7; });
-        CHECK(rig.discoveryServer.wires.size() == 1);
+        StubServer next(fixture.io);
+        fixture.discovery.setAddress(next.address());
+        fixture.waitUntil(
+            [&] { return next.connections.size() == 1 && next.connections[0]->hasReceived("\r\n\r\n"); });
+        next.connections[0]->send(status(503));  // too many callers
+        fixture.waitUntil(
+            [&] { return next.connections.back()->hasReceived("GET /discovery/hosts HTTP/1.1\r\n"); });
+        next.connections.back()->clearReceived();
+        fixture.waitUntil([&] { return fixture.discovery.counters().failed == 1; });
+        fixture.waitUntil(
+            [&] { return next.connections.back()->hasReceived("GET /discovery/hosts HTTP/1.1\r\n"); },
+            "the list is polled again");
+        next.connections.back()->send(ok(R"({"generation":7,"reset":true,"instances":[]})"));
+        fixture.waitUntil([&] { return fixture.engine.listVersion() == 7; });
+        CHECK(fixture.discoveryServer.connections.size() == 1);
     }
 }
 
 TEST_CASE("the next watch follows each answer, and invalid lists are counted and dropped") {
-    Rig rig;
-    rig.tellState("s-0", "draining");
-    rig.until([&] { return rig.discoveryServer.wires.back()->has("after=2&wait_ms="); });
-    const auto wire = rig.discoveryServer.wires.back();
-    wire->say(ok("{\"generation\":3,\"instances\":7}"));
-    rig.until([&] { return rig.discovery.counters().malformed == 1; });
-    CHECK(rig.discovery.counters().failed == 1);  // which the module hears as a call that was lost
-    rig.until([&] { return rig.discovery.counters().calls == 3; });  // and it polls again
-    CHECK(rig.engine.listVersion() == 2);
+    GatewayFixture fixture;
+    fixture.announceNodeState("s-0", "draining");
+    fixture.waitUntil(
+        [&] { return fixture.discoveryServer.connections.back()->hasReceived("after=2&wait_ms="); });
+    const auto connection = fixture.discoveryServer.connections.back();
+    connection->send(ok("{\"generation\":3,\"instances\":7}"));
+    fixture.waitUntil([&] { return fixture.discovery.counters().malformed == 1; });
+    CHECK(fixture.discovery.counters().failed == 1);  // which the module hears as a call that was lost
+    fixture.waitUntil([&] { return fixture.discovery.counters().calls == 3; });  // and it polls again
+    CHECK(fixture.engine.listVersion() == 2);
 }
 
 // A first call may queue behind those of hundreds of fronts: if it were cancelled early, it would be worked
@@ -118,64 +127,72 @@
     using std::chrono::milliseconds;
     const net::WatchTiming watches{milliseconds(40), milliseconds(40), milliseconds(300)};
     const auto start = std::chrono::steady_clock::now();
-    Rig rig(testConfig(), 1, 64, net::kMaxRingBytes, watches);
-    const auto& counters = rig.discovery.counters();
-    rig.until([&] { return counters.failed == 2 && counters.calls == 3; });
+    GatewayFixture fixture(testConfig(), 1, 64, net::kMaxRingBytes, watches);
+    const auto& counters = fixture.discovery.counters();
+    fixture.waitUntil([&] { return counters.failed == 2 && counters.calls == 3; });
     CHECK(std::chrono::steady_clock::now() - start >= milliseconds(2 * (40 + 300)));
-    const auto& wires = rig.discoveryServer.wires;
-    rig.until([&] { return wires.size() == 3 && wires.back()->has("&wait_ms=40 "); });
-    rig.tellState("s-0", "draining");
+    const auto& connections = fixture.discoveryServer.connections;
+    fixture.waitUntil(
+        [&] { return connections.size() == 3 && connections.back()->hasReceived("&wait_ms=40 "); });
+    fixture.announceNodeState("s-0", "draining");
     CHECK(counters.calls == 4);  // it goes on, and is not answered
     const auto goesOn = std::chrono::steady_clock::now();
-    rig.until([&] { return counters.failed == 3; });
+    fixture.waitUntil([&] { return counters.failed == 3; });
     CHECK(std::chrono::steady_clock::now() - goesOn < milliseconds(40 + 300));
 }
 
 // After SIGHUP the old address gets no more calls.
 TEST_CASE("a new discovery address is polled for the complete list, while nodes and requests stay") {
-    Rig rig;
-    rig.until(
-        [&] { return !rig.discoveryServer.wires.empty() && rig.discoveryServer.wires[0]->has("after="); });
-    const auto client = rig.client(), other = rig.client();
-    client->say(Ask{}.text());
-    const auto node = rig.nodeHas("Req-Id");
-    StandIn next(rig.io);
-    rig.discovery.setAddress(next.address());
-    rig.until([&] { return rig.discoveryServer.wires[0]->ended && next.wires.size() == 1; });
-    rig.until([&] { return next.wires[0]->has("GET /discovery/hosts HTTP/1.1\r\n"); });
-    CHECK(rig.discovery.counters().failed == 0);
-    node->say(ok("de antes")), other->say(Ask{.id = "00000000000000b2"}.text());  // by the list it has
-    rig.nodeHas("00000000000000b2")->say(ok("con la lista vieja"));
-    rig.until([&] { return client->has("de antes") && other->has("con la lista vieja"); });
-    next.wires[0]->drop();
-    next.wires[0]->say(ok(R"({"generation":7,"reset":true,"instances":[]})"));
-    rig.until([&] { return next.wires[0]->has("after=7&wait_ms="); });
-    CHECK(rig.engine.listVersion() == 7);
-    CHECK(rig.discoveryServer.wires.size() == 1);
+    GatewayFixture fixture;
+    fixture.waitUntil([&] {
+        return !fixture.discoveryServer.connections.empty() &&
+               fixture.discoveryServer.connections[0]->hasReceived("after=");
+    });
+    const auto client = fixture.client(), other = fixture.client();
+    client->send(PlatformRequest{}.text());
+    const auto node = fixture.waitForNodeToReceive("Req-Id");
+    StubServer next(fixture.io);
+    fixture.discovery.setAddress(next.address());
+    fixture.waitUntil(
+        [&] { return fixture.discoveryServer.connections[0]->ended && next.connections.size() == 1; });
+    fixture.waitUntil([&] { return next.connections[0]->hasReceived("GET /discovery/hosts HTTP/1.1\r\n"); });
+    CHECK(fixture.discovery.counters().failed == 0);
+    node->send(ok("de antes")),
+        other->send(PlatformRequest{.id = "00000000000000b2"}.text());  // by the list it has
+    fixture.waitForNodeToReceive("00000000000000b2")->send(ok("con la lista vieja"));
+    fixture.waitUntil(
+        [&] { return client->hasReceived("de antes") && other->hasReceived("con la lista vieja"); });
+    next.connections[0]->clearReceived();
+    next.connections[0]->send(ok(R"({"generation":7,"reset":true,"instances":[]})"));
+    fixture.waitUntil([&] { return next.connections[0]->hasReceived("after=7&wait_ms="); });
+    CHECK(fixture.engine.listVersion() == 7);
+    CHECK(fixture.discoveryServer.connections.size() == 1);
 }
 
 TEST_CASE("pushed lists: the front watches on its own, and again after a failure") {
     auto config = testConfig();
     config.settings.pollsEndpointList = false;
-    Rig rig(std::move(config));
-    rig.until([&] { return rig.discoveryServer.wires.size() == 1; });
-    rig.discoveryServer.wires[0]->reset();
-    rig.until([&] { return rig.discovery.counters().calls == 2 && rig.discoveryServer.wires.size() == 2; });
-    rig.tellState("s-0", "draining");
+    GatewayFixture fixture(std::move(config));
+    fixture.waitUntil([&] { return fixture.discoveryServer.connections.size() == 1; });
+    fixture.discoveryServer.connections[0]->reset();
+    fixture.waitUntil([&] {
+        return fixture.discovery.counters().calls == 2 && fixture.discoveryServer.connections.size() == 2;
+    });
+    fixture.announceNodeState("s-0", "draining");
 }
 
 TEST_CASE("a draining node gets no new requests, and those in flight may end") {
     auto config = testConfig();
     config.settings.drainGraceUs = 0;
-    Rig rig(std::move(config));
-    const auto client = rig.client(), other = rig.client();
-    client->say(Ask{}.text());
-    const auto node = rig.nodeHas("Req-Id");
-    rig.tellState("s-0", "draining");
-    other->say(Ask{.id = "00000000000000b2", .deadlineMs = 300}.text());
-    node->say(ok("de antes"));
-    rig.until([&] { return client->has("de antes") && other->has("\r\n\r\n"); });
-    CHECK(other->has("HTTP/1.1 503 "));
-    CHECK(!node->has("00000000000000b2"));
-    CHECK(rig.node().wires.size() == 1);
+    GatewayFixture fixture(std::move(config));
+    const auto client = fixture.client(), other = fixture.client();
+    client->send(PlatformRequest{}.text());
+    const auto node = fixture.waitForNodeToReceive("Req-Id");
+    fixture.announceNodeState("s-0", "draining");
+    other->send(PlatformRequest{.id = "00000000000000b2", .deadlineMs = 300}.text());
+    node->send(ok("de antes"));
+    fixture.waitUntil([&] { return client->hasReceived("de antes") && other->hasReceived("\r\n\r\n"); });
+    CHECK(other->hasReceived("HTTP/1.1 503 "));
+    CHECK(!node->hasReceived("00000000000000b2"));
+    CHECK(fixture.node().connections.size() == 1);
 }
--- a/tests/http/graceful_shutdown_test.cpp
+++ b/tests/http/graceful_shutdown_test.cpp
@@ -7,21 +7,21 @@
 using std::chrono::milliseconds;
 
 TEST_CASE("a request that crosses the graceful close of its connection is not served and meets no reset") {
-    Rig rig;
-    tcp::socket client(rig.io);
-    client.connect(net::tcpEndpoint(rig.front.sessionManager().address()));
-    rig.until([&] { return rig.front.sessionManager().activeConnections() == 1; });
-    rig.front.sessionManager().closeIdleGracefully();
-    rig.until([&] { return rig.front.sessionManager().activeConnections() == 0; });
-    asio::write(client, asio::buffer(Ask{}.text()));  // on its way when the front ended its side
-    boost::system::error_code broken;                 // a reset would meet the next bytes
+    GatewayFixture fixture;
+    tcp::socket client(fixture.io);
+    client.connect(net::tcpEndpoint(fixture.front.sessionManager().address()));
+    fixture.waitUntil([&] { return fixture.front.sessionManager().activeConnections() == 1; });
+    fixture.front.sessionManager().closeIdleGracefully();
+    fixture.waitUntil([&] { return fixture.front.sessionManager().activeConnections() == 0; });
+    asio::write(client, asio::buffer(PlatformRequest{}.text()));  // on its way when the front ended its side
+    boost::system::error_code broken;                             // a reset would meet the next bytes
     asio::write(client, asio::buffer("y mas", 5), broken);
     CHECK(!broken);
-    rig.until([&] { return rig.front.sessionManager().sessionCount() == 0; });
+    fixture.waitUntil([&] { return fixture.front.sessionManager().sessionCount() == 0; });
     std::string got;
     CHECK(readToEnd(client, got) == asio::error::eof);
     CHECK(got.empty());
-    CHECK(rig.engine.counters().received == 0);
+    CHECK(fixture.engine.counters().received == 0);
 }
 
 TEST_CASE("closing a connection with unread bytes ends it without a reset") {
@@ -33,52 +33,54 @@
         },
     };
     for (const auto& close : closes) {
-        Rig rig;
-        tcp::socket client(rig.io);
-        client.connect(net::tcpEndpoint(rig.front.sessionManager().address()));
-        rig.until([&] { return rig.front.sessionManager().activeConnections() == 1; });
-        asio::write(client, asio::buffer(Ask{}.text()));  // in the system, and the loop does not run
-        close(rig.front.sessionManager());
+        GatewayFixture fixture;
+        tcp::socket client(fixture.io);
+        client.connect(net::tcpEndpoint(fixture.front.sessionManager().address()));
+        fixture.waitUntil([&] { return fixture.front.sessionManager().activeConnections() == 1; });
+        asio::write(client,
+                    asio::buffer(PlatformRequest{}.text()));  // in the system, and the loop does not run
+        close(fixture.front.sessionManager());
         std::string got;
         CHECK(readToEnd(client, got) == asio::error::eof);
     }
 }
 
 TEST_CASE("a partial request is rejected with a response when the front stops") {
-    Rig rig;
-    const auto partial = rig.client();
+    GatewayFixture fixture;
+    const auto partial = fixture.client();
     asio::write(partial->socket, asio::buffer("GET /api HTTP/1.1\r\nReq-Id: ", 26));
-    rig.until([&] { return rig.front.sessionManager().activeConnections() == 1; });
-    rig.front.startDraining();
-    rig.until([&] {
-        rig.front.sessionManager()
+    fixture.waitUntil([&] { return fixture.front.sessionManager().activeConnections() == 1; });
+    fixture.front.startDraining();
+    fixture.waitUntil([&] {
+        fixture.front.sessionManager()
             .closeIdleGracefully();  // as the program does, every 20 ms; it is quiet after a while
         return partial->ended;
     });
-    CHECK(partial->has("HTTP/1.1 503 "));
-    CHECK(partial->has("Retry-After: "));
-    CHECK(partial->has("Connection: close"));
+    CHECK(partial->hasReceived("HTTP/1.1 503 "));
+    CHECK(partial->hasReceived("Retry-After: "));
+    CHECK(partial->hasReceived("Connection: close"));
 }
 
 TEST_CASE("draining: waiting clients are accepted, responses close their connections, idle ones are closed") {
-    Rig rig;
-    const auto busy = rig.client(), idle = rig.client();
-    busy->say(Ask{}.text());
-    const auto node = rig.nodeHas("Req-Id");
-    rig.until([&] { return rig.front.sessionManager().activeConnections() == 2; });
-    rig.front.startDraining();
-    const auto late = rig.client();  // accepted by the system, not yet by the program
-    late->say(Ask{.id = "00000000000000b2"}.text());
-    rig.front.sessionManager().closeListener();
-    node->say(ok("hecho"));
-    const auto second = rig.nodeHas("00000000000000b2");
-    second->say(ok("tambien"));
-    rig.until([&] { return busy->has("hecho") && late->has("tambien") && busy->ended; });
-    rig.front.sessionManager().closeIdleGracefully();
-    rig.until([&] { return idle->ended; });
-    CHECK(busy->has("Connection: close"));
-    rig.until([&] {
-        return rig.front.sessionManager().activeConnections() == 0 && rig.engine.openRequests() == 0;
+    GatewayFixture fixture;
+    const auto busy = fixture.client(), idle = fixture.client();
+    busy->send(PlatformRequest{}.text());
+    const auto node = fixture.waitForNodeToReceive("Req-Id");
+    fixture.waitUntil([&] { return fixture.front.sessionManager().activeConnections() == 2; });
+    fixture.front.startDraining();
+    const auto late = fixture.client();  // accepted by the system, not yet by the program
+    late->send(PlatformRequest{.id = "00000000000000b2"}.text());
+    fixture.front.sessionManager().closeListener();
+    node->send(ok("hecho"));
+    const auto second = fixture.waitForNodeToReceive("00000000000000b2");
+    second->send(ok("tambien"));
+    fixture.waitUntil(
+        [&] { return busy->hasReceived("hecho") && late->hasReceived("tambien") && busy->ended; });
+    fixture.front.sessionManager().closeIdleGracefully();
+    fixture.waitUntil([&] { return idle->ended; });
+    CHECK(busy->hasReceived("Connection: close"));
+    fixture.waitUntil([&] {
+        return fixture.front.sessionManager().activeConnections() == 0 && fixture.engine.openRequests() == 0;
     });
 }
 
@@ -87,24 +89,24 @@
 TEST_CASE(
     "SIGTERM with requests in flight: each is answered, idle clients see a FIN, and the exit is in time") {
     Platform platform;
-    auto& rig = platform.rig;
+    auto& fixture = platform.fixture;
     auto& process = platform.startReady();
     const auto busy = platform.client(), lateClient = platform.client();
-    tcp::socket idle(rig.io);
+    tcp::socket idle(fixture.io);
     idle.connect(platform.listening.local_endpoint());
     asio::write(idle, asio::buffer(std::string("GET /up HTTP/1.1\r\n\r\n")));
-    busy->say(Ask{.id = id(1), .deadlineMs = 3'000}.text());
-    const auto node = rig.nodeHas(id(1));
+    busy->send(PlatformRequest{.id = id(1), .deadlineMs = 3'000}.text());
+    const auto node = fixture.waitForNodeToReceive(id(1));
     process.signal(SIGTERM);
-    platform.untilSaid(process, "stopping: 1 requests open");
+    platform.waitUntilLogged(process, "stopping: 1 requests open");
     const auto since = std::chrono::steady_clock::now();
-    lateClient->say(Ask{.id = id(2)}.text());  // after SIGTERM, on a connection that is open
-    rig.nodeHas(id(2))->say(ok("dos"));
-    rig.until([&] { return lateClient->has("dos"); });
+    lateClient->send(PlatformRequest{.id = id(2)}.text());  // after SIGTERM, on a connection that is open
+    fixture.waitForNodeToReceive(id(2))->send(ok("dos"));
+    fixture.waitUntil([&] { return lateClient->hasReceived("dos"); });
     CHECK(process.running());
-    node->say(ok("uno"));
-    rig.until([&] { return busy->has("uno") && busy->has(" 200 "); });
-    rig.until([&] { return !process.running(); }, "the exit");
+    node->send(ok("uno"));
+    fixture.waitUntil([&] { return busy->hasReceived("uno") && busy->hasReceived(" 200 "); });
+    fixture.waitUntil([&] { return !process.running(); }, "the exit");
     CHECK(std::chrono::steady_clock::now() - since <
           milliseconds(3'000 + 700));  // the longest deadline and 0.7 s
     CHECK(WIFEXITED(process.status));
@@ -126,23 +128,23 @@
         CAPTURE(c.deadline);
         Platform platform(384,
                           {{"\"deadlineUs\":1500000", c.deadline}, {"\"deadlineUs\":3000000", c.deadline}});
-        auto& rig = platform.rig;
-        rig.node().greets = [](Wire& wire) { wire.reply = ok("x"); };
+        auto& fixture = platform.fixture;
+        fixture.node().onConnection = [](TestConnection& connection) { connection.autoResponse = ok("x"); };
         auto& process = platform.startReady();
-        tcp::socket idle(rig.io);
+        tcp::socket idle(fixture.io);
         idle.connect(platform.listening.local_endpoint());
         asio::write(idle, asio::buffer(std::string("GET /up HTTP/1.1\r\n\r\n")));
         const auto lateClient = platform.client();
         platform.serve(lateClient, id(1));
         const auto since = std::chrono::steady_clock::now();
         process.signal(SIGTERM);
-        platform.untilSaid(process, "stopping: 0 requests open");
+        platform.waitUntilLogged(process, "stopping: 0 requests open");
         platform.serve(lateClient, id(2));  // still served while draining
-        rig.until([&] { return !process.running(); }, "the exit");
+        fixture.waitUntil([&] { return !process.running(); }, "the exit");
         CHECK(std::chrono::steady_clock::now() - since < c.kill);
         CHECK(WIFEXITED(process.status));
         CHECK(WEXITSTATUS(process.status) == 0);
-        CHECK(process.said("stopped: 1 requests taken since SIGTERM"));
+        CHECK(process.hasLogged("stopped: 1 requests taken since SIGTERM"));
         std::string got;
         CHECK(readToEnd(idle, got) == asio::error::eof);
         CHECK(got.starts_with("HTTP/1.1 200 "));
--- a/tests/http/health_endpoints_test.cpp
+++ b/tests/http/health_endpoints_test.cpp
@@ -15,31 +15,31 @@
 }  // namespace
 
 TEST_CASE("agent check: the front sends its state and closes") {
-    Rig rig;
+    GatewayFixture fixture;
     health::GatewayStatus report{true, false, 0.5};
-    const auto agent = health::makeAgentCheckListener(rig.io, {"127.0.0.1", 0}, [&] { return report; });
-    const auto up = rig.connect(agent->address());
-    rig.until([&] { return up->ended; });
-    CHECK(up->got == "ready up 50%\n");
+    const auto agent = health::makeAgentCheckListener(fixture.io, {"127.0.0.1", 0}, [&] { return report; });
+    const auto up = fixture.connect(agent->address());
+    fixture.waitUntil([&] { return up->ended; });
+    CHECK(up->received == "ready up 50%\n");
     report.draining = true;
-    const auto draining = rig.connect(agent->address());
-    rig.until([&] { return draining->ended; });
-    CHECK(draining->got == "drain\n");
+    const auto draining = fixture.connect(agent->address());
+    fixture.waitUntil([&] { return draining->ended; });
+    CHECK(draining->received == "drain\n");
     stop(*agent);
 }
 
 TEST_CASE("HTTP check: the front answers with its readiness and closes") {
-    Rig rig;
+    GatewayFixture fixture;
     health::GatewayStatus report{true, false, 0.5};
-    const auto http = health::makeHttpCheckListener(rig.io, {"127.0.0.1", 0}, [&] { return report; });
-    const auto ready = rig.connect(http->address());
-    ready->say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    rig.until([&] { return ready->ended; });
-    CHECK(ready->has("HTTP/1.1 200 OK\r\n"));
+    const auto http = health::makeHttpCheckListener(fixture.io, {"127.0.0.1", 0}, [&] { return report; });
+    const auto ready = fixture.connect(http->address());
+    ready->send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+    fixture.waitUntil([&] { return ready->ended; });
+    CHECK(ready->hasReceived("HTTP/1.1 200 OK\r\n"));
     report.draining = true;
-    const auto notReady = rig.connect(http->address());
-    notReady->say("GET /ready HTTP/1.1\r\n\r\n");
-    rig.until([&] { return notReady->ended; });
-    CHECK(notReady->has("HTTP/1.1 503 "));
+    const auto notReady = fixture.connect(http->address());
+    notReady->send("GET /ready HTTP/1.1\r\n\r\n");
+    fixture.waitUntil([&] { return notReady->ended; });
+    CHECK(notReady->hasReceived("HTTP/1.1 503 "));
     stop(*http);
 }
--- a/tests/http/invalid_responses_test.cpp
+++ b/tests/http/invalid_responses_test.cpp
@@ -6,15 +6,15 @@
 
 // Buffering one such response could fill the memory in under a second.
 TEST_CASE("a response that announces 3 GB is a reset as soon as its head is read") {
-    Rig rig;
-    const auto client = rig.client();
-    client->say(Ask{}.text());
-    const auto node = rig.nodeHas("Req-Id");
-    node->say("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n" + std::string(2000, 'x'));
-    rig.until([&] { return node->ended && rig.node().wires.size() == 2; });
-    rig.node().wires[1]->say(ok("bien"));
-    rig.until([&] { return client->has("bien"); });
-    CHECK(rig.outcomes(Outcome::Reset) == 1);
+    GatewayFixture fixture;
+    const auto client = fixture.client();
+    client->send(PlatformRequest{}.text());
+    const auto node = fixture.waitForNodeToReceive("Req-Id");
+    node->send("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n" + std::string(2000, 'x'));
+    fixture.waitUntil([&] { return node->ended && fixture.node().connections.size() == 2; });
+    fixture.node().connections[1]->send(ok("bien"));
+    fixture.waitUntil([&] { return client->hasReceived("bien"); });
+    CHECK(fixture.outcomes(Outcome::Reset) == 1);
 }
 
 TEST_CASE("an invalid response is a reset, closes its connection, and the retry is served") {
@@ -26,34 +26,34 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n",
         "HTTP/1.1 200 OK\r\n\r\nno length, and the connection stays",
     };
-    Rig rig;
+    GatewayFixture fixture;
     std::uint64_t resets = 0;
     for (const auto* invalid : cases) {
-        const auto client = rig.client();
-        client->say(Ask{}.text());
-        const auto node = rig.nodeHas("Req-Id");
-        node->drop();
-        node->say(invalid);
+        const auto client = fixture.client();
+        client->send(PlatformRequest{}.text());
+        const auto node = fixture.waitForNodeToReceive("Req-Id");
+        node->clearReceived();
+        node->send(invalid);
         ++resets;
-        rig.until([&] { return node->ended && rig.outcomes(Outcome::Reset) == resets; }, invalid);
-        const auto second = rig.nodeHas("Req-Id");
-        second->drop();
-        second->say(ok("bien", "Connection: close\r\n"));
-        rig.until([&] { return client->has("bien"); }, invalid);
+        fixture.waitUntil([&] { return node->ended && fixture.outcomes(Outcome::Reset) == resets; }, invalid);
+        const auto second = fixture.waitForNodeToReceive("Req-Id");
+        second->clearReceived();
+        second->send(ok("bien", "Connection: close\r\n"));
+        fixture.waitUntil([&] { return client->hasReceived("bien"); }, invalid);
     }
 }
 
 TEST_CASE("a response that stalls is a reset long before the deadline") {
     for (const std::string begun :
          {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", "HTTP/1.1 200 OK\r\nX: "}) {
-        Rig rig;
-        const auto client = rig.client();
-        client->say(Ask{.deadlineMs = 60'000}.text());
-        const auto node = rig.nodeHas("Req-Id");
-        node->drop();
-        node->say(begun);
-        rig.until([&] { return node->ended; }, begun.c_str());
-        CHECK(rig.outcomes(Outcome::Reset) == 1);
+        GatewayFixture fixture;
+        const auto client = fixture.client();
+        client->send(PlatformRequest{.deadlineMs = 60'000}.text());
+        const auto node = fixture.waitForNodeToReceive("Req-Id");
+        node->clearReceived();
+        node->send(begun);
+        fixture.waitUntil([&] { return node->ended; }, begun.c_str());
+        CHECK(fixture.outcomes(Outcome::Reset) == 1);
     }
 }
 
@@ -62,42 +62,42 @@
     auto config = testConfig();
     for (auto& c : config.settings.classes)
         c.latencyObjectiveUs = 100'000;
-    Rig rig(std::move(config));
-    const auto client = rig.client();
-    client->say(Ask{}.text());
-    const auto node = rig.nodeHas("Req-Id");
+    GatewayFixture fixture(std::move(config));
+    const auto client = fixture.client();
+    client->send(PlatformRequest{}.text());
+    const auto node = fixture.waitForNodeToReceive("Req-Id");
     const auto since = std::chrono::steady_clock::now();
-    node->drop();
-    node->say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort");
-    const auto second = rig.nodeHas("Req-Id");
+    node->clearReceived();
+    node->send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort");
+    const auto second = fixture.waitForNodeToReceive("Req-Id");
     CHECK(std::chrono::steady_clock::now() - since < net::HttpExchange::kStallTimeout);
-    second->say(ok("bien"));
-    rig.until([&] { return client->has("bien"); });
+    second->send(ok("bien"));
+    fixture.waitUntil([&] { return client->hasReceived("bien"); });
 }
 
 // A busy core must not take its own pause for the node's.
 TEST_CASE("unread bytes in the socket keep a response from being a stalled one") {
-    Rig rig;
+    GatewayFixture fixture;
     std::shared_ptr<net::Connection> connection;
-    const auto acquisition = rig.pool.acquire(rig.node().address(), [&](auto c) { connection = c; });
-    rig.until([&] { return connection && !rig.node().wires.empty(); });
+    const auto acquisition = fixture.pool.acquire(fixture.node().address(), [&](auto c) { connection = c; });
+    fixture.waitUntil([&] { return connection && !fixture.node().connections.empty(); });
     std::optional<net::HttpExchange::Result> result;
     const auto exchange = std::make_shared<net::HttpExchange>(
         connection, "GET /api HTTP/1.1\r\n\r\n", 100, [&](auto how, const auto&) { result = how; },
         std::chrono::milliseconds(50));
     exchange->start();
-    auto& node = rig.node().wires[0]->socket;
+    auto& node = fixture.node().connections[0]->socket;
     asio::write(node,
                 asio::buffer("HTTP/1.1 200", 12));  // the first line stays in the ring until it is complete
-    rig.until([&] { return connection->in.size() == 12; });
+    fixture.waitUntil([&] { return connection->in.size() == 12; });
     asio::write(node, asio::buffer(" O", 2));
     for (const auto since = std::chrono::steady_clock::now();
          std::chrono::steady_clock::now() - since < std::chrono::milliseconds(60);) {
     }  // the loop stands still
-    rig.until([&] { return result || connection->in.size() == 14; });
+    fixture.waitUntil([&] { return result || connection->in.size() == 14; });
     REQUIRE(!result);
     asio::write(node, asio::buffer("K\r\nContent-Length: 0\r\n\r\n", 24));
-    rig.until([&] { return result.has_value(); });
+    fixture.waitUntil([&] { return result.has_value(); });
     CHECK(*result == net::HttpExchange::Result::Completed);
 }
 
@@ -106,24 +106,24 @@
 TEST_CASE(
     "interim responses, unreadable load fields and surplus bytes do not harm a response, and none serve "
     "another") {
-    Rig rig;
-    const auto client = rig.client();
-    client->say(Ask{}.text());
-    const auto node = rig.nodeHas("Req-Id");
-    node->say("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" +
-              ok("uno", "Srv-Load: =,=\r\nVolume-Load: -\r\nOther-Hosts: nan\r\n") + ok("uno"));
-    rig.until([&] { return client->has("uno"); });
-    CHECK(rig.outcomes(Outcome::Ok) == 1);
-    client->say(Ask{.id = "00000000000000b2"}.text());
-    const auto second = rig.nodeHas("00000000000000b2");
+    GatewayFixture fixture;
+    const auto client = fixture.client();
+    client->send(PlatformRequest{}.text());
+    const auto node = fixture.waitForNodeToReceive("Req-Id");
+    node->send("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" +
+               ok("uno", "Srv-Load: =,=\r\nVolume-Load: -\r\nOther-Hosts: nan\r\n") + ok("uno"));
+    fixture.waitUntil([&] { return client->hasReceived("uno"); });
+    CHECK(fixture.outcomes(Outcome::Ok) == 1);
+    client->send(PlatformRequest{.id = "00000000000000b2"}.text());
+    const auto second = fixture.waitForNodeToReceive("00000000000000b2");
     CHECK(second != node);
-    second->say(ok("dos"));
-    rig.until([&] { return client->has("dos"); });
+    second->send(ok("dos"));
+    fixture.waitUntil([&] { return client->hasReceived("dos"); });
     // Between the choice of an idle connection and the first byte on it something came: another one is used.
     std::shared_ptr<net::Connection> got;
     const auto acquisition =
-        rig.pool.acquire(rig.node().address(), [&](auto connection) { got = connection; });
+        fixture.pool.acquire(fixture.node().address(), [&](auto connection) { got = connection; });
     boost::asio::write(second->socket, boost::asio::buffer(ok("dos")));
-    rig.until([&] { return got != nullptr; });
-    CHECK(rig.pool.opened() == 3);
+    fixture.waitUntil([&] { return got != nullptr; });
+    CHECK(fixture.pool.opened() == 3);
 }
--- a/tests/http/keep_alive_test.cpp
+++ b/tests/http/keep_alive_test.cpp
@@ -5,64 +5,64 @@
 using namespace wingproxy::test;
 
 TEST_CASE("requests are forwarded unchanged, and both connections are reused") {
-    Rig rig;
-    const auto client = rig.client();
-    client->say(Ask{.kind = "alta", .body = "datos"}.text());
-    const auto node = rig.nodeHas("datos");
-    CHECK(node->has("PUT /api?x=1 HTTP/1.1\r\n"));
-    CHECK(node->has("Req-Id: 9b1f03aa5c7e2d41\r\n"));
-    CHECK(node->has("Idempotency-Key: k-1\r\n"));
-    node->say(ok("hecho", "Volume-Load: 10\r\nSrv-Load: queue=2\r\n"));
-    rig.until([&] { return client->has("hecho"); });
-    CHECK(client->has("HTTP/1.1 200 "));
-    client->drop();
-    node->drop();
-    client->say(Ask{.id = "00000000000000b2"}.text());
-    CHECK(rig.nodeHas("00000000000000b2") == node);  // no second connection, on either side
-    node->say(ok("otra"));
-    rig.until([&] { return client->has("otra"); });
-    CHECK(rig.front.sessionManager().accepted() == 1);
-    CHECK(rig.pool.opened() == 1);
+    GatewayFixture fixture;
+    const auto client = fixture.client();
+    client->send(PlatformRequest{.kind = "alta", .body = "datos"}.text());
+    const auto node = fixture.waitForNodeToReceive("datos");
+    CHECK(node->hasReceived("PUT /api?x=1 HTTP/1.1\r\n"));
+    CHECK(node->hasReceived("Req-Id: 9b1f03aa5c7e2d41\r\n"));
+    CHECK(node->hasReceived("Idempotency-Key: k-1\r\n"));
+    node->send(ok("hecho", "Volume-Load: 10\r\nSrv-Load: queue=2\r\n"));
+    fixture.waitUntil([&] { return client->hasReceived("hecho"); });
+    CHECK(client->hasReceived("HTTP/1.1 200 "));
+    client->clearReceived();
+    node->clearReceived();
+    client->send(PlatformRequest{.id = "00000000000000b2"}.text());
+    CHECK(fixture.waitForNodeToReceive("00000000000000b2") == node);  // no second connection, on either side
+    node->send(ok("otra"));
+    fixture.waitUntil([&] { return client->hasReceived("otra"); });
+    CHECK(fixture.front.sessionManager().accepted() == 1);
+    CHECK(fixture.pool.opened() == 1);
 }
 
 TEST_CASE("the longest buffered body and a response in parts pass through buffers of every size") {
     for (const auto ring : {net::kMaxRingBytes, net::kMinRingBytes}) {
-        Rig rig(testConfig(), 1, 64, ring);
-        const auto client = rig.client();
+        GatewayFixture fixture(testConfig(), 1, 64, ring);
+        const auto client = fixture.client();
         const std::string body(64 * 1024, 'x');
-        client->say(Ask{.kind = "alta", .body = body}.text());
-        const auto node = rig.nodeHas(body);
+        client->send(PlatformRequest{.kind = "alta", .body = body}.text());
+        const auto node = fixture.waitForNodeToReceive(body);
         const auto answer = ok(body);
-        node->say(answer.substr(0, 30));
-        node->say(answer.substr(30));
-        rig.until([&] { return client->has(body); });
-        client->drop();
-        client->say("GET / HTTP/1.1\r\nX: " + std::string(ring, 'a'));  // a head that never ends
-        rig.until([&] { return client->has("HTTP/1.1 431 ") && client->ended; });
+        node->send(answer.substr(0, 30));
+        node->send(answer.substr(30));
+        fixture.waitUntil([&] { return client->hasReceived(body); });
+        client->clearReceived();
+        client->send("GET / HTTP/1.1\r\nX: " + std::string(ring, 'a'));  // a head that never ends
+        fixture.waitUntil([&] { return client->hasReceived("HTTP/1.1 431 ") && client->ended; });
     }
 }
 
 TEST_CASE("pipelined requests are not served, and the response closes the connection") {
-    Rig rig;
-    const auto client = rig.client(), blank = rig.client();
-    client->say(Ask{.id = id(1)}.text() + Ask{.id = id(2)}.text());
-    const auto node = rig.nodeHas(id(1));
-    client->say(Ask{.id = id(3)}.text());
-    node->say(ok("uno"));
-    rig.until([&] { return client->has("uno") && client->ended; });
-    CHECK(rig.engine.counters().received == 1);
-    CHECK(rig.front.counters().pipelined == 1);
-    blank->say(Ask{.kind = "alta", .body = "x"}.text() + "\r\n");  // old clients' habit
-    rig.nodeHas("Idempotency-Key")->say(ok("dos"));
-    rig.until([&] { return blank->has("dos"); });
-    CHECK(!blank->has("Connection: close"));
-    CHECK(rig.front.counters().pipelined == 1);
+    GatewayFixture fixture;
+    const auto client = fixture.client(), blank = fixture.client();
+    client->send(PlatformRequest{.id = id(1)}.text() + PlatformRequest{.id = id(2)}.text());
+    const auto node = fixture.waitForNodeToReceive(id(1));
+    client->send(PlatformRequest{.id = id(3)}.text());
+    node->send(ok("uno"));
+    fixture.waitUntil([&] { return client->hasReceived("uno") && client->ended; });
+    CHECK(fixture.engine.counters().received == 1);
+    CHECK(fixture.front.counters().pipelined == 1);
+    blank->send(PlatformRequest{.kind = "alta", .body = "x"}.text() + "\r\n");  // old clients' habit
+    fixture.waitForNodeToReceive("Idempotency-Key")->send(ok("dos"));
+    fixture.waitUntil([&] { return blank->hasReceived("dos"); });
+    CHECK(!blank->hasReceived("Connection: close"));
+    CHECK(fixture.front.counters().pipelined == 1);
 }
 
 TEST_CASE("the readiness path is answered for a request that arrives in two parts") {
-    Rig rig;
-    const auto client = rig.client();
-    client->say("GET /up HT");
-    client->say("TP/1.1\r\nHost: x\r\n\r\n");
-    rig.until([&] { return client->has("200"); });
+    GatewayFixture fixture;
+    const auto client = fixture.client();
+    client->send("GET /up HT");
+    client->send("TP/1.1\r\nHost: x\r\n\r\n");
+    fixture.waitUntil([&] { return client->hasReceived("200"); });
 }
--- a/tests/http/peer_transport_test.cpp
+++ b/tests/http/peer_transport_test.cpp
@@ -17,23 +17,23 @@
     config.peers = {config.peerListen, {"127.0.0.1", peer.local_endpoint().port()}};
     config.settings.hostCount = 2;
     config.settings.mayGossip = true;
-    Rig rig(std::move(config));
+    GatewayFixture fixture(std::move(config));
     const asio::ip::udp::endpoint to{asio::ip::make_address_v4("127.0.0.1"), port};
     peer.send_to(asio::buffer(std::string(200, 'a')), to);  // not a message of the module's: it ignores it
     peer.send_to(asio::buffer(std::string(257, 'a')), to);
     stranger.send_to(asio::buffer(std::string(20, 'a')), to);
-    rig.until([&] {
-        const auto& c = rig.peers.counters();
+    fixture.waitUntil([&] {
+        const auto& c = fixture.peers.counters();
         return c.received == 1 && c.oversize == 1 && c.unknown == 1;
     });
-    CHECK(rig.engine.recovery().counters().malformed == 1);  // the one that was received
-    rig.until(
-        [&] { return rig.peers.counters().sent > 0; });  // the module's own words, from the same address
+    CHECK(fixture.engine.recovery().counters().malformed == 1);  // the one that was received
+    fixture.waitUntil(
+        [&] { return fixture.peers.counters().sent > 0; });  // the module's own words, from the same address
     std::array<char, 512> bytes{};
     asio::ip::udp::endpoint from;
     CHECK(peer.receive_from(asio::buffer(bytes), from) <= 256);
     CHECK(from == to);
-    const auto unsent = rig.peers.counters().unsent;
-    rig.peers.send(HostIndex(1), std::string(257, 'b'));
-    CHECK(rig.peers.counters().unsent == unsent + 1);
+    const auto unsent = fixture.peers.counters().unsent;
+    fixture.peers.send(HostIndex(1), std::string(257, 'b'));
+    CHECK(fixture.peers.counters().unsent == unsent + 1);
 }
--- a/tests/http/pending_request_test.cpp
+++ b/tests/http/pending_request_test.cpp
@@ -31,8 +31,8 @@
         message->set("Req-Id", "a1");
         return std::make_unique<http::PendingRequest>(context, client, message, std::nullopt, nullptr);
     }
-    Rig rig;
-    http::FrontContext context{rig.engine, rig.pool};
+    GatewayFixture fixture;
+    http::FrontContext context{fixture.engine, fixture.pool};
     std::shared_ptr<RecordingClient> client = std::make_shared<RecordingClient>();
 };
 
--- a/tests/http/request_rejections_test.cpp
+++ b/tests/http/request_rejections_test.cpp
@@ -19,40 +19,42 @@
         {"PUT /api HTTP/1.1\r\nContent-Length: 80000000\r\n\r\n" + std::string(1000, 'a'), "413", "", true},
         // Two lengths, either way round, may hide a second request.
         {"PUT /api HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" +
-             Ask{}.text(),
+             PlatformRequest{}.text(),
          "400", "", true},
         {"PUT /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n" +
-             Ask{}.text(),
+             PlatformRequest{}.text(),
          "400", "", true},
-        {"PUT /api HTTP/1.1\r\nTransfer-Encoding: x\r\nContent-Length: 0\r\n\r\n" + Ask{}.text(), "400", "",
-         true},
-        {"PUT /api HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + Ask{}.text(), "400", "", true},
+        {"PUT /api HTTP/1.1\r\nTransfer-Encoding: x\r\nContent-Length: 0\r\n\r\n" + PlatformRequest{}.text(),
+         "400", "", true},
+        {"PUT /api HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + PlatformRequest{}.text(), "400",
+         "", true},
         {"PUT /api HTTP/1.1\r\nContent-Length: -4\r\n\r\n", "400", "", true},
         {"PUT /api HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", "501", "Transfer-Encoding", true},
     };
-    Rig rig;
+    GatewayFixture fixture;
     for (const auto& c : cases) {
-        const auto client = rig.client();
-        client->say(c.text);
-        rig.until([&] { return client->has("\r\n\r\n") && client->has(c.names); }, c.status);
-        CHECK_MESSAGE(client->has(std::string("HTTP/1.1 ") + c.status), client->got);
+        const auto client = fixture.client();
+        client->send(c.text);
+        fixture.waitUntil([&] { return client->hasReceived("\r\n\r\n") && client->hasReceived(c.names); },
+                          c.status);
+        CHECK_MESSAGE(client->hasReceived(std::string("HTTP/1.1 ") + c.status), client->received);
         if (c.closes)
-            rig.until([&] { return client->ended; });
+            fixture.waitUntil([&] { return client->ended; });
         else
             CHECK(!client->ended);
     }
-    CHECK(rig.node().wires.empty());
-    CHECK(rig.engine.counters().received == 0);
+    CHECK(fixture.node().connections.empty());
+    CHECK(fixture.engine.counters().received == 0);
 }
 
 // A close with unread bytes resets the connection, and what the client has not read yet is lost.
 TEST_CASE("a client that goes on sending a body that is too long receives its 413") {
-    Rig rig;
-    tcp::socket client(rig.io);
-    client.connect(net::tcpEndpoint(rig.front.sessionManager().address()));
+    GatewayFixture fixture;
+    tcp::socket client(fixture.io);
+    client.connect(net::tcpEndpoint(fixture.front.sessionManager().address()));
     const std::string head = "PUT /api HTTP/1.1\r\nContent-Length: 80000000\r\n\r\n", piece(64 * 1024, 'x');
     asio::write(client, asio::buffer(head));
-    asio::steady_timer pace(rig.io);
+    asio::steady_timer pace(fixture.io);
     int sent = 0;
     boost::system::error_code broken;
     const std::function<void()> more = [&] {  // for longer than a quiet connection would linger
@@ -63,58 +65,60 @@
         });
     };
     more();
-    rig.until([&] { return sent == 16 || broken; });
+    fixture.waitUntil([&] { return sent == 16 || broken; });
     CHECK(!broken);
     std::string answer;
     client.shutdown(tcp::socket::shutdown_send, broken);
     asio::async_read(client, asio::dynamic_buffer(answer),
                      [&](const auto& error, std::size_t) { broken = error; });
-    rig.until([&] { return bool(broken); });
+    fixture.waitUntil([&] { return bool(broken); });
     CHECK(broken == asio::error::eof);
     CHECK(answer.find("HTTP/1.1 413 ") == 0);
 }
 
 TEST_CASE("a Req-Id of an open request is rejected with 409, and free again after its response") {
-    Rig rig;
-    const auto client = rig.client(), copy = rig.client();
-    client->say(Ask{}.text());
-    const auto node = rig.nodeHas("Req-Id");
-    copy->say(Ask{.kind = "alta"}.text());
-    rig.until([&] { return copy->has("HTTP/1.1 409 "); });
-    node->say(ok("propia"));
-    rig.until([&] { return client->has("propia"); });
-    CHECK(rig.front.counters().repeated == 1);
-    CHECK(rig.engine.counters().received == 1);
-    copy->drop();
-    node->drop();
-    copy->say(Ask{}.text());  // it is free again
-    rig.nodeHas("Req-Id")->say(ok("otra"));
-    rig.until([&] { return copy->has("otra"); });
+    GatewayFixture fixture;
+    const auto client = fixture.client(), copy = fixture.client();
+    client->send(PlatformRequest{}.text());
+    const auto node = fixture.waitForNodeToReceive("Req-Id");
+    copy->send(PlatformRequest{.kind = "alta"}.text());
+    fixture.waitUntil([&] { return copy->hasReceived("HTTP/1.1 409 "); });
+    node->send(ok("propia"));
+    fixture.waitUntil([&] { return client->hasReceived("propia"); });
+    CHECK(fixture.front.counters().repeated == 1);
+    CHECK(fixture.engine.counters().received == 1);
+    copy->clearReceived();
+    node->clearReceived();
+    copy->send(PlatformRequest{}.text());  // it is free again
+    fixture.waitForNodeToReceive("Req-Id")->send(ok("otra"));
+    fixture.waitUntil([&] { return copy->hasReceived("otra"); });
 }
 
 // The memory limit holds whatever clients and nodes send at one time.
 TEST_CASE("beyond the memory budget a request is rejected, and a response is a reset") {
     auto config = testConfig();
     config.memoryMb = 16;
-    Rig rig(std::move(config));
-    auto otherBodies = rig.engine.bodyBudget().reserve(6 * 1024 * 1024 - 1000);
+    GatewayFixture fixture(std::move(config));
+    auto otherBodies = fixture.engine.bodyBudget().reserve(6 * 1024 * 1024 - 1000);
     REQUIRE(otherBodies);
-    CHECK(!rig.engine.bodyBudget().reserve(1001));
-    const auto writer = rig.client(), reader = rig.client();
-    writer->say(Ask{.kind = "alta", .body = std::string(2000, 'x')}.text());
-    rig.until([&] { return writer->has("HTTP/1.1 503 ") && writer->has("Retry-After: ") && writer->ended; });
-    CHECK(rig.node().wires.empty());
-    CHECK(rig.front.counters().noMemory == 1);
-    reader->say(Ask{}.text());
-    const auto node = rig.nodeHas("Req-Id");
-    node->drop();
-    node->say(ok(std::string(2000, 'y')));
-    rig.until([&] { return node->ended && rig.outcomes(Outcome::Reset) == 1; });
-    const auto second = rig.nodeHas("Req-Id");
+    CHECK(!fixture.engine.bodyBudget().reserve(1001));
+    const auto writer = fixture.client(), reader = fixture.client();
+    writer->send(PlatformRequest{.kind = "alta", .body = std::string(2000, 'x')}.text());
+    fixture.waitUntil([&] {
+        return writer->hasReceived("HTTP/1.1 503 ") && writer->hasReceived("Retry-After: ") && writer->ended;
+    });
+    CHECK(fixture.node().connections.empty());
+    CHECK(fixture.front.counters().noMemory == 1);
+    reader->send(PlatformRequest{}.text());
+    const auto node = fixture.waitForNodeToReceive("Req-Id");
+    node->clearReceived();
+    node->send(ok(std::string(2000, 'y')));
+    fixture.waitUntil([&] { return node->ended && fixture.outcomes(Outcome::Reset) == 1; });
+    const auto second = fixture.waitForNodeToReceive("Req-Id");
     otherBodies = nullptr;
-    second->say(ok(std::string(2000, 'z')));
-    rig.until([&] { return reader->has("zzz"); });
-    rig.until([&] { return rig.engine.bodyBudget().reservedBytes() == 0; });
+    second->send(ok(std::string(2000, 'z')));
+    fixture.waitUntil([&] { return reader->hasReceived("zzz"); });
+    fixture.waitUntil([&] { return fixture.engine.bodyBudget().reservedBytes() == 0; });
 }
 
 TEST_CASE("Retry-After of the front's own rejections follows the settings") {
@@ -122,37 +126,38 @@
         auto config = testConfig();
         config.settings.sendsRetryAfter = advice;
         config.settings.maxRetryAfterUs = 40'000;
-        Rig rig(std::move(config), 1, 1);
-        const auto partial = rig.client();
-        partial->say("GET /api HTTP/1.1\r\nReq-Id: ");
-        rig.until([&] { return rig.front.sessionManager().activeConnections() == 1; });
-        const auto next = rig.client();
-        rig.until([&] { return partial->ended; });
-        CHECK(partial->has("HTTP/1.1 503 "));
-        CHECK(partial->has("Retry-After: 0.040\r\n") == advice);
-        CHECK(partial->has("Retry-After") == advice);
+        GatewayFixture fixture(std::move(config), 1, 1);
+        const auto partial = fixture.client();
+        partial->send("GET /api HTTP/1.1\r\nReq-Id: ");
+        fixture.waitUntil([&] { return fixture.front.sessionManager().activeConnections() == 1; });
+        const auto next = fixture.client();
+        fixture.waitUntil([&] { return partial->ended; });
+        CHECK(partial->hasReceived("HTTP/1.1 503 "));
+        CHECK(partial->hasReceived("Retry-After: 0.040\r\n") == advice);
+        CHECK(partial->hasReceived("Retry-After") == advice);
     }
 }
 
 TEST_CASE("a method other than GET and PUT is rejected with 405 and the allowed ones") {
-    Rig rig;
-    const auto client = rig.client();
-    client->say("DELETE /api HTTP/1.1\r\n\r\n");
-    rig.until([&] { return client->has("405") && client->has("Allow: GET, PUT\r\n"); });
+    GatewayFixture fixture;
+    const auto client = fixture.client();
+    client->send("DELETE /api HTTP/1.1\r\n\r\n");
+    fixture.waitUntil(
+        [&] { return client->hasReceived("405") && client->hasReceived("Allow: GET, PUT\r\n"); });
 }
 
 TEST_CASE(
     "a short body that is announced with Expect gets 100 Continue at once, before any node is involved") {
-    Rig rig;
-    const auto client = rig.client();
-    auto text = Ask{.kind = "alta", .body = "datos"}.text();
+    GatewayFixture fixture;
+    const auto client = fixture.client();
+    auto text = PlatformRequest{.kind = "alta", .body = "datos"}.text();
     text.insert(text.find("Req-Id"), "Expect: 100-continue\r\n");
-    client->say(text.substr(0, text.size() - 5));
-    rig.until([&] { return client->has("HTTP/1.1 100 Continue\r\n\r\n"); });
-    CHECK(rig.node().wires.empty());
-    client->say("datos");
-    const auto node = rig.nodeHas("datos");
-    CHECK(!node->has("Expect"));
-    node->say(ok("hecho"));
-    rig.until([&] { return client->has("hecho"); });
+    client->send(text.substr(0, text.size() - 5));
+    fixture.waitUntil([&] { return client->hasReceived("HTTP/1.1 100 Continue\r\n\r\n"); });
+    CHECK(fixture.node().connections.empty());
+    client->send("datos");
+    const auto node = fixture.waitForNodeToReceive("datos");
+    CHECK(!node->hasReceived("Expect"));
+    node->send(ok("hecho"));
+    fixture.waitUntil([&] { return client->hasReceived("hecho"); });
 }
--- a/tests/http/streaming_bodies_test.cpp
+++ b/tests/http/streaming_bodies_test.cpp
@@ -76,55 +76,56 @@
 TEST_CASE("bodies beyond the memory budget are streamed in both directions while small requests are served") {
     auto config = testConfig();
     config.memoryMb = 48;
-    Rig rig(std::move(config), 2);
+    GatewayFixture fixture(std::move(config), 2);
     constexpr std::size_t kBytes = 40'000'000;
-    rig.node(1).greets = [](Wire& wire) { wire.reply = ok("x"); };
+    fixture.node(1).onConnection = [](TestConnection& connection) { connection.autoResponse = ok("x"); };
     const auto before = peakMemoryMb();
     // Up: the node counts what it gets.
-    tcp::socket up(rig.io), down(rig.io);
-    up.connect(net::tcpEndpoint(rig.front.sessionManager().address()));
+    tcp::socket up(fixture.io), down(fixture.io);
+    up.connect(net::tcpEndpoint(fixture.front.sessionManager().address()));
     const auto uploader = std::make_shared<ByteStream>(std::move(up));
     const auto head = streamedPut(fmt::format("Content-Length: {}\r\n", kBytes), "a1a1a1a1a1a1a1a1", 60'000);
     asio::write(uploader->socket, asio::buffer(head));
     // A node that keeps nothing: the stand-in's own reader would buffer all of it.
     std::shared_ptr<ByteStream> taker, giver;
-    tcp::acceptor plain(rig.io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
+    tcp::acceptor plain(fixture.io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     auto list = config::EndpointListing{
         {EndpointListKind::Delta, 2, {{"s-0", "z", CellIndex(0), 1, NodeState::Ready, 1}}},
         {{"127.0.0.1", plain.local_endpoint().port()}}};
-    rig.engine.endpointListReceived(std::move(list));
+    fixture.engine.endpointListReceived(std::move(list));
     plain.async_accept([&](auto, tcp::socket socket) {
         taker = std::make_shared<ByteStream>(std::move(socket));
         taker->count();
         plain.async_accept(
             [&](auto, tcp::socket second) { giver = std::make_shared<ByteStream>(std::move(second)); });
     });
-    rig.until([&] { return taker != nullptr; });
+    fixture.waitUntil([&] { return taker != nullptr; });
     uploader->send(kBytes);
     // Down: the same node gives.
-    down.connect(net::tcpEndpoint(rig.front.sessionManager().address()));
+    down.connect(net::tcpEndpoint(fixture.front.sessionManager().address()));
     const auto reader = std::make_shared<ByteStream>(std::move(down));
-    asio::write(reader->socket, asio::buffer(Ask{.id = "a2a2a2a2a2a2a2a2"}.text()));
-    rig.until([&] { return giver != nullptr; });
+    asio::write(reader->socket, asio::buffer(PlatformRequest{.id = "a2a2a2a2a2a2a2a2"}.text()));
+    fixture.waitUntil([&] { return giver != nullptr; });
     const auto answer = fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", kBytes);
     asio::write(giver->socket, asio::buffer(answer));
     giver->send(kBytes);
     reader->count();
-    const auto small = rig.client();
+    const auto small = fixture.client();
     for (int i = 0; i < 300; ++i) {
-        small->drop();
-        small->say(Ask{.id = fmt::format("{:016x}", i + 1), .shard = 1}.text());
-        rig.until([&] { return small->has("\r\n\r\nx"); }, "a small answer");
-        CHECK(small->has(" 200 "));
+        small->clearReceived();
+        small->send(PlatformRequest{.id = fmt::format("{:016x}", i + 1), .shard = 1}.text());
+        fixture.waitUntil([&] { return small->hasReceived("\r\n\r\nx"); }, "a small answer");
+        CHECK(small->hasReceived(" 200 "));
     }
-    rig.until([&] { return reader->received > kBytes && taker->received > kBytes; }, "both long bodies");
+    fixture.waitUntil([&] { return reader->received > kBytes && taker->received > kBytes; },
+                      "both long bodies");
     CHECK(taker->received < kBytes + 1000);
     asio::write(taker->socket, asio::buffer(ok("hecho")));
     uploader->count();
-    rig.until([&] { return uploader->received > 0 && rig.engine.openRequests() == 0; });
+    fixture.waitUntil([&] { return uploader->received > 0 && fixture.engine.openRequests() == 0; });
     CHECK(peakMemoryMb() - before < 24);
-    CHECK(rig.engine.bodyBudget().reservedBytes() == 0);
-    CHECK(rig.engine.counters().byClass[1].delivered == 1);
+    CHECK(fixture.engine.bodyBudget().reservedBytes() == 0);
+    CHECK(fixture.engine.counters().byClass[1].delivered == 1);
 }
 
 TEST_CASE("a long request body reaches the node unchanged in every framing, and is answered once") {
@@ -144,24 +145,27 @@
          true},
     };
     for (const auto& c : cases) {
-        Rig rig;
-        const auto client = rig.client();
+        GatewayFixture fixture;
+        const auto client = fixture.client();
         const auto body = c.text.find("\r\n\r\n") + 4;
-        client->say(c.text.substr(0, body));
-        if (c.expects) rig.until([&] { return client->has("HTTP/1.1 100 Continue\r\n\r\n"); });
-        client->say(c.text.substr(body));
-        rig.until([&] { return rig.engine.counters().requestsSent == 1; }, c.text.substr(0, 200).c_str());
-        const auto node = rig.nodeHas("Req-Id");
-        const bool inChunks = node->has("Transfer-Encoding: chunked\r\n");
-        rig.until(
-            [&] { return inChunks ? node->got.ends_with("\r\n0\r\n\r\n") : node->got.ends_with(kLongBody); });
+        client->send(c.text.substr(0, body));
+        if (c.expects)
+            fixture.waitUntil([&] { return client->hasReceived("HTTP/1.1 100 Continue\r\n\r\n"); });
+        client->send(c.text.substr(body));
+        fixture.waitUntil([&] { return fixture.engine.counters().requestsSent == 1; },
+                          c.text.substr(0, 200).c_str());
+        const auto node = fixture.waitForNodeToReceive("Req-Id");
+        const bool inChunks = node->hasReceived("Transfer-Encoding: chunked\r\n");
+        fixture.waitUntil([&] {
+            return inChunks ? node->received.ends_with("\r\n0\r\n\r\n") : node->received.ends_with(kLongBody);
+        });
         CHECK(inChunks == (c.text.find("Content-Length") == std::string::npos));
-        CHECK((inChunks ? unchunked(node->got) : node->got.substr(node->got.find("\r\n\r\n") + 4)) ==
-              kLongBody);
-        CHECK(!node->has("Expect"));
-        node->say(ok("hecho"));
-        rig.until([&] { return client->has("hecho"); });
-        CHECK(client->has("HTTP/1.1 200 "));
+        CHECK((inChunks ? unchunked(node->received)
+                        : node->received.substr(node->received.find("\r\n\r\n") + 4)) == kLongBody);
+        CHECK(!node->hasReceived("Expect"));
+        node->send(ok("hecho"));
+        fixture.waitUntil([&] { return client->hasReceived("hecho"); });
+        CHECK(client->hasReceived("HTTP/1.1 200 "));
     }
 }
 
@@ -181,49 +185,51 @@
         {"HTTP/1.0 200 OK\r\n\r\n" + kLongBody, "1.1", false, true},
     };
     for (const auto& c : cases) {
-        Rig rig;
-        const auto client = rig.client();
-        auto text = Ask{}.text();
+        GatewayFixture fixture;
+        const auto client = fixture.client();
+        auto text = PlatformRequest{}.text();
         text.replace(text.find("HTTP/1.1"), 8, std::string("HTTP/") + c.version);
-        client->say(text);
-        const auto node = rig.nodeHas("Req-Id");
-        node->say(c.answer.substr(0, 100));
-        node->say(c.answer.substr(100));
+        client->send(text);
+        const auto node = fixture.waitForNodeToReceive("Req-Id");
+        node->send(c.answer.substr(0, 100));
+        node->send(c.answer.substr(100));
         const bool hasFraming = c.answer.find("Content-Length") != std::string::npos ||
                                 c.answer.find("chunked") != std::string::npos;
         if (!hasFraming) {
-            rig.until([&] {
-                return rig.front.sessionManager().activeConnections() == 1 && client->got.size() > 100'000;
+            fixture.waitUntil([&] {
+                return fixture.front.sessionManager().activeConnections() == 1 &&
+                       client->received.size() > 100'000;
             });
             node->socket.shutdown(tcp::socket::shutdown_send);
         }
-        rig.until(
+        fixture.waitUntil(
             [&] {
                 if (c.closes) return client->ended;
-                return c.chunks ? client->got.ends_with("\r\n0\r\n\r\n") : client->got.ends_with(kLongBody);
+                return c.chunks ? client->received.ends_with("\r\n0\r\n\r\n")
+                                : client->received.ends_with(kLongBody);
             },
             c.answer.substr(0, 60).c_str());
-        CHECK((c.chunks ? unchunked(client->got) : client->got.substr(client->got.find("\r\n\r\n") + 4)) ==
-              kLongBody);
-        rig.until([&] { return rig.engine.openRequests() == 0; });
-        CHECK(rig.engine.counters().total().delivered == 1);
+        CHECK((c.chunks ? unchunked(client->received)
+                        : client->received.substr(client->received.find("\r\n\r\n") + 4)) == kLongBody);
+        fixture.waitUntil([&] { return fixture.engine.openRequests() == 0; });
+        CHECK(fixture.engine.counters().total().delivered == 1);
         if (c.closes) continue;
-        client->drop();  // the connection goes on
-        client->say("GET /up HTTP/1.1\r\n\r\n");
-        rig.until([&] { return client->has("up\n"); });
+        client->clearReceived();  // the connection goes on
+        client->send("GET /up HTTP/1.1\r\n\r\n");
+        fixture.waitUntil([&] { return client->hasReceived("up\n"); });
     }
 }
 
 // What the client does not read is not read from the node either.
 TEST_CASE("a slow reader applies back-pressure to its own node only, and its response is not buffered") {
-    Rig rig(testConfig(), 2);
-    rig.node(1).greets = [](Wire& wire) { wire.reply = ok("x"); };
-    tcp::socket slow(rig.io);
+    GatewayFixture fixture(testConfig(), 2);
+    fixture.node(1).onConnection = [](TestConnection& connection) { connection.autoResponse = ok("x"); };
+    tcp::socket slow(fixture.io);
     slow.open(tcp::v4());
     slow.set_option(asio::socket_base::receive_buffer_size(4096));
-    slow.connect(net::tcpEndpoint(rig.front.sessionManager().address()));
-    asio::write(slow, asio::buffer(Ask{}.text()));
-    const auto node = rig.nodeHas("Req-Id");
+    slow.connect(net::tcpEndpoint(fixture.front.sessionManager().address()));
+    asio::write(slow, asio::buffer(PlatformRequest{}.text()));
+    const auto node = fixture.waitForNodeToReceive("Req-Id");
     const auto giver = std::make_shared<ByteStream>(std::move(node->socket));
     constexpr std::size_t kBytes = 32'000'000;
     asio::write(giver->socket,
@@ -231,51 +237,51 @@
     giver->send(kBytes);
     char byte = 0;
     for (int i = 0; i < 50; ++i) {
-        rig.until([&] { return slow.available() > 0; });
+        fixture.waitUntil([&] { return slow.available() > 0; });
         asio::read(slow, asio::buffer(&byte, 1));
-        const auto other = rig.client();
-        other->say(Ask{.id = fmt::format("{:016x}", i + 10), .shard = 1}.text());
-        rig.until([&] { return other->has("\r\n\r\nx"); });
+        const auto other = fixture.client();
+        other->send(PlatformRequest{.id = fmt::format("{:016x}", i + 10), .shard = 1}.text());
+        fixture.waitUntil([&] { return other->hasReceived("\r\n\r\nx"); });
     }
     CHECK(giver->left > kBytes / 2);  // it waits in the node, but for what the system's buffers took
-    rig.until([&] { return rig.engine.bodyBudget().reservedBytes() == 0; });
-    CHECK(rig.engine.openRequests() == 1);
+    fixture.waitUntil([&] { return fixture.engine.bodyBudget().reservedBytes() == 0; });
+    CHECK(fixture.engine.openRequests() == 1);
     // A client that leaves in the middle takes its node's connection along.
     slow.close();
-    rig.until([&] {
-        return rig.engine.openRequests() == 0 && rig.pool.openConnections() == 1;
+    fixture.waitUntil([&] {
+        return fixture.engine.openRequests() == 0 && fixture.pool.openConnections() == 1;
     });  // the other node's is kept
-    CHECK(rig.engine.counters().disconnected == 1);
+    CHECK(fixture.engine.counters().disconnected == 1);
 }
 
 TEST_CASE("a streamed response that breaks off closes the client's connection before the announced length") {
-    Rig rig;
-    const auto client = rig.client();
-    client->say(Ask{}.text());
-    const auto node = rig.nodeHas("Req-Id");
-    node->say(ok(kLongBody).substr(0, 150'000));
-    rig.until([&] { return client->got.size() > 140'000; });
+    GatewayFixture fixture;
+    const auto client = fixture.client();
+    client->send(PlatformRequest{}.text());
+    const auto node = fixture.waitForNodeToReceive("Req-Id");
+    node->send(ok(kLongBody).substr(0, 150'000));
+    fixture.waitUntil([&] { return client->received.size() > 140'000; });
     node->close();
-    rig.until([&] { return client->ended; });
-    CHECK(client->got.size() < kLongBody.size());
-    CHECK(rig.engine.counters().attempts == 1);
-    CHECK(rig.engine.counters().total().failed == 1);
+    fixture.waitUntil([&] { return client->ended; });
+    CHECK(client->received.size() < kLongBody.size());
+    CHECK(fixture.engine.counters().attempts == 1);
+    CHECK(fixture.engine.counters().total().failed == 1);
 }
 
 TEST_CASE("a response without a length ends with the node's FIN, in HTTP/1.0 and 1.1") {
     for (const auto* head : {"HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.0 200 OK\r\n\r\n",
                              "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"}) {
         CAPTURE(head);
-        Rig rig;
-        const auto client = rig.client();
-        client->say(Ask{}.text());
-        const auto node = rig.nodeHas("Req-Id");
-        node->say(std::string(head) + "hasta el fin");
+        GatewayFixture fixture;
+        const auto client = fixture.client();
+        client->send(PlatformRequest{}.text());
+        const auto node = fixture.waitForNodeToReceive("Req-Id");
+        node->send(std::string(head) + "hasta el fin");
         node->socket.shutdown(tcp::socket::shutdown_send);
-        rig.until([&] { return client->has("hasta el fin"); });
-        CHECK(client->has("HTTP/1.1 200 "));
-        CHECK(client->has("Content-Length: 12\r\n"));
-        CHECK(rig.node().wires.size() == 1);
-        rig.until([&] { return node->ended; });  // and the connection serves no other
+        fixture.waitUntil([&] { return client->hasReceived("hasta el fin"); });
+        CHECK(client->hasReceived("HTTP/1.1 200 "));
+        CHECK(client->hasReceived("Content-Length: 12\r\n"));
+        CHECK(fixture.node().connections.size() == 1);
+        fixture.waitUntil([&] { return node->ended; });  // and the connection serves no other
     }
 }
--- a/tests/rsync/client_handshake_test.cpp
+++ b/tests/rsync/client_handshake_test.cpp
@@ -38,7 +38,7 @@
 /// A handshake and the configuration that it refers to.
 struct Dialogue {
     /// \return the reply to the last line
-    ClientHandshake::Reply say(std::initializer_list<const char*> lines) {
+    ClientHandshake::Reply send(std::initializer_list<const char*> lines) {
         ClientHandshake::Reply reply;
         for (const char* line : lines)
             reply = handshake.onLine(line);
@@ -53,7 +53,7 @@
 
 TEST_CASE("rsync client handshake: the greeting is answered with the message of the day") {
     Dialogue dialogue;
-    const auto reply = dialogue.say({"@RSYNCD: 31.0 md5"});
+    const auto reply = dialogue.send({"@RSYNCD: 31.0 md5"});
     CHECK(reply.step == Step::ReadNextLine);
     CHECK(reply.text == "bienvenidos\n");
 }
@@ -66,7 +66,7 @@
         "@RSYNCD: EXIT\n";
     for (const char* command : {"", "#list"}) {
         Dialogue dialogue;
-        const auto reply = dialogue.say({"@RSYNCD: 28", command});
+        const auto reply = dialogue.send({"@RSYNCD: 28", command});
         CHECK(reply.step == Step::CloseAfterList);
         CHECK(reply.text == list);
     }
@@ -74,8 +74,8 @@
 
 TEST_CASE("rsync client handshake: a pull") {
     Dialogue dialogue;
-    CHECK(dialogue.say({"@RSYNCD: 28", "manuales"}).text == "@RSYNCD: OK\n");
-    const auto reply = dialogue.say({"--server", "--sender", "-r", ".", "manuales/a", ""});
+    CHECK(dialogue.send({"@RSYNCD: 28", "manuales"}).text == "@RSYNCD: OK\n");
+    const auto reply = dialogue.send({"--server", "--sender", "-r", ".", "manuales/a", ""});
     CHECK(reply.step == Step::StartTransfer);
     CHECK(reply.text.empty());
     CHECK(dialogue.handshake.module().name == "manuales");
@@ -101,7 +101,7 @@
         {{"@RSYNCD: 28", "nada"}, "@ERROR: Unknown module 'nada'\n"},
     };
     for (const auto& c : cases) {
-        const auto reply = Dialogue().say(c.lines);
+        const auto reply = Dialogue().send(c.lines);
         CHECK(reply.step == Step::CloseAfterError);
         CHECK(reply.text == c.text);
     }
@@ -119,7 +119,7 @@
          "@ERROR: module is write only\n"},
     };
     for (const auto& c : cases) {
-        const auto reply = Dialogue().say(c.lines);
+        const auto reply = Dialogue().send(c.lines);
         CHECK(reply.step == Step::CloseAfterError);
         CHECK(reply.text == rsync::errorStream(c.text));
     }
@@ -127,7 +127,7 @@
 
 TEST_CASE("rsync client handshake: 256 arguments are accepted, one more is not") {
     Dialogue dialogue;
-    dialogue.say({"@RSYNCD: 28", "manuales"});
+    dialogue.send({"@RSYNCD: 28", "manuales"});
     for (int i = 0; i < 256; ++i)
         CHECK(dialogue.handshake.onLine("-v").step == Step::ReadNextLine);
     const auto reply = dialogue.handshake.onLine("-v");
--- a/tests/support/fleet_support.h
+++ b/tests/support/fleet_support.h
@@ -121,11 +121,11 @@
         const auto loopback = asio::ip::make_address("127.0.0.1");
         std::vector<udp::endpoint> addresses;
         for (std::size_t i = 0; i < frontCount; ++i)
-            addresses.emplace_back(loopback, freePort(rig.io));
-        relay = std::make_unique<Relay>(rig.io, addresses, seed);
-        rig.node().greets = [](Wire& wire) { wire.reply = ok("x"); };
+            addresses.emplace_back(loopback, freePort(fixture.io));
+        relay = std::make_unique<Relay>(fixture.io, addresses, seed);
+        fixture.node().onConnection = [](TestConnection& connection) { connection.autoResponse = ok("x"); };
         for (std::size_t i = 0; i < frontCount; ++i) {
-            listening.emplace_back(rig.io, tcp::endpoint(loopback, 0));
+            listening.emplace_back(fixture.io, tcp::endpoint(loopback, 0));
             folders.emplace_back().write(kConfigFile, config(i, frontCount));
         }
         fronts.resize(frontCount);
@@ -138,7 +138,7 @@
         std::string peers;
         for (std::size_t peer = 0; peer < frontCount; ++peer)
             peers += fmt::format("{}\"{}\"", peer > 0 ? "," : "", peerAddress(peer));
-        auto json = withKnownNode(testConfigText(), rig.node().address());
+        auto json = withKnownNode(testConfigText(), fixture.node().address());
         json = replaced(json, R"("peers":[])",
                         fmt::format(R"("peer_listen":"{}","peers":[{}])", peerAddress(i), peers));
         json = replaced(json, R"("peers":false)", R"("peers":true)");
@@ -150,37 +150,38 @@
     /// Starts a process of one front and waits until it accepts clients.
     Process& start(std::size_t i) {
         fronts[i] = std::make_unique<Process>(folders[i], startCount++, listening[i].native_handle(),
-                                              freePort(rig.io));
-        const auto started = [&] { return fronts[i]->said(fmt::format("n{} listens on", i)); };
-        rig.until([&] { return started() || !fronts[i]->running(); }, "a front starts");
+                                              freePort(fixture.io));
+        const auto started = [&] { return fronts[i]->hasLogged(fmt::format("n{} listens on", i)); };
+        fixture.waitUntil([&] { return started() || !fronts[i]->running(); }, "a front starts");
         REQUIRE_MESSAGE(started(), fronts[i]->readLog());
         return *fronts[i];
     }
     /// Has a front log its counters again and again until the log has the text.
-    void untilFleetSays(std::size_t i, const std::string& text) {
-        rig.until([&] { return says(i, text); }, text.c_str());
+    void waitUntilCountersShow(std::size_t i, const std::string& text) {
+        fixture.waitUntil([&] { return countersShow(i, text); }, text.c_str());
     }
-    bool says(std::size_t i, const std::string& text) {
+    bool countersShow(std::size_t i, const std::string& text) {
         fronts[i]->signal(SIGUSR1);
-        return fronts[i]->said(text);
+        return fronts[i]->hasLogged(text);
     }
-    WirePtr client(std::size_t i) { return connectWire(rig.io, listening[i].local_endpoint()); }
-    /// Sends one request for the limited volume on a new connection; settle() counts its answer.
-    void ask(std::size_t i) {
-        const Ask request{.id = fmt::format("{:016x}", ++lastId),
-                          .tier = "basico",
-                          .volume = "00000000000000aa",
-                          .units = kUnits};
-        asking.push_back(client(i));
-        asking.back()->say(replaced(request.text(), "hosts=1", fmt::format("hosts={}", fronts.size())));
+    TestConnectionPtr client(std::size_t i) { return connectTo(fixture.io, listening[i].local_endpoint()); }
+    /// Sends one request for the limited volume on a new connection; collectResponses() counts its answer.
+    void sendRequest(std::size_t i) {
+        const PlatformRequest request{.id = fmt::format("{:016x}", ++lastId),
+                                      .tier = "basico",
+                                      .volume = "00000000000000aa",
+                                      .units = kUnits};
+        pendingConnections.push_back(client(i));
+        pendingConnections.back()->send(
+            replaced(request.text(), "hosts=1", fmt::format("hosts={}", fronts.size())));
     }
     /// Counts the answers that have come. Each must be final: 200, or 503 where the limit binds.
-    void settle() {
-        std::erase_if(asking, [&](const WirePtr& connection) {
-            if (connection->has("HTTP/1.1 200 "))
+    void collectResponses() {
+        std::erase_if(pendingConnections, [&](const TestConnectionPtr& connection) {
+            if (connection->hasReceived("HTTP/1.1 200 "))
                 ++served;
-            else if (connection->has("HTTP/1.1 503 "))
-                ++refused;
+            else if (connection->hasReceived("HTTP/1.1 503 "))
+                ++rejected;
             else if (!connection->ended)
                 return false;
             else
@@ -192,21 +193,22 @@
     double units() const { return static_cast<double>(served) * kUnits; }
     /// What the limit allows since the fleet was made, burst and slack included.
     double allowed() const {
-        const auto& plan = rig.config.settings.plans[0];
+        const auto& plan = fixture.config.settings.plans[0];
         const std::chrono::duration<double> seconds = std::chrono::steady_clock::now() - firstAt;
         return plan.limitBurst + plan.limitSlack + plan.limit * seconds.count();
     }
 
-    Rig rig;
+    GatewayFixture fixture;
     std::unique_ptr<Relay> relay;
     std::deque<TemporaryFolder> folders;  // by front, like the two below; outlives the processes
     std::vector<tcp::acceptor> listening;
     std::vector<std::unique_ptr<Process>> fronts;
     int startCount = 0;
     std::uint64_t lastId = 0;
-    std::vector<WirePtr> asking;  ///< connections with a request that settle() has not counted yet
+    std::vector<TestConnectionPtr>
+        pendingConnections;  ///< connections with a request that collectResponses() has not counted yet
     std::size_t served = 0;
-    std::size_t refused = 0;
+    std::size_t rejected = 0;
     std::size_t unanswered = 0;
     std::chrono::steady_clock::time_point firstAt = std::chrono::steady_clock::now();
 };
--- a/tests/support/net_support.h
+++ b/tests/support/net_support.h
@@ -27,16 +27,16 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-/// One end of a connection, which the test drives. It reads all the time; what came is in `got`.
-struct Wire : std::enable_shared_from_this<Wire> {
-    explicit Wire(tcp::socket connected) : socket(std::move(connected)) {}
+/// One end of a connection, which the test drives. It reads all the time; what came is in `received`.
+struct TestConnection : std::enable_shared_from_this<TestConnection> {
+    explicit TestConnection(tcp::socket connected) : socket(std::move(connected)) {}
     void start() {
         socket.async_read_some(asio::buffer(chunk_), [self = shared_from_this()](
                                                          const boost::system::error_code& error,
                                                          std::size_t count) { self->onRead(error, count); });
     }
     /// Starts to write; the text need not outlive the call.
-    void say(std::string text) {
+    void send(std::string text) {
         const auto held = std::make_shared<std::string>(std::move(text));
         asio::async_write(socket, asio::buffer(*held), [held, self = shared_from_this()](auto, auto) {});
     }
@@ -50,56 +50,57 @@
         socket.set_option(asio::socket_base::linger(true, 0), ignored);
         close();
     }
-    bool has(std::string_view text) const { return got.find(text) != std::string::npos; }
+    bool hasReceived(std::string_view text) const { return received.find(text) != std::string::npos; }
     /// Forgets what came so far, before the next message on the connection.
-    void drop() { got.clear(); }
+    void clearReceived() { received.clear(); }
 
     tcp::socket socket;
-    std::string got;
-    std::string reply;   ///< unless empty: the answer to each request without a body
-    bool ended = false;  ///< closed by the other end, reset, or closed here
+    std::string received;
+    std::string autoResponse;  ///< unless empty: the answer to each request without a body
+    bool ended = false;        ///< closed by the other end, reset, or closed here
 
 private:
     void onRead(const boost::system::error_code& error, std::size_t count) {
-        got.append(chunk_.data(), count);
+        received.append(chunk_.data(), count);
         if (error)
             ended = true;
         else
             start();
-        if (reply.empty() || !has("\r\n\r\n")) return;
-        drop();
-        say(reply);
+        if (autoResponse.empty() || !hasReceived("\r\n\r\n")) return;
+        clearReceived();
+        send(autoResponse);
     }
 
     std::array<char, 4096> chunk_{};
 };
-using WirePtr = std::shared_ptr<Wire>;
+using TestConnectionPtr = std::shared_ptr<TestConnection>;
 
 /// Reads from a connected socket from now on.
-inline WirePtr startWire(tcp::socket socket) {
-    auto wire = std::make_shared<Wire>(std::move(socket));
-    wire->start();
-    return wire;
+inline TestConnectionPtr startConnection(tcp::socket socket) {
+    auto connection = std::make_shared<TestConnection>(std::move(socket));
+    connection->start();
+    return connection;
 }
 
 /// Connects to a server that listens already, and reads from then on.
-inline WirePtr connectWire(asio::io_context& io, const tcp::endpoint& server) {
+inline TestConnectionPtr connectTo(asio::io_context& io, const tcp::endpoint& server) {
     tcp::socket socket(io);
     socket.connect(server);
-    return startWire(std::move(socket));
+    return startConnection(std::move(socket));
 }
 
 /// A server that answers nothing by itself: the test does, on its connections.
-struct StandIn {
-    explicit StandIn(asio::io_context& io, const std::string& address = "127.0.0.1", std::uint16_t port = 0)
+struct StubServer {
+    explicit StubServer(asio::io_context& io, const std::string& address = "127.0.0.1",
+                        std::uint16_t port = 0)
         : acceptor(io, tcp::endpoint(asio::ip::make_address(address), port)) {
         accept();
     }
     void accept() {
         acceptor.async_accept([this](const boost::system::error_code& error, tcp::socket socket) {
             if (error) return;
-            wires.push_back(startWire(std::move(socket)));
-            if (greets) greets(*wires.back());
+            connections.push_back(startConnection(std::move(socket)));
+            if (onConnection) onConnection(*connections.back());
             accept();
         });
     }
@@ -109,8 +110,8 @@
     }
 
     tcp::acceptor acceptor;
-    std::deque<WirePtr> wires;          ///< all connections that it accepted, the latest one last
-    std::function<void(Wire&)> greets;  ///< unless empty: called with each new connection
+    std::deque<TestConnectionPtr> connections;  ///< all connections that it accepted, the latest one last
+    std::function<void(TestConnection&)> onConnection;  ///< unless empty: called with each new connection
 };
 
 /// Runs the loop until the condition holds. A test that waits in vain fails after 15 s and does not hang.
@@ -128,11 +129,12 @@
 constexpr net::WatchTiming kLongWatches{std::chrono::seconds(60), std::chrono::seconds(1),
                                         std::chrono::seconds(1)};
 
-/// A whole front but for its process: the parts that src/app wires, with one server for each node, and one
-/// for discovery.
-struct Rig {
-    explicit Rig(config::Config base = testConfig(), std::size_t nodeCount = 1, std::size_t mostClients = 64,
-                 std::size_t ring = net::kMaxRingBytes, net::WatchTiming watches = kLongWatches)
+/// A whole front but for its process: the parts that src/app wires, with one server for each node, and
+/// one for discovery.
+struct GatewayFixture {
+    explicit GatewayFixture(config::Config base = testConfig(), std::size_t nodeCount = 1,
+                            std::size_t mostClients = 64, std::size_t ring = net::kMaxRingBytes,
+                            net::WatchTiming watches = kLongWatches)
         : discoveryServer(io),
           config(prepare(std::move(base), nodeCount)),
           engine(io, config, logger),
@@ -150,7 +152,7 @@
              }});
         engine.start();
     }
-    ~Rig() {
+    ~GatewayFixture() {
         engine.stop();
         for (auto* const sessionManager : {&front.sessionManager(), &rsync.sessionManager()}) {
             sessionManager->closeListener();
@@ -161,33 +163,35 @@
         pool.clear();
         rsyncPool.clear();
     }
-    Rig(const Rig&) = delete;
-    Rig& operator=(const Rig&) = delete;
+    GatewayFixture(const GatewayFixture&) = delete;
+    GatewayFixture& operator=(const GatewayFixture&) = delete;
 
-    void until(const std::function<bool()>& condition, const char* what = "what the test waits for") {
+    void waitUntil(const std::function<bool()>& condition, const char* what = "what the test waits for") {
         runUntil(io, condition, what);
     }
-    WirePtr connect(const config::Endpoint& to) { return connectWire(io, net::tcpEndpoint(to)); }
-    WirePtr client() { return connect(front.sessionManager().address()); }
-    WirePtr rsyncClient() { return connect(rsync.sessionManager().address()); }
-    StandIn& node(std::size_t i = 0) { return *nodes.at(i); }
-    /// The connection on which a node got this text, once it has.
-    WirePtr nodeHas(std::string_view text, std::size_t i = 0) {
-        WirePtr found;
-        until([&] {
-            for (const auto& wire : node(i).wires)
-                if (wire->has(text)) found = wire;
+    TestConnectionPtr connect(const config::Endpoint& to) { return connectTo(io, net::tcpEndpoint(to)); }
+    TestConnectionPtr client() { return connect(front.sessionManager().address()); }
+    TestConnectionPtr rsyncClient() { return connect(rsync.sessionManager().address()); }
+    StubServer& node(std::size_t i = 0) { return *nodes.at(i); }
+    /// The connection on which a node received this text, once it has.
+    TestConnectionPtr waitForNodeToReceive(std::string_view text, std::size_t i = 0) {
+        TestConnectionPtr found;
+        waitUntil([&] {
+            for (const auto& connection : node(i).connections)
+                if (connection->hasReceived(text)) found = connection;
             return found != nullptr;
         });
         return found;
     }
     /// Answers the open watch with a change of one node's state, and waits until the front has read it.
     /// \param id "s-" and the node's index
-    void tellState(const std::string& id, const std::string& state) {
-        until(
-            [&] { return !discoveryServer.wires.empty() && discoveryServer.wires.back()->has("\r\n\r\n"); });
-        const auto& wire = discoveryServer.wires.back();
-        wire->drop();
+    void announceNodeState(const std::string& id, const std::string& state) {
+        waitUntil([&] {
+            return !discoveryServer.connections.empty() &&
+                   discoveryServer.connections.back()->hasReceived("\r\n\r\n");
+        });
+        const auto& connection = discoveryServer.connections.back();
+        connection->clearReceived();
         const int index = id.back() - '0';
         const auto address = node(static_cast<std::size_t>(index)).address();
         const auto body = fmt::format(
@@ -195,8 +199,8 @@
             R"("zone":"z","cell":{},"lifecycle":"{}","weight":1.0,"startedAtMs":0}}]}})",
             ++generation, id, address.host, address.port, index, state);
         const auto answers = discovery.counters().answers;
-        wire->say(fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(), body));
-        until([&] { return discovery.counters().answers > answers; });
+        connection->send(fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(), body));
+        waitUntil([&] { return discovery.counters().answers > answers; });
     }
     std::uint64_t outcomes(Outcome outcome) const {
         return engine.counters().outcomes[static_cast<std::size_t>(outcome)];
@@ -208,7 +212,7 @@
         prepared.discovery = discoveryServer.address();
         auto& known = prepared.cachedEndpoints;
         for (std::size_t i = 0; i < nodeCount; ++i) {
-            nodes.push_back(std::make_unique<StandIn>(io));
+            nodes.push_back(std::make_unique<StubServer>(io));
             known.list.nodes.push_back(
                 {fmt::format("s-{}", i), "z", CellIndex::ofPosition(i), 1, NodeState::Ready, 0});
             known.addresses.push_back(nodes.back()->address());
@@ -242,8 +246,8 @@
 
     asio::io_context io;
     log::Logger logger{log::Level::Error};
-    std::vector<std::unique_ptr<StandIn>> nodes;
-    StandIn discoveryServer;
+    std::vector<std::unique_ptr<StubServer>> nodes;
+    StubServer discoveryServer;
     std::int64_t generation = 1;
     config::Config config;
     net::Engine engine;
@@ -256,7 +260,7 @@
 };
 
 /// A request of a client of the platform; class "lectura" is idempotent, "alta" has idempotency keys.
-struct Ask {
+struct PlatformRequest {
     std::string id = "9b1f03aa5c7e2d41";
     std::string kind = "lectura";
     std::string tier = "prioritario";
@@ -290,29 +294,30 @@
 
 /// Spends the burst of a limited volume through the platform's front, and keeps account of what the limit
 /// allows.
-struct Spending {
+struct LimitedVolumeLoad {
     static constexpr double kUnits = 6;  ///< of each request
-    static Ask ask(int i) {
+    static PlatformRequest request(int i) {
         return {
             .id = fmt::format("{:016x}", i), .tier = "basico", .volume = "00000000000000aa", .units = kUnits};
     }
-    explicit Spending(Rig& rig) : rig(rig), since(std::chrono::steady_clock::now()) {
-        rig.node().greets = [](Wire& wire) { wire.reply = ok("x"); };
-        const auto client = rig.client();
-        for (int i = 0; i < 8; ++i, client->drop()) {
-            client->say(ask(i).text());
-            rig.until([&] { return client->has("\r\n\r\n"); });
-            CHECK(client->has(" 200 "));
+    explicit LimitedVolumeLoad(GatewayFixture& fixture)
+        : fixture(fixture), since(std::chrono::steady_clock::now()) {
+        fixture.node().onConnection = [](TestConnection& connection) { connection.autoResponse = ok("x"); };
+        const auto client = fixture.client();
+        for (int i = 0; i < 8; ++i, client->clearReceived()) {
+            client->send(request(i).text());
+            fixture.waitUntil([&] { return client->hasReceived("\r\n\r\n"); });
+            CHECK(client->hasReceived(" 200 "));
             units += kUnits;
         }
     }
     /// Units that the limit allows since the first request, burst and slack included.
     double allowed() const {
-        const auto& plan = rig.config.settings.plans[0];
+        const auto& plan = fixture.config.settings.plans[0];
         const std::chrono::duration<double> seconds = std::chrono::steady_clock::now() - since;
         return plan.limitBurst + plan.limitSlack + plan.limit * seconds.count();
     }
-    Rig& rig;
+    GatewayFixture& fixture;
     std::chrono::steady_clock::time_point since;
     double units = 0;  ///< spent so far
 };
--- a/tests/support/process_support.h
+++ b/tests/support/process_support.h
@@ -85,7 +85,7 @@
         return !ended;
     }
     /// Whether the text occurs in the process's log.
-    bool said(std::string_view text) const { return readLog().find(text) != std::string::npos; }
+    bool hasLogged(std::string_view text) const { return readLog().find(text) != std::string::npos; }
     std::string readLog() const {
         std::ifstream file(log);
         return {std::istreambuf_iterator<char>(file), {}};
@@ -107,8 +107,8 @@
     /// Texts of the configuration, and what stands in their place.
     using Changes = std::vector<std::pair<std::string, std::string>>;
     explicit Platform(int sockets = 384, const Changes& changes = {})
-        : listening(rig.io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)) {
-        auto json = withKnownNode(testConfigText(), rig.node().address());
+        : listening(fixture.io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)) {
+        auto json = withKnownNode(testConfigText(), fixture.node().address());
         json = replaced(json, R"("sockets":1024)", fmt::format(R"("sockets":{})", sockets));
         json = withClientPort(json, listening.local_endpoint().port());
         for (const auto& [from, to] : changes)
@@ -118,48 +118,48 @@
     Process& start() {
         const int index = static_cast<int>(processes.size());
         processes.push_back(
-            std::make_unique<Process>(folder, index, listening.native_handle(), freePort(rig.io)));
+            std::make_unique<Process>(folder, index, listening.native_handle(), freePort(fixture.io)));
         return *processes.back();
     }
     /// What a process answers to an HTTP message at its operators' interface; empty if it cannot be reached.
     std::string call(const Process& to, const std::string& text) {
-        tcp::socket socket(rig.io);
+        tcp::socket socket(fixture.io);
         boost::system::error_code error;
         socket.connect(net::tcpEndpoint(to.mgmt), error);
         if (error) return "";
-        const auto wire = startWire(std::move(socket));
-        wire->say(text);
-        rig.until([&] { return wire->ended; }, text.c_str());
-        return wire->got;
+        const auto connection = startConnection(std::move(socket));
+        connection->send(text);
+        fixture.waitUntil([&] { return connection->ended; }, text.c_str());
+        return connection->received;
     }
     std::string post(const Process& to, const std::string& path, const std::string& body) {
         return call(to,
                     fmt::format("POST {} HTTP/1.1\r\nContent-Length: {}\r\n\r\n{}", path, body.size(), body));
     }
-    void untilReady(const Process& process) {
+    void waitUntilReady(const Process& process) {
         const auto isReady = [&] {
             return call(process, "GET /_ready HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200 ");
         };
-        rig.until(isReady, "the process is ready");
+        fixture.waitUntil(isReady, "the process is ready");
     }
     Process& startReady() {
         auto& process = start();
-        untilReady(process);
+        waitUntilReady(process);
         return process;
     }
-    void untilSaid(const Process& process, const char* text) {
-        rig.until([&] { return process.said(text); }, text);
+    void waitUntilLogged(const Process& process, const char* text) {
+        fixture.waitUntil([&] { return process.hasLogged(text); }, text);
     }
-    WirePtr client() { return connectWire(rig.io, listening.local_endpoint()); }
+    TestConnectionPtr client() { return connectTo(fixture.io, listening.local_endpoint()); }
     /// Sends one request on a connection and waits until it has its 200.
-    void serve(const WirePtr& client, const std::string& id) {
-        client->drop();
-        client->say(Ask{.id = id}.text());
-        rig.until([&] { return client->has("\r\n\r\nx"); }, id.c_str());
-        CHECK(client->has("HTTP/1.1 200 "));
+    void serve(const TestConnectionPtr& client, const std::string& id) {
+        client->clearReceived();
+        client->send(PlatformRequest{.id = id}.text());
+        fixture.waitUntil([&] { return client->hasReceived("\r\n\r\nx"); }, id.c_str());
+        CHECK(client->hasReceived("HTTP/1.1 200 "));
     }
 
-    Rig rig;
+    GatewayFixture fixture;
     tcp::acceptor listening;
     TemporaryFolder folder;  // outlives the processes
     std::vector<std::unique_ptr<Process>> processes;
