--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -6,7 +6,7 @@
 
 namespace wingproxy {
 
-const double kLongLatencyPart = 0.3;
+const double kLongLatencyFraction = 0.3;
 
 namespace {
 
@@ -43,7 +43,7 @@
 
 double ConcurrencyLimit::attemptsAllowed(const Conditions& conditions) const {
     const bool isLong =
-        expectedLatency(conditions.now, conditions.objective) > kLongLatencyPart * conditions.objective;
+        expectedLatency(conditions.now, conditions.objective) > kLongLatencyFraction * conditions.objective;
     if (state_.estimate.latency <= 0 && conditions.beginners > 1)
         return std::max(1.0, state_.limit / conditions.beginners);
     return std::max(isLong ? kMinWhileSlow : kMinWhileQuick, state_.limit * conditions.ownShare);
@@ -61,7 +61,7 @@
 bool ConcurrencyLimit::isSlow(double objective) const {
     const LatencyEstimate& estimate = state_.estimate;
     return estimate.perUnit > kQueuedFactor * estimate.floor.value() ||
-           estimate.latency > kLongLatencyPart * objective;
+           estimate.latency > kLongLatencyFraction * objective;
 }
 
 void ConcurrencyLimit::record(const Answer& answer, Micros now) {
--- a/src/policy/concurrency_limit.h
+++ b/src/policy/concurrency_limit.h
@@ -8,7 +8,7 @@
 
 /// A latency above this part of the shortest latency objective is long; the rest of the objective belongs to
 /// the time in the queues here.
-extern const double kLongLatencyPart;
+extern const double kLongLatencyFraction;
 
 /// One node's latency and the limit that follows from it: additive increase while answers are quick and the
 /// limit is used, multiplicative decrease while they are slow. Latencies are in microseconds.
--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -32,7 +32,7 @@
     return {kUsageMemory, kPeerUsageLifetime, kSlowStartLifetime, kUntilComplete};
 }
 Micros Gossip::reportInterval() { return kReportInterval; }
-double Gossip::significantWait() const { return kLongLatencyPart * context_.latencyObjective; }
+double Gossip::significantWait() const { return kLongLatencyFraction * context_.latencyObjective; }
 double Gossip::significantRate() const { return context_.settings.meanUnits * kChangedAggregateRequests; }
 
 bool Gossip::isDue(const KeyUsage& usage, const Observation& observation) const {
