--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -68,7 +68,7 @@
         const Node& node = cluster_.node(index);
         if (!node.isReady() || cluster_.expectedLatency(node) >= latency) continue;
         latency = cluster_.expectedLatency(node);
-        unqueued = node.concurrency().unqueuedLatency();
+        unqueued = node.concurrency().queueingThreshold();
     }
     level.peakDemand *= kPeakDemandDecay;
     if (latency == kUnlimited) return;  // the successor of a drained node is not overloaded: the level stays
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -54,7 +54,7 @@
            expectedLatency(conditions.now, conditions.objective);
 }
 
-double ConcurrencyLimit::unqueuedLatency() const {
+double ConcurrencyLimit::queueingThreshold() const {
     return kQueuedFactor * state_.estimate.floor.value() * state_.estimate.units;
 }
 
--- a/src/policy/concurrency_limit.h
+++ b/src/policy/concurrency_limit.h
@@ -51,7 +51,7 @@
     /// Units a second that this host may expect from the node.
     [[nodiscard]] double unitsPerSecond(const Conditions& conditions) const;
     /// Up to this latency the node has no queue to speak of.
-    [[nodiscard]] double unqueuedLatency() const;
+    [[nodiscard]] double queueingThreshold() const;
     /// What the answers say of the node's latency.
     [[nodiscard]] const LatencyEstimate& estimate() const { return state_.estimate; }
 
