--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -60,7 +60,7 @@
 
 AttemptTracker::Verdict AttemptTracker::judge(const PendingRequest& request, const Node& node) const {
     const double age = double(context_.now - request.sentAt());
-    const double usual = node.concurrency().estimate().usual(request.units());
+    const double usual = node.concurrency().estimate().usualLatency(request.units());
     const double patience = std::max(kLostObjectivePart * context_.latencyObjective, kLostLatencies * usual);
     if (node.outliers().answeredLaterThan(request.sentAt(), usual))
         return age > patience ? Verdict::Lost : Verdict::Waiting;
--- a/src/policy/latency_estimate.h
+++ b/src/policy/latency_estimate.h
@@ -19,7 +19,7 @@
     /// Latency of a request of mean size without a queue.
     [[nodiscard]] double unqueued() const { return floor.value() * units; }
     /// What a request of so many units usually takes.
-    [[nodiscard]] double usual(double requestUnits) const {
+    [[nodiscard]] double usualLatency(double requestUnits) const {
         return std::max(latency, perUnit * requestUnits);
     }
     /// An answer came.
--- a/tests/policy/value_types_test.cpp
+++ b/tests/policy/value_types_test.cpp
@@ -57,8 +57,8 @@
     estimate.record(40, 2, 1, 1);
     estimate.floor.record(estimate.perUnit, 0, kSecond);
     EXPECT_DOUBLE_EQ(estimate.perUnit, 20);
-    EXPECT_DOUBLE_EQ(estimate.usual(1), 40);
-    EXPECT_DOUBLE_EQ(estimate.usual(4), 80);
+    EXPECT_DOUBLE_EQ(estimate.usualLatency(1), 40);
+    EXPECT_DOUBLE_EQ(estimate.usualLatency(4), 80);
     estimate.setWait(100, kSecond);
     EXPECT_DOUBLE_EQ(estimate.latency, 140);
     EXPECT_EQ(estimate.updatedAt, kSecond);
