--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -6,15 +6,16 @@
 namespace wingproxy {
 namespace {
 
-// An answer is lost when the node has answered what was sent later, and this part of the shortest objective
-// is over, so that another attempt is in time, and this multiple of what it takes there.
-constexpr double kLostObjectivePart = 0.5;
+// An answer counts as lost when the node has answered a later request and the attempt is older than both
+// kLostObjectiveFraction of the shortest latency objective, which leaves time for another attempt, and
+// kLostLatencies of the node's usual latency.
+constexpr double kLostObjectiveFraction = 0.5;
 constexpr double kLostLatencies = 4;
-// So much older, where the node got nothing later, its health is checked: a check waits there as a request
-// does.
+// If the node has answered nothing later, its health is checked when the attempt is older than that by this
+// factor. The check queues at the node as a request does.
 constexpr double kHealthCheckFactor = 1.5;
-constexpr double kRejectionObjectives = 2;  // reported as the wait at a node that rejects
-constexpr double kMinReportedTicks = 0.01;  // a wait that was measured is never reported as none
+constexpr double kRejectionObjectives = 2;  // wait reported for a node that rejects, in latency objectives
+constexpr double kMinReportedTicks = 0.01;  // so that a measured wait is never reported as none
 
 }  // namespace
 
@@ -31,7 +32,8 @@
         return;
     }
     node.outliers().onAnswer(outcome == Outcome::Error, sentAt, context_.now);
-    // A quick error says nothing of a node's latency: as an answer it would draw all new objects to the node.
+    // A quick error says nothing about a node's latency: counted as an answer, it would attract all new
+    // objects to the node.
     if (outcome == Outcome::Ok) onAnswer(node, units, elapsed);
 }
 
@@ -49,7 +51,7 @@
         node.slowStart().onCompleted(units, context_.now);
         cell.usage->onSlowStartCompleted(units);
     }
-    // The report may come back at once as an aggregate, which counts as an update too.
+    // The report may come back at once as an aggregate, which also sets `updatedAt`.
     const LatencyEstimate& estimate = node.concurrency().estimate();
     const Micros updatedBefore = estimate.updatedAt;
     const double wait = double(elapsed) - estimate.floor.value() * units;
@@ -58,33 +60,35 @@
                                 cluster_.conditionsOf(node));
 }
 
-AttemptTracker::Verdict AttemptTracker::judge(const PendingRequest& request, const Node& node) const {
+AttemptTracker::AnswerState AttemptTracker::answerState(const PendingRequest& request,
+                                                        const Node& node) const {
     const double age = double(context_.now - request.sentAt());
-    const double usual = node.concurrency().estimate().usualLatency(request.units());
-    const double patience = std::max(kLostObjectivePart * context_.latencyObjective, kLostLatencies * usual);
-    if (node.outliers().answeredLaterThan(request.sentAt(), usual))
-        return age > patience ? Verdict::Lost : Verdict::Waiting;
-    const bool checks =
-        age > kHealthCheckFactor * patience && !node.outliers().wasCheckedSince(request.sentAt());
-    return checks ? Verdict::Unsure : Verdict::Waiting;
+    const double usualLatency = node.concurrency().estimate().usualLatency(request.units());
+    const double lostAfter =
+        std::max(kLostObjectiveFraction * context_.latencyObjective, kLostLatencies * usualLatency);
+    if (node.outliers().hasAnsweredNewerThan(request.sentAt(), usualLatency))
+        return age > lostAfter ? AnswerState::Lost : AnswerState::Pending;
+    const bool needsCheck =
+        age > kHealthCheckFactor * lostAfter && !node.outliers().wasCheckedSince(request.sentAt());
+    return needsCheck ? AnswerState::NeedsHealthCheck : AnswerState::Pending;
 }
 
 void AttemptTracker::cancelLost(const RequestTable& requests) {
     std::map<std::uint64_t, CancelAttempt> lost;  // by order of arrival
-    std::set<NodeIndex> unsure;
+    std::set<NodeIndex> nodesToCheck;
     for (const auto& [id, request] : requests.all()) {
         if (request.outstanding() != 1 || request.isStreaming() || request.isBodyIncomplete() ||
             request.isNodeDone())
             continue;
         const auto& [attempt, index] = *request.nodeByAttempt().begin();
-        const Verdict verdict = judge(request, cluster_.node(index));
-        if (verdict == Verdict::Unsure) unsure.insert(index);
-        if (verdict == Verdict::Lost && (request.isFinished() || retries_.mayRepeatLost(request)))
+        const AnswerState state = answerState(request, cluster_.node(index));
+        if (state == AnswerState::NeedsHealthCheck) nodesToCheck.insert(index);
+        if (state == AnswerState::Lost && (request.isFinished() || retries_.mayRepeatLost(request)))
             lost.emplace(request.sequence(), CancelAttempt{id, attempt});
     }
     for (const auto& [sequence, cancel] : lost)
         context_.emit(cancel);
-    for (const NodeIndex index : unsure)
+    for (const NodeIndex index : nodesToCheck)
         checkHealth(index);
 }
 
--- a/src/policy/attempt_tracker.h
+++ b/src/policy/attempt_tracker.h
@@ -1,5 +1,5 @@
 /// \file
-/// Sends attempts to nodes, learns from how they end, and finds those whose answers are lost.
+/// Sends attempts to nodes, evaluates their outcomes, and cancels those whose answers are lost.
 #pragma once
 
 #include "policy/gossip.h"
@@ -9,10 +9,11 @@
 
 namespace wingproxy {
 
-/// Keeps the counts of attempts at nodes, and passes what they show to the node's limits and to gossip.
+/// Counts the attempts at each node, and updates the node's limits and gossip with their outcomes.
 class AttemptTracker {
 public:
-    /// \param retries charges retries to the retry budget; all four must outlive the object
+    /// \param retries charges retries to the retry budget
+    /// All four must outlive the object.
     AttemptTracker(Context& context, ClusterView& cluster, Gossip& gossip, RetryPolicy& retries)
         : context_(context), cluster_(cluster), gossip_(gossip), retries_(retries) {}
 
@@ -30,34 +31,39 @@
         const Micros lastByteBy = request.mayHaveRun() ? request.repeatableUntil() : 0;
         context_.emit(ForwardRequest{request.id(), node.info().id, 0, lastByteBy});
     }
-    /// Whether an outcome says anything of its node.
-    /// \param heldSlot whether its body was complete and its node had not answered: else an answer or an
-    /// error
-    ///        was counted before, or came for a part of the body
+    /// Whether an outcome says anything about its node.
+    /// \param heldSlot whether the body was complete and the node had not finished its work; otherwise an
+    /// `Ok`
+    ///        or `Error` was counted before, or answers only a part of the body
     [[nodiscard]] static bool isNodeEvidence(const AttemptOutcome& event, bool heldSlot);
-    /// An attempt ended, or its node has done its work.
-    /// \param units of its request
-    /// \param elapsed since it was sent, in microseconds
+    /// An attempt ended, or its node has finished its work.
+    /// \param units size of its request
+    /// \param elapsed microseconds since it was sent
     void onOutcome(Node& node, double units, Micros elapsed, Outcome outcome);
     /// A request body is complete: from now on its attempts hold slots at their nodes.
     void onBodyCompleted(const PendingRequest& request) {
         for (const auto& [attempt, index] : request.nodeByAttempt()) {
             Node& node = cluster_.node(index);
             node.onAttemptSent(true, context_.now);
-            cluster_.onUnitsSent(node, request.units());  // a node takes a request in with its last byte
+            // Counted again, as a node accepts a request when its last byte arrives.
+            cluster_.onUnitsSent(node, request.units());
         }
     }
-    /// Cancels attempts whose answers are lost, so that their slots are free and the time that is left goes
-    /// to another attempt. Checks the health of nodes where that is not sure. To be called each tick, if the
-    /// deployment allows cancelling.
+    /// Cancels attempts whose answers are lost, which frees their slots and leaves time for another attempt.
+    /// Checks the health of nodes where it is uncertain whether the answer is lost. To be called each tick,
+    /// if the deployment allows cancelling.
     void cancelLost(const RequestTable& requests);
 
 private:
-    /// What is believed of an attempt without an answer.
-    enum class Verdict { Waiting, Unsure, Lost };
+    /// State of the answer that an outstanding attempt waits for.
+    enum class AnswerState {
+        Pending,           ///< may still come
+        NeedsHealthCheck,  ///< late, and no health check has been sent since the attempt
+        Lost,
+    };
     void onFailure(Node& node, Micros sentAt, Outcome outcome);
     void onAnswer(Node& node, double units, Micros elapsed);
-    [[nodiscard]] Verdict judge(const PendingRequest& request, const Node& node) const;
+    [[nodiscard]] AnswerState answerState(const PendingRequest& request, const Node& node) const;
     void checkHealth(NodeIndex index) {
         Node& node = cluster_.node(index);
         if (!context_.settings.mayCheckHealth || !node.isReady()) return;
--- a/src/policy/cell.h
+++ b/src/policy/cell.h
@@ -11,13 +11,13 @@
 
 namespace wingproxy {
 
-/// A cell as `NodeTable` keeps it; the other parts only read it.
+/// A cell. Owned by `NodeTable`; read-only for everything else.
 struct Cell {
     std::vector<NodeIndex> nodes;
-    std::ptrdiff_t ready = 0;  ///< how many of the nodes are ready, as of the last endpoint list
-    std::uint32_t key = 0;     ///< of its use in gossip; 0: not in use yet
-    /// What it is asked for, in weighted units: see `Admission::classify`. Owned by `UsageTable`; null: not
-    /// in use yet.
+    std::ptrdiff_t ready = 0;  ///< number of ready nodes, as of the last endpoint list
+    std::uint32_t key = 0;     ///< names its usage in gossip; 0: not in use yet
+    /// The demand for it, in weighted units: see `Admission::classify`. Owned by `UsageTable`; null: not in
+    /// use yet.
     KeyUsage* usage = nullptr;
 };
 
--- a/src/policy/cluster_view.cpp
+++ b/src/policy/cluster_view.cpp
@@ -8,14 +8,16 @@
 namespace {
 
 constexpr Micros kWatchBackoff = 100'000;  // after the first failed call to discovery; doubles
-// Discovery begins new watches one after another, and fails what waits for 2 s. Beyond this many hosts, their
-// calls are spread so far apart on average (docs/fleet.md).
-constexpr int kUnspreadHosts = 8;
+// Discovery accepts new watches one at a time and fails those that wait for 2 s. For each host beyond
+// kMaxHostsWithoutSpread, the period over which the hosts spread their calls grows by kWatchSpreadPerHost
+// (docs/fleet.md).
+constexpr int kMaxHostsWithoutSpread = 8;
 constexpr Micros kWatchSpreadPerHost = 25'000;
-constexpr double kRenewPart = 0.7;  // of the poll interval, after which the list is asked for again
-// A successor is often listed a second or two after its drain was announced: what a draining node rejects
-// until then is no worse off.
-constexpr double kDrainPart = 0.7;  // of its grace
+constexpr double kRenewFraction = 0.7;  // of the poll interval, after which the list is requested again
+// Fraction of the grace period in which a draining node still gets requests if its cell has no ready node. A
+// successor is often listed a second or two after the drain was announced; until then, a request that the
+// draining node rejects is no worse off than one that is not sent.
+constexpr double kDrainFraction = 0.7;
 
 }  // namespace
 
@@ -27,7 +29,7 @@
 
 Micros ClusterView::watchSpread() const {
     const Settings& settings = context_.settings;
-    const Micros spread = kWatchSpreadPerHost * std::max(0, settings.hostCount - kUnspreadHosts);
+    const Micros spread = kWatchSpreadPerHost * std::max(0, settings.hostCount - kMaxHostsWithoutSpread);
     return std::min(spread, settings.pollIntervalUs / 2);
 }
 
@@ -35,7 +37,7 @@
     const Settings& settings = context_.settings;
     if (!settings.pollsEndpointList || context_.now < nextWatchAt_) return;
     nextWatchAt_ = settings.pollIntervalUs > 0
-                       ? context_.now + Micros(kRenewPart * double(settings.pollIntervalUs))
+                       ? context_.now + Micros(kRenewFraction * double(settings.pollIntervalUs))
                        : -kNever;
     context_.emit(WatchEndpointList{true});
 }
@@ -47,7 +49,7 @@
 }
 
 std::vector<NodeInfo> ClusterView::apply(const EndpointList& list) {
-    // After a failed call, a drain may have been announced longer ago than it seems.
+    // After a failed call, a drain may have been announced well before the list that shows it arrives.
     const bool drainIsNew = watchBackoff_ == 0;
     if (list.kind != EndpointListKind::Cached) watchBackoff_ = 0;
     if (list.kind != EndpointListKind::Delta) table_.unlistAll();
@@ -69,7 +71,7 @@
         node.restart(startOf(info), phase, context_.now);
     }
     if (node.isReady() && info.state == NodeState::Draining && drainIsNew)
-        node.startDrain(context_.now + Micros(kDrainPart * double(context_.settings.drainGraceUs)));
+        node.startDrain(context_.now + Micros(kDrainFraction * double(context_.settings.drainGraceUs)));
     node.update(info);
     return started;
 }
@@ -80,16 +82,17 @@
            cells()[node.info().cell.position()].ready == 0;
 }
 
-// The wall clocks of this host and of the node may disagree, and either may step. What discovery tells in one
-// list and did not tell in the list before has happened since, whatever the clocks say.
+// The wall clocks of this host and of the node may disagree, and either may step. A start that one list shows
+// and the previous list did not show happened between the two, whatever the clocks say.
 NodeStart ClusterView::startOf(const NodeInfo& info) const {
     if (info.startedUs <= 0) return {};
     const Micros now = context_.now;
     const Settings& settings = context_.settings;
     NodeStart start{std::min(std::max(info.startedUs, listedAt_), now), now};
     if (start.at >= context_.startedAt) return start;
-    // It started before this process, in whose time no list has been without it: its age is the clocks' word
-    // alone, and an earlier process of this host may have sent what this one does not know of.
+    // The node started before this process, and no list that this process received lacked it: only the clocks
+    // tell its age, and an earlier process of this host may have sent requests that this one does not know
+    // of.
     if (now - start.at < settings.slowStartDurationUs)
         start.usableSince = context_.startedAt + slowStartHostWindow(settings);
     start.at = context_.startedAt;
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -10,20 +10,21 @@
 
 namespace {
 
-constexpr double kInitialLimit = 3;   // the design's "a few"
-constexpr double kMaxLimit = 16;      // however quick a node looks
-constexpr double kMinWhileQuick = 2;  // for each host, at a node whose latency is short
-constexpr double kMinWhileSlow = 1;
-constexpr double kQueuedFactor = 1.6;  // latency over the floor at which the node's queue is too long
-constexpr double kDecrease = 0.85;     // on a long queue, at most once in a latency
-constexpr double kIncrease = 0.5;      // in all, by as many answers as the limit allows attempts
+// Limits are in attempts of all hosts together, minimums in attempts of one host.
+constexpr double kInitialLimit = 3;       // until answers change it
+constexpr double kMaxLimit = 16;          // however fast the node looks
+constexpr double kMinAttemptsIfFast = 2;  // at a node whose latency is short
+constexpr double kMinAttemptsIfSlow = 1;
+constexpr double kQueuedFactor = 1.6;  // ratio of latency to floor above which the node has a queue
+constexpr double kDecrease = 0.85;     // factor after a slow answer, applied at most once per latency
+constexpr double kIncrease = 0.5;      // in attempts, spread over as many fast answers as the limit is high
 constexpr double kFailureDecrease = 0.5;
-constexpr double kSpareAttempts = 2;      // the limit only grows when it is as good as used
-constexpr Micros kFloorSpan = 5'000'000;  // pauses of a node end well within
-constexpr double kSmoothing = 0.2;        // weight of the newest latency, at the least
-constexpr double kMinUnits = 0.5;
-constexpr double kDrainRate = 1;  // a queue that was seen is worked off by its own length in as much time
-constexpr double kUnknownLatencyPart = 0.25;  // of the objective, where no answer came yet
+constexpr double kSpareAttempts = 2;  // the limit grows only if fewer allowed attempts than this are unused
+constexpr Micros kFloorSpan = 5'000'000;  // of the minimum; longer than a node's pauses
+constexpr double kSmoothing = 0.2;  // weight of the newest size; lower bound of that of the newest latency
+constexpr double kMinUnits = 0.5;   // lower bound of the mean request size in unitsPerSecond
+constexpr double kDrainRate = 1;    // microseconds of queueing latency that drain per microsecond
+constexpr double kUnknownLatencyFraction = 0.25;  // of the objective, before the first answer
 
 }  // namespace
 
@@ -36,17 +37,17 @@
 
 double ConcurrencyLimit::expectedLatency(Micros now, double objective) const {
     const LatencyEstimate& estimate = state_.estimate;
-    if (estimate.latency <= 0) return objective * kUnknownLatencyPart;
-    const double left = estimate.latency - kDrainRate * double(now - estimate.updatedAt);
-    return std::max(std::min(estimate.latency, estimate.unqueued()), left);
+    if (estimate.latency <= 0) return objective * kUnknownLatencyFraction;
+    const double undrained = estimate.latency - kDrainRate * double(now - estimate.updatedAt);
+    return std::max(std::min(estimate.latency, estimate.unqueued()), undrained);
 }
 
 double ConcurrencyLimit::attemptsAllowed(const Conditions& conditions) const {
     const bool isLong =
         expectedLatency(conditions.now, conditions.objective) > kLongLatencyFraction * conditions.objective;
-    if (state_.estimate.latency <= 0 && conditions.beginners > 1)
-        return std::max(1.0, state_.limit / conditions.beginners);
-    return std::max(isLong ? kMinWhileSlow : kMinWhileQuick, state_.limit * conditions.ownShare);
+    if (state_.estimate.latency <= 0 && conditions.startingHosts > 1)
+        return std::max(1.0, state_.limit / conditions.startingHosts);
+    return std::max(isLong ? kMinAttemptsIfSlow : kMinAttemptsIfFast, state_.limit * conditions.ownShare);
 }
 
 double ConcurrencyLimit::unitsPerSecond(const Conditions& conditions) const {
@@ -66,7 +67,7 @@
 
 void ConcurrencyLimit::record(const Answer& answer, Micros now) {
     LatencyEstimate& estimate = state_.estimate;
-    // The older what is known, the more the newest answer counts.
+    // The older the estimate, the more weight the new answer has.
     const double age = double(now - answer.updatedBefore) / double(kRateMemory);
     const double weight = estimate.latency > 0 ? std::max(kSmoothing, 1 - std::exp2(-age)) : 1;
     estimate.updatedAt = now;
--- a/src/policy/dispatcher.cpp
+++ b/src/policy/dispatcher.cpp
@@ -5,10 +5,12 @@
 namespace wingproxy {
 namespace {
 
-constexpr double kNoNodeWait = 1e15;      // microseconds; a cell without a node
-constexpr double kLastResortWait = 1e12;  // likewise; a node that is a suspect, or full by slow start
+// Waits in microseconds, longer than any real one.
+constexpr double kNoNodeWait = 1e15;      // of a cell without a ready node
+constexpr double kLastResortWait = 1e12;  // added for a node that is suspect, or that slow start excludes
 constexpr double kSuspectWaitFactor = 100;
-constexpr std::uint64_t kCellStride = 7;  // prime to usual cell counts: each object starts elsewhere
+// Coprime to usual cell counts, so that the search for each new object's cell starts at another one.
+constexpr std::uint64_t kCellStride = 7;
 
 }  // namespace
 
@@ -17,7 +19,7 @@
     if (cells == 0) return CellIndex(0);
     const std::size_t host = context_.settings.hostIndex.position();
     LeastWait<CellIndex> best{CellIndex::ofPosition((nextSequence_ + host) % cells), kNoNodeWait};
-    for (std::size_t k = 0; k < cells; ++k) {  // from another one each time, so that equals share
+    for (std::size_t k = 0; k < cells; ++k) {  // starts elsewhere each time: equal cells share
         const auto number = CellIndex::ofPosition((k + nextSequence_ * kCellStride + host) % cells);
         const double unitsAhead = queues_.of(number).units();
         for (const NodeIndex index : cluster_.cells()[number.position()].nodes) {
@@ -33,10 +35,10 @@
     const double excess = std::max(0.0, node.outstanding() + 1 - allowed) / allowed;
     double wait =
         cluster_.expectedLatency(node) * (1 + excess) + unitsAhead * 1e6 / cluster_.unitsPerSecond(node);
-    // What fails there may be tried again in its cell only.
+    // A request that fails there after it may have run can only be retried in the same cell.
     wait += node.outliers().errorPenalty(context_.latencyObjective, context_.now);
-    // The capacity of a starting node belongs first to what only it can serve. An objective more, so that
-    // hosts which have no answer of it yet do not all choose what looks idle.
+    // A node in slow start is left to the requests that only its cell can serve. One objective is added so
+    // that hosts without an answer from it do not all choose it because it looks idle.
     if (cluster_.isWarmingUp(node))
         wait = wait / context_.settings.slowStartCapacity + context_.latencyObjective;
     if (cluster_.isSuspect(node) || !cluster_.slowStartAdmits(node, unitsAhead + units))
@@ -94,7 +96,7 @@
     for (const auto& [key, request] : queues_.of(number).entries()) {
         const NodeIndex node = chooseNode(*request, cell);
         if (node.isNone()) continue;
-        PendingRequest& chosen = *request;  // `request` lies in the queue's entry, which is erased now
+        PendingRequest& chosen = *request;  // `request` refers to the queue's entry, which dequeue erases
         dequeue(chosen);
         attempts_.send(chosen, node);
         return true;
--- a/src/policy/dispatcher.h
+++ b/src/policy/dispatcher.h
@@ -1,5 +1,5 @@
 /// \file
-/// The queues of waiting requests: where a new object goes, which request leaves next, and to which node.
+/// Dispatches queued requests: chooses the cell of a new object, the request to send next, and its node.
 #pragma once
 
 #include "policy/admission.h"
@@ -9,11 +9,11 @@
 
 namespace wingproxy {
 
-/// Owns the queues of the cells.
+/// Owns the queues of the cells, and sends from them what the nodes have capacity for.
 class Dispatcher {
 public:
-    /// \param admission says what a request is worth and how long a latency it accepts
-    /// \param retries is asked before every send
+    /// \param admission gives the value of a request and the longest latency that it accepts
+    /// \param retries checks every request before it is sent
     Dispatcher(const Context& context, ClusterView& cluster, const Admission& admission, RetryPolicy& retries,
                AttemptTracker& attempts)
         : context_(context),
@@ -22,39 +22,41 @@
           retries_(retries),
           attempts_(attempts) {}
 
-    /// The cell with the shortest wait for a new object of this size, in units. Cell 0 where none is known.
+    /// The cell with the shortest expected wait for a new object. Cell 0 if no cell is known.
+    /// \param units size of the request
     [[nodiscard]] CellIndex cellForNewObject(double units);
-    /// Queues a request, in a cell of its choice where none is set.
+    /// Queues a request; chooses its cell if it has none.
     void enqueue(PendingRequest& request) {
         if (request.cell().isNone()) request.setCell(cellForNewObject(request.units()));
         if (!request.hasTokens()) LeaseAllocator::addQueuedUnits(request.volume(), request.units());
         queues_.add(request);
     }
-    /// Takes a request out of its queue, if it is in one.
+    /// Removes a request from its queue, if it is in one.
     void dequeue(PendingRequest& request) {
         if (!request.isQueued()) return;
         if (!request.hasTokens()) LeaseAllocator::removeQueuedUnits(request.volume(), request.units());
         queues_.remove(request);
     }
-    /// Sends what may leave a cell's queue, earliest due first.
+    /// Sends all requests in a cell's queue that may be sent now, earliest due first.
     void dispatch(CellIndex cell) {
         while (sendNext(cell)) {}
     }
 
-    /// Why a request that waits is not sent now, as far as one reason covers all nodes of its cell.
+    /// Why a queued request is not sent now: the first reason that applies to every node of its cell, and
+    /// `TooSlow` if none does.
     [[nodiscard]] AnswerReason holdReason(const PendingRequest& request) const;
-    /// The least valuable of all requests that wait, the first of equals; null if none waits.
+    /// The least valuable queued request, the first of equals; null if none is queued.
     [[nodiscard]] PendingRequest* leastValuable() {
         return queues_.least([&](const PendingRequest& request) { return admission_.value(request); });
     }
-    /// The queues, to mark what changed and to see what waits.
+    /// The queues, to mark changed cells and to read what is queued.
     [[nodiscard]] CellQueues& queues() { return queues_; }
 
-    /// The number of a new request in the order of arrival.
+    /// Takes the next sequence number, which numbers requests in the order of arrival.
     std::uint64_t nextSequence() { return nextSequence_++; }
-    /// The number that the next request gets, for the snapshot.
+    /// The sequence number of the next request, for the snapshot.
     [[nodiscard]] std::uint64_t sequence() const { return nextSequence_; }
-    /// Goes on with the numbers of a predecessor process.
+    /// Continues the sequence numbers of a predecessor process.
     void restore(std::uint64_t sequence) { nextSequence_ = sequence; }
 
 private:
--- a/src/policy/latency_floor.h
+++ b/src/policy/latency_floor.h
@@ -1,5 +1,5 @@
 /// \file
-/// The least latency of the recent past.
+/// The minimum latency of the recent past.
 #pragma once
 
 #include <algorithm>
@@ -9,16 +9,16 @@
 
 namespace wingproxy {
 
-/// The least sample of the current span and the one before it, so that a floor outlives a pause but not a
+/// The minimum over the current span and the previous one, so that it survives a pause of the node but not a
 /// lasting change of the latency.
 struct LatencyFloor {
-    double current = 0;    ///< least sample of this span; 0: none
-    double previous = 0;   ///< least sample of the span before; 0: none
-    Micros spanStart = 0;  ///< of the current span
+    double current = 0;    ///< minimum of this span; 0: no sample
+    double previous = 0;   ///< minimum of the previous span; 0: no sample
+    Micros spanStart = 0;  ///< start of the current span
 
-    /// The floor; 0: no sample yet.
+    /// The minimum; 0: no sample yet.
     [[nodiscard]] double value() const { return previous > 0 ? std::min(previous, current) : current; }
-    /// Takes a sample into the span that `now` lies in.
+    /// Adds a sample to the current span, or begins a new one if that is over.
     /// \param span length of a span, in microseconds
     void record(double sample, Micros now, Micros span) {
         if (now - spanStart > span) {
--- a/src/policy/least_wait.h
+++ b/src/policy/least_wait.h
@@ -4,14 +4,14 @@
 
 namespace wingproxy {
 
-/// The first of the candidates with the shortest wait.
+/// Keeps the candidate with the shortest wait, the first one of equals.
 /// \tparam Candidate an index type
 template <typename Candidate>
 struct LeastWait {
-    Candidate choice;  ///< none: no candidate yet
-    double wait = 0;   ///< of the choice, in the unit of the offers
+    Candidate choice;  ///< unset: no candidate yet
+    double wait = 0;   ///< of the choice, in the unit passed to `offer`
 
-    /// Takes the candidate if its wait is shorter than that of all before.
+    /// Chooses the candidate if its wait is shorter than that of every earlier one.
     void offer(Candidate candidate, double candidateWait) {
         if (choice.isSet() && candidateWait >= wait) return;
         choice = candidate;
--- a/src/policy/node.h
+++ b/src/policy/node.h
@@ -10,18 +10,18 @@
 
 namespace wingproxy {
 
-/// The start of a node's process, as this host learns of it.
+/// The start of a node's process, as far as this host can tell.
 struct NodeStart {
-    Micros at = 0;  ///< no later than now; 0: long ago
-    /// While the node warms up, this host sends it nothing before this time.
+    Micros at = 0;  ///< never in the future; 0: long ago
+    /// Before this time, this host sends the node nothing while it warms up.
     Micros usableSince = kNever;
 };
 
-/// A node, listed or remembered: its entry of the endpoint list, the attempts that are outstanding there, and
-/// the three limits that follow from what its answers show. Owned by `NodeTable`.
+/// A node, listed or remembered: its entry in the endpoint list, the attempts outstanding there, and its
+/// concurrency limit, outlier detection and slow start. Owned by `NodeTable`.
 class Node {
 public:
-    /// All that it knows but for the outstanding attempts, which belong to one process; for the snapshot.
+    /// Its whole state except the outstanding attempts, which belong to one process; for the snapshot.
     struct State {
         NodeInfo info;
         bool listed = false;
@@ -31,9 +31,9 @@
         OutlierDetector::State outliers;
         SlowStartLimiter::State slowStart;
     };
-    /// A free place in the table: not listed.
+    /// An unused entry of the table: not listed.
     Node() = default;
-    /// Takes over what a predecessor process knew.
+    /// Restores the state of a predecessor process.
     explicit Node(State state)
         : info_(std::move(state.info)),
           listed_(state.listed),
@@ -45,22 +45,22 @@
           startedAt_(info_.startedUs) {}
 
     // -- endpoint list
-    /// Its last entry of the endpoint list.
+    /// Its latest entry in the endpoint list.
     [[nodiscard]] const NodeInfo& info() const { return info_; }
-    /// Whether the endpoint list has it now.
+    /// Whether the current endpoint list contains it.
     [[nodiscard]] bool isListed() const { return listed_; }
-    /// Whether it is listed and accepts requests without reserve.
+    /// Whether it is listed as ready, that is not draining.
     [[nodiscard]] bool isReady() const { return listed_ && info_.state == NodeState::Ready; }
-    /// Takes over its entry of the endpoint list.
+    /// Applies its entry in a new endpoint list.
     void update(const NodeInfo& info) {
         info_ = info;
         listed_ = info.state != NodeState::Removed;
     }
-    /// A complete endpoint list begins, on which it may be missing.
+    /// Marks it as not listed, before a complete endpoint list is applied that may lack it.
     void unlist() { listed_ = false; }
-    /// Its process is new: nothing that was learnt of the one before holds, but for the attempts that are
-    /// still outstanding and what was sent after the start.
-    /// \param start when that was
+    /// Its process is new: discards what was learnt about the previous one, except for the outstanding
+    /// attempts and what was sent after the start.
+    /// \param start when the new process started
     /// \param phase see `SlowStartLimiter::State`
     void restart(const NodeStart& start, double phase, Micros now) {
         const int outstanding = outstanding_;
@@ -76,23 +76,24 @@
     }
     /// When its process started, as far as this host can tell (`NodeStart::at`); 0: long ago.
     [[nodiscard]] Micros startedAt() const { return startedAt_; }
-    /// While it warms up, this host sends it nothing before this time.
+    /// Before this time, this host sends it nothing while it warms up.
     [[nodiscard]] Micros usableSince() const { return usableSince_; }
-    /// Its drain was announced; it may still get requests until then, where its cell has no other node.
+    /// Its drain was announced; it may still get requests until `servesUntil` if its cell has no ready node.
     void startDrain(Micros servesUntil) { servesDrainUntil_ = servesUntil; }
-    /// Until when a draining node may get new requests; `kNever` if it may not.
+    /// Until when it may get new requests while it drains; `kNever` if it may not.
     [[nodiscard]] Micros servesDrainUntil() const { return servesDrainUntil_; }
-    /// Notes that it is still listed, if it is; to be called before each `isForgettable`.
+    /// Updates the time it was last listed, if it is listed; to be called before each `isForgettable`.
     void refreshListedAt(Micros now) {
         if (listed_) listedAt_ = now;
     }
-    /// Whether it was not seen on the list for `period` and has no attempts outstanding.
+    /// Whether it has not been listed for `period` and has no attempts outstanding.
     [[nodiscard]] bool isForgettable(Micros period, Micros now) const {
         return now - listedAt_ >= period && outstanding_ == 0;
     }
 
     // -- attempts of this host
-    /// Attempts that hold a slot at the node: the body of the request is complete and there is no answer yet.
+    /// Number of attempts that hold a slot at the node: the body of the request is complete and the node has
+    /// not answered yet.
     [[nodiscard]] int outstanding() const { return outstanding_; }
     /// An attempt was sent, or the body of its request is complete.
     /// \param holdsSlot false while the body is incomplete: the node cannot answer yet
@@ -100,24 +101,24 @@
         if (outstanding_ == 0) outliers_.onWorkBegan(now);
         if (holdsSlot) ++outstanding_;
     }
-    /// An attempt that held a slot ended, or the node has done its work.
+    /// An attempt that held a slot ended, or the node has finished its work.
     void onSlotFreed() { --outstanding_; }
 
     // -- limits, each of which owns its state
-    /// How many attempts may be outstanding, and its latency.
+    /// The limit on outstanding attempts, and the node's latency.
     [[nodiscard]] ConcurrencyLimit& concurrency() { return concurrency_; }
-    /// As above, to read.
+    /// As above, read-only.
     [[nodiscard]] const ConcurrencyLimit& concurrency() const { return concurrency_; }
-    /// Its failures and signs of life.
+    /// Its failures, answers and ejections.
     [[nodiscard]] OutlierDetector& outliers() { return outliers_; }
-    /// As above, to read.
+    /// As above, read-only.
     [[nodiscard]] const OutlierDetector& outliers() const { return outliers_; }
-    /// What this host may send while it warms up.
+    /// What this host may send it while it warms up.
     [[nodiscard]] SlowStartLimiter& slowStart() { return slowStart_; }
-    /// As above, to read.
+    /// As above, read-only.
     [[nodiscard]] const SlowStartLimiter& slowStart() const { return slowStart_; }
 
-    /// For the snapshot.
+    /// Its state, for the snapshot.
     [[nodiscard]] State state() const {
         return {info_,
                 listed_,
@@ -132,7 +133,7 @@
     NodeInfo info_;
     bool listed_ = false;
     int outstanding_ = 0;
-    Micros listedAt_ = kNever;  // last time that it was seen on the list
+    Micros listedAt_ = kNever;  // when it was last known to be listed
     Micros servesDrainUntil_ = kNever;
     ConcurrencyLimit concurrency_;
     OutlierDetector outliers_;
--- a/src/policy/node_index.h
+++ b/src/policy/node_index.h
@@ -1,13 +1,12 @@
 /// \file
-/// How the parts of the policy name a node.
+/// The index by which the parts of the policy refer to a node.
 #pragma once
 
 #include "wingproxy/index.h"
 
 namespace wingproxy {
 
-/// A node's position in `NodeTable`. It stays the same until the node is forgotten; another node may have it
-/// afterwards.
+/// A node's position in `NodeTable`. It stays the same until the node is forgotten, and may then be reused.
 using NodeIndex = Index<struct NodeKind>;
 
 }  // namespace wingproxy
--- a/src/policy/node_table.cpp
+++ b/src/policy/node_table.cpp
@@ -5,7 +5,7 @@
 
 namespace wingproxy {
 
-NodeTable::Added NodeTable::add(const NodeInfo& info) {
+NodeTable::AddResult NodeTable::add(const NodeInfo& info) {
     if (unusedNodes_.empty()) {
         unusedNodes_.push_back(NodeIndex::ofPosition(nodes_.size()));
         nodes_.emplace_back();
--- a/src/policy/node_table.h
+++ b/src/policy/node_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// The tables of nodes and cells.
+/// The table of nodes and cells.
 #pragma once
 
 #include <map>
@@ -13,58 +13,58 @@
 
 namespace wingproxy {
 
-/// Owns nodes and cells. A node's index stays the same until the node is forgotten; a cell's number is its
-/// index.
+/// Owns the nodes and cells. A node's index stays the same until the node is forgotten; a cell is indexed by
+/// its number.
 class NodeTable {
 public:
-    /// \param usage owns the use of the cells; must outlive the table
+    /// \param usage owns the usage of the cells; must outlive the table
     explicit NodeTable(UsageTable& usage) : usage_(usage) {}
 
-    /// The node of an entry of the list.
-    struct Added {
+    /// The result of `add`.
+    struct AddResult {
         Node& node;
-        bool isNew;  ///< nothing is known of it yet
+        bool isNew;  ///< it was not in the table before
     };
-    /// The node with the name and cell of `info`, made if there is none.
-    Added add(const NodeInfo& info);
-    /// The node of this index.
-    /// \throws std::out_of_range if the index was never given
+    /// The node with the id of `info`; if there is none, it is added to the cell of `info`.
+    AddResult add(const NodeInfo& info);
+    /// The node with this index.
+    /// \throws std::out_of_range if no node ever had the index
     [[nodiscard]] Node& node(NodeIndex index) { return nodes_.at(index.position()); }
-    /// As above, to read.
+    /// As above, read-only.
     [[nodiscard]] const Node& node(NodeIndex index) const { return nodes_.at(index.position()); }
-    /// The node of this name, or null.
+    /// The node with this id, or null.
     [[nodiscard]] Node* find(const std::string& id);
-    /// All nodes by index, those that are forgotten too: these are not listed.
+    /// All nodes by index. The entries of forgotten nodes remain and are not listed.
     [[nodiscard]] const std::vector<Node>& nodes() const { return nodes_; }
-    /// Number of nodes without those that are forgotten.
-    [[nodiscard]] std::size_t namedNodes() const { return indexById_.size(); }
-    /// Marks all nodes as not listed, before a complete list is taken over.
+    /// Number of nodes, without those that are forgotten.
+    [[nodiscard]] std::size_t nodeCount() const { return indexById_.size(); }
+    /// Marks all nodes as not listed, before a complete list is applied.
     void unlistAll();
-    /// Forgets nodes that were not listed for `period`, but for those with attempts outstanding or in
+    /// Forgets nodes that were not listed for `period`, except those that have outstanding attempts or are in
     /// `pinned`.
     void forgetUnlisted(Micros period, const std::set<NodeIndex>& pinned, Micros now);
 
-    /// The cell of this number, in use from now on.
+    /// The cell with this number; marks it as in use.
     const Cell& cell(CellIndex number) { return useCell(number); }
     /// All cells by number; some may not be in use yet.
     [[nodiscard]] const std::vector<Cell>& cells() const { return cells_; }
-    /// Makes room for cells that the settings announce; they are not in use yet.
+    /// Sets the number of cells to that of the settings; they are not in use yet.
     void addCells(int count) { cells_.resize(std::size_t(count)); }
-    /// Counts the ready nodes of each cell anew.
+    /// Recounts the ready nodes of each cell.
     void countReady();
-    /// Attempts of this host that are outstanding in a cell.
+    /// Number of this host's attempts that hold a slot at a node of the cell.
     [[nodiscard]] int outstandingIn(const Cell& cell) const;
 
-    /// All of it, for the snapshot.
+    /// The contents of the table, for the snapshot.
     struct State {
         std::vector<Node> nodes;
-        std::vector<NodeIndex> unusedNodes;  ///< indices that are free
+        std::vector<NodeIndex> unusedNodes;  ///< indices to reuse
         std::map<std::string, NodeIndex> indexById;
         std::vector<Cell> cells;
     };
     /// A copy, for the snapshot.
     [[nodiscard]] State state() const { return {nodes_, unusedNodes_, indexById_, cells_}; }
-    /// Takes a state over; the usage table must have been restored before.
+    /// Restores a predecessor's state; the usage table must have been restored before.
     void restore(State state);
 
 private:
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -5,33 +5,35 @@
 namespace wingproxy {
 namespace {
 
-// Silence with work outstanding: beyond an ordinary pause, or so many latencies where a node is slow by
-// nature.
+// A node with work outstanding is suspect when it has been silent for longer than kMinSilence, which exceeds
+// an ordinary pause, and longer than kSilenceLatencies of its usual latency, for nodes that are always slow.
 constexpr Micros kMinSilence = 400'000;
 constexpr double kSilenceLatencies = 4;
-// A suspect gets one request this often, to show its recovery.
+// Bounds of the interval at which one host sends a suspect node a trial request. The lower one is also the
+// ejection time after a first failure.
 constexpr Micros kMinTrialInterval = 300'000;
 constexpr Micros kMaxTrialInterval = 1'200'000;
-constexpr int kMaxFailures = 4;          // the ejection doubles with each up to this one
+constexpr int kMaxFailures = 4;          // in a row; the ejection time doubles with each, up to this one
 constexpr double kErrorSmoothing = 0.2;  // weight of the newest answer
-// A node of whose answers all are errors looks so many objectives slower to a new object, until its last sign
-// of life is so old.
+// Added to the expected wait for a new object, in latency objectives, if all of the node's answers are
+// errors.
 constexpr double kErrorObjectives = 4;
-constexpr Micros kErrorMemory = 5'000'000;
+constexpr Micros kErrorMemory = 5'000'000;  // errors are ignored when `progressAt` is older
 
 }  // namespace
 
 bool OutlierDetector::isSuspect(int outstanding, double latency, Micros now) const {
-    const double patience = std::max(double(kMinSilence), kSilenceLatencies * latency);
-    return now < state_.ejectedUntil || (outstanding > 0 && double(now - state_.progressAt) > patience);
+    const double maxSilence = std::max(double(kMinSilence), kSilenceLatencies * latency);
+    return now < state_.ejectedUntil || (outstanding > 0 && double(now - state_.progressAt) > maxSilence);
 }
 
 Micros OutlierDetector::trialInterval(const Settings& settings) {
     const double rate = promisedUnitsPerSecond(settings);
     if (rate <= 0) return kMinTrialInterval;
-    const double unitsOfAllHosts = std::max(settings.hostCount, 1) * settings.meanUnits;
-    const auto workedOffIn = Micros(unitsOfAllHosts / rate * 1e6);
-    return std::clamp(workedOffIn, kMinTrialInterval, kMaxTrialInterval);
+    // One trial request of each host, and how long any warm node needs at the most for them.
+    const double unitsPerRound = std::max(settings.hostCount, 1) * settings.meanUnits;
+    const auto roundDuration = Micros(unitsPerRound / rate * 1e6);
+    return std::clamp(roundDuration, kMinTrialInterval, kMaxTrialInterval);
 }
 
 double OutlierDetector::errorPenalty(double latencyObjective, Micros now) const {
@@ -48,10 +50,10 @@
 }
 
 bool OutlierDetector::onFailure(Outcome outcome, Micros sentAt, Micros now) {
-    // Where the node answered what was sent later, the answer was lost and the node works.
+    // If the node answered a request that was sent later, it works and only this answer was lost.
     if (outcome == Outcome::Cancelled || sentAt < state_.newestAnswered) return false;
     state_.failures = std::min(state_.failures + 1, kMaxFailures);
-    // A lone reset may be one damaged answer; those of a dead node follow each other.
+    // A single reset may be one damaged answer; a dead node causes several in a row.
     if (outcome == Outcome::Reset && state_.failures == 1) return false;
     state_.ejectedUntil = now + (kMinTrialInterval << state_.failures) / 2;
     return true;
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -1,5 +1,5 @@
 /// \file
-/// Finds a node that fails or falls silent, and lets a trial request through from time to time.
+/// Detects a node that fails or falls silent, and admits a trial request to it from time to time.
 #pragma once
 
 #include <algorithm>
@@ -9,78 +9,81 @@
 
 namespace wingproxy {
 
-/// One node's failures and signs of life, as this host sees them. Times are microseconds.
+/// One node's failures and answers, as this host sees them. Times are in microseconds.
 class OutlierDetector {
 public:
-    /// All that it knows; for the snapshot.
+    /// Its whole state; for the snapshot.
     struct State {
-        double errorShare = 0;  ///< part of the answers that are errors, smoothed
-        Micros progressAt = 0;  ///< last sign of life, or begin of the present work
+        double errorShare = 0;  ///< fraction of the answers that are errors, smoothed
+        Micros progressAt = 0;  ///< last answer, or when the node last went from idle to busy
         Micros lastTrialAt = kNever;
-        Micros newestAnswered = kNever;  ///< when the latest request was sent that was answered
+        Micros newestAnswered = kNever;  ///< latest sending time of a request that was answered
         Micros lastHealthCheckAt = kNever;
         Micros ejectedUntil = kNever;
         int failures = 0;  ///< in a row
     };
     OutlierDetector() = default;
-    /// Takes over what a predecessor process knew.
+    /// Restores the state of a predecessor process.
     explicit OutlierDetector(const State& state) : state_(state) {}
-    /// A node whose process began, as far as is known, at `now`.
+    /// The detector of a node whose process is new to this host at `now`.
     static OutlierDetector startingAt(Micros now) {
         OutlierDetector fresh;
         fresh.state_.progressAt = now;
         return fresh;
     }
 
-    /// Whether the node was ejected, or is silent with work outstanding.
+    /// Whether the node is ejected, or silent with work outstanding.
     /// \param outstanding attempts of this host
-    /// \param latency that the node usually takes, in microseconds; 0: unknown
+    /// \param latency the node's usual latency, in microseconds; 0: unknown
     [[nodiscard]] bool isSuspect(int outstanding, double latency, Micros now) const;
-    /// Whether a suspect may get one more trial request.
-    /// \param interval between two of them, in microseconds
+    /// Whether a suspect node may get another trial request.
+    /// \param interval least time between two of them, in microseconds
     [[nodiscard]] bool admitsTrial(Micros interval, Micros now) const {
         return now - state_.lastTrialAt >= interval;
     }
     /// Time between two trial requests of one host, in microseconds.
     ///
-    /// A silent node may only be slow, and works on what it was sent before: trials of all hosts together
-    /// must leave it time for that. The least is for nodes that have time enough; above the most, the hosts
-    /// would find out too late that a node works again.
+    /// A silent node may merely be slow and still work on earlier requests, so the trials of all hosts
+    /// together must leave it time to finish those. The result has a lower bound for nodes that are fast
+    /// enough anyway, and an upper bound beyond which the hosts would notice too late that a node has
+    /// recovered.
     static Micros trialInterval(const Settings& settings);
-    /// Whether it was tried, or gave a sign of life, within `period`.
-    [[nodiscard]] bool wasUsedWithin(Micros period, Micros now) const {
+    /// Whether it got a trial request, answered, or went from idle to busy within `period`.
+    [[nodiscard]] bool wasActiveWithin(Micros period, Micros now) const {
         return now - std::max(state_.lastTrialAt, state_.progressAt) < period;
     }
-    /// How long the ejection lasts yet, in microseconds; 0: none.
+    /// Remaining time of the ejection, in microseconds; 0: not ejected.
     [[nodiscard]] double ejectionLeft(Micros now) const {
         return std::max(0.0, double(state_.ejectedUntil - now));
     }
-    /// By how much longer a new object should wait elsewhere than go to a node that fails, in microseconds.
+    /// What the node's errors add to its expected wait when a cell is chosen for a new object, in
+    /// microseconds.
     [[nodiscard]] double errorPenalty(double latencyObjective, Micros now) const;
-    /// Whether the node has answered what was sent more than `margin` microseconds after `sentAt`.
-    [[nodiscard]] bool answeredLaterThan(Micros sentAt, double margin) const {
+    /// Whether the node has answered a request that was sent more than `margin` microseconds after `sentAt`.
+    [[nodiscard]] bool hasAnsweredNewerThan(Micros sentAt, double margin) const {
         return double(state_.newestAnswered - sentAt) > margin;
     }
-    /// Whether its health was checked at `at` or later, so that one check is sent for each silence.
+    /// Whether a health check was sent at `at` or later, so that each silence causes only one check.
     [[nodiscard]] bool wasCheckedSince(Micros at) const { return state_.lastHealthCheckAt >= at; }
 
-    /// Its first outstanding request was sent: silence counts from now on.
+    /// A request was sent while none was outstanding: silence is measured from now on.
     void onWorkBegan(Micros now) { state_.progressAt = now; }
-    /// A suspect was sent a request: the next one must wait for `trialInterval`.
+    /// A request was sent while the node is suspect: the next one must wait for `trialInterval`.
     void onTrialSent(Micros now) { state_.lastTrialAt = now; }
     /// A health check was sent because an answer is overdue.
     void onHealthCheckSent(Micros now) { state_.lastHealthCheckAt = now; }
-    /// A health check that was sent at `sentAt` was answered: what was sent before and has no answer is lost.
+    /// A health check that was sent at `sentAt` was answered: answers to requests sent before are lost if
+    /// they are still missing.
     void onHealthCheckAnswered(Micros sentAt) {
         state_.newestAnswered = std::max(state_.newestAnswered, sentAt);
     }
-    /// An answer, also an error status, to what was sent at `sentAt`.
+    /// A request that was sent at `sentAt` was answered, successfully or with an error status.
     void onAnswer(bool error, Micros sentAt, Micros now);
-    /// An attempt that got no answer.
-    /// \return whether it counts against the node, which is then ejected for a while
+    /// An attempt that was sent at `sentAt` ended without an answer.
+    /// \return whether the failure counts against the node, which is then ejected for a while
     bool onFailure(Outcome outcome, Micros sentAt, Micros now);
 
-    /// For the snapshot.
+    /// Its state, for the snapshot.
     [[nodiscard]] const State& state() const { return state_; }
 
 private:
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -10,53 +10,56 @@
 namespace wingproxy {
 namespace {
 
-// A process may be held up for so long between its decision and its write.
-constexpr Micros kMaxHoldUp = 150'000;
-// Units that may be sent for each unit that was completed: above 1, so that hosts find out what a node can do
-// beyond what the settings promise. Their sum is a part of the node's budget, at most this one.
+// Longest delay of a process between the decision to send a request and the write.
+constexpr Micros kMaxSendDelay = 150'000;
+// Units that may be sent for each completed unit: above 1, so that hosts discover what a node can do beyond
+// what the settings promise.
 constexpr double kGrowth = 1.5;
-constexpr double kMaxCompletedPart = 0.75;
-// Of what a node bears: the rest covers requests of more work than their units say.
-constexpr double kUsedPart = 0.8;
-// How far the sum over hosts may lie above its mean, in standard deviations.
+// Upper bound of the sum of these units over all hosts, as a fraction of the node's budget.
+constexpr double kMaxCompletedFraction = 0.75;
+// Fraction of what a node tolerates that is used; the rest covers requests of more work than their units say.
+constexpr double kUsedFraction = 0.8;
+// Standard deviations by which the sum over all hosts may exceed its mean.
 constexpr double kDeviations = 3;
-constexpr double kSpreadRequests = 1.5;  // size of the requests that make up the sum, in mean requests
-constexpr int kSearchSteps = 12;
+// Request size for which the rounding variance is computed, in mean requests.
+constexpr double kRoundedRequestSize = 1.5;
+constexpr int kSearchSteps = 12;  // of the bisection in fixedUnits
 
 // Units that this host may send for each unit that the node completed.
 double unitsPerCompleted(const Settings& settings) {
-    return std::min(kGrowth, kMaxCompletedPart * settings.slowStartOverloadFactor);
+    return std::min(kGrowth, kMaxCompletedFraction * settings.slowStartOverloadFactor);
 }
 
-// Variance of what one host sends within a window, as it rounds its allowance to whole requests at random.
+// Variance of what one host sends within a window, which comes from the random rounding of its allowance to
+// whole requests.
 double roundingVariance(const Settings& settings, double allowance) {
-    const double size = kSpreadRequests * settings.meanUnits;
+    const double size = kRoundedRequestSize * settings.meanUnits;
     const double rounded = std::min(allowance, size / 2);
     return rounded * (size - rounded);
 }
 
-// Units that all hosts together may send within a window, beside what follows from completed units: the most
-// with which the sum is hardly ever more than a node bears.
+// Units that all hosts together may send within a window, apart from those granted for completed units: the
+// largest number with which the sum plus kDeviations standard deviations stays within what a node tolerates.
 double fixedUnits(const Settings& settings, double budget, double hosts) {
-    const double completedPart =
+    const double completedFraction =
         unitsPerCompleted(settings) / std::max(settings.slowStartOverloadFactor, 1.0);
-    const double borne = kUsedPart * (budget + slowStartTolerance(settings, budget));
-    const double bound = borne - completedPart * budget;
-    double least = 0;
-    double most = std::max(bound, 0.0);
+    const double tolerated = kUsedFraction * (budget + slowStartTolerance(settings, budget));
+    const double bound = tolerated - completedFraction * budget;
+    double low = 0;
+    double high = std::max(bound, 0.0);
     for (int step = 0; step < kSearchSteps; ++step) {
-        const double middle = (least + most) / 2;
+        const double middle = (low + high) / 2;
         const double deviation = std::sqrt(hosts * roundingVariance(settings, middle / hosts));
-        (middle + kDeviations * deviation <= bound ? least : most) = middle;
+        (middle + kDeviations * deviation <= bound ? low : high) = middle;
     }
-    return least;
+    return low;
 }
 
 }  // namespace
 
 Micros slowStartHostWindow(const Settings& settings) {
-    const Micros arrivalSpread = settings.connectTimeoutUs + kMaxHoldUp;
-    return settings.slowStartWindowUs + arrivalSpread;
+    const Micros maxArrivalDelay = settings.connectTimeoutUs + kMaxSendDelay;
+    return settings.slowStartWindowUs + maxArrivalDelay;
 }
 
 void SlowStartLimiter::restart(Micros startedAt, double phase) {
@@ -78,12 +81,13 @@
     }
     const double completedByAll =
         conditions.peers->completedRate * double(settings.slowStartWindowUs) / 1e6 / conditions.startingNodes;
-    allowance.units = conditions.peers->demandPart * (fixed + unitsPerCompleted(settings) * completedByAll);
+    allowance.units = conditions.peers->demandShare * (fixed + unitsPerCompleted(settings) * completedByAll);
     return allowance;
 }
 
-// Whether the last request of a window fits in part is drawn anew in each window, with the probability of
-// that part: on average a host sends its allowance, however small it is beside a request.
+// If only a part of the last request fits into the allowance, that part is the probability with which it is
+// admitted, drawn anew in each window. On average a host so sends its allowance, even one smaller than a
+// request.
 bool SlowStartLimiter::admits(const SlowStartAllowance& allowance, double units, Micros now) const {
     if (now < allowance.usableSince || allowance.units <= 0) return false;
     const auto windowNumber = std::uint64_t(double(now) / double(allowance.windowUs) + state_.phase);
--- a/src/policy/slow_start_window.h
+++ b/src/policy/slow_start_window.h
@@ -1,5 +1,5 @@
 /// \file
-/// The units that a host sent to a node and that the node completed, within a sliding window.
+/// The units that a host sent to a node, and those that the node completed, within a sliding window.
 #pragma once
 
 #include <algorithm>
@@ -9,30 +9,30 @@
 
 namespace wingproxy {
 
-/// Units of work sent and completed, oldest first.
+/// Units of work that were sent and completed, oldest first.
 struct SlowStartWindow {
     /// One request that was sent or completed.
     struct Sample {
         Micros at = 0;
-        double units = 0;  ///< sent; completed ones are negative
+        double units = 0;  ///< positive: sent; negative: completed
     };
-    /// Units over a span of time.
+    /// Totals over a span of time.
     struct Sums {
         double sent = 0;
         double completed = 0;
     };
     std::deque<Sample> samples;
 
-    /// A request of so many units was sent.
+    /// Records a request that was sent.
     void addSent(double units, Micros now) { samples.push_back({now, units}); }
-    /// A request of so many units was completed.
+    /// Records a request that was completed.
     void addCompleted(double units, Micros now) { samples.push_back({now, -units}); }
-    /// Forgets what is older than `length` microseconds.
+    /// Removes samples older than `length` microseconds.
     void dropOlderThan(Micros length, Micros now) {
         while (!samples.empty() && now - samples.front().at > length)
             samples.pop_front();
     }
-    /// Sums up what is no older than `length` microseconds.
+    /// Totals of the samples that are no older than `length` microseconds.
     [[nodiscard]] Sums sums(Micros length, Micros now) const {
         Sums sums;
         for (auto sample = samples.rbegin(); sample != samples.rend() && now - sample->at <= length; ++sample)
