--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-bool AttemptTracker::isNodeEvidence(const AttemptOutcome& event, bool heldSlot) {
+bool AttemptTracker::countsForNode(const AttemptOutcome& event, bool heldSlot) {
     if (event.outcome == Outcome::NotStarted) return false;
     if (heldSlot) return !event.requestSpent || event.outcome != Outcome::Rejected;
     return event.outcome != Outcome::Ok && event.outcome != Outcome::Error;
--- a/src/policy/attempt_tracker.h
+++ b/src/policy/attempt_tracker.h
@@ -35,7 +35,7 @@
     /// \param heldSlot whether the body was complete and the node had not finished its work; otherwise an
     /// `Ok`
     ///        or `Error` was counted before, or answers only a part of the body
-    [[nodiscard]] static bool isNodeEvidence(const AttemptOutcome& event, bool heldSlot);
+    [[nodiscard]] static bool countsForNode(const AttemptOutcome& event, bool heldSlot);
     /// An attempt ended, or its node has finished its work.
     /// \param units size of its request
     /// \param elapsed microseconds since it was sent
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -75,7 +75,7 @@
     Node& node = cluster_.node(request->nodeByAttempt().at(event.attempt));
     const bool heldSlot = request->onAttemptEnded(event.attempt);
     if (heldSlot) node.onSlotFreed();
-    if (attempts_.isNodeEvidence(event, heldSlot))
+    if (attempts_.countsForNode(event, heldSlot))
         attempts_.onOutcome(node, request->units(), event.elapsedUs, event.outcome);
     dispatcher_.queues().markChanged(node.info().cell);
     retries_.onAttemptEnded(*request, event.outcome);
