--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -73,7 +73,7 @@
     return needsCheck ? AnswerState::NeedsHealthCheck : AnswerState::Pending;
 }
 
-void AttemptTracker::cancelLost(const RequestTable& requests) {
+void AttemptTracker::cancelLostAttempts(const RequestTable& requests) {
     std::map<std::uint64_t, CancelAttempt> lost;  // by order of arrival
     std::set<NodeIndex> nodesToCheck;
     for (const auto& [id, request] : requests.all()) {
--- a/src/policy/attempt_tracker.h
+++ b/src/policy/attempt_tracker.h
@@ -52,7 +52,7 @@
     /// Cancels attempts whose answers are lost, which frees their slots and leaves time for another attempt.
     /// Checks the health of nodes where it is uncertain whether the answer is lost. To be called each tick,
     /// if the deployment allows cancelling.
-    void cancelLost(const RequestTable& requests);
+    void cancelLostAttempts(const RequestTable& requests);
 
 private:
     /// State of the answer that an outstanding attempt waits for.
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -137,7 +137,7 @@
     leases_.useOwnedChunksOnceRecovered();
     cluster_.renewWatch();
     sendRecoveryDatagrams();
-    if (context_.settings.mayCancel) attempts_.cancelLost(requests_);
+    if (context_.settings.mayCancel) attempts_.cancelLostAttempts(requests_);
     leases_.rebalanceAll();
     if (context_.now - lastReportAt_ >= Gossip::reportInterval() / 2) reportUsage();
     dispatcher_.queues().markWaiting();
