--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -17,7 +17,8 @@
         // A suspect answers no sooner than it is tried.
         const double trialRate = node.concurrency().estimate().units * 1e6 / double(cluster_.trialInterval());
         capacity.unitsPerSecond += cluster_.isSuspect(node) ? trialRate : cluster_.unitsPerSecond(node);
-        const double latency = cluster_.expectedLatency(node) + node.outliers().ejectionLeft(context_.now);
+        const double latency =
+            cluster_.expectedLatency(node) + node.outliers().remainingEjection(context_.now);
         capacity.latency = capacity.latency > 0 ? std::min(capacity.latency, latency) : latency;
     }
     return capacity;
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -53,7 +53,7 @@
         return now - std::max(state_.lastTrialAt, state_.progressAt) < period;
     }
     /// Remaining time of the ejection, in microseconds; 0: not ejected.
-    [[nodiscard]] double ejectionLeft(Micros now) const {
+    [[nodiscard]] double remainingEjection(Micros now) const {
         return std::max(0.0, double(state_.ejectedUntil - now));
     }
     /// What the node's errors add to its expected wait when a cell is chosen for a new object, in
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -59,7 +59,7 @@
     EXPECT_FALSE(detector.isSuspect(0, 0, kStart));
     EXPECT_TRUE(detector.onFailure(Outcome::Rejected, kStart, kStart));
     EXPECT_TRUE(detector.isSuspect(0, 0, kStart));
-    EXPECT_GT(detector.ejectionLeft(kStart), 0);
+    EXPECT_GT(detector.remainingEjection(kStart), 0);
     const Micros interval = OutlierDetector::trialInterval(settings());
     EXPECT_TRUE(detector.admitsTrial(interval, kStart));
     detector.onTrialSent(kStart);
@@ -67,7 +67,7 @@
     EXPECT_TRUE(detector.admitsTrial(interval, kStart + interval));
     detector.onAnswer(false, kStart, kStart + kMs);
     EXPECT_FALSE(detector.isSuspect(0, 0, kStart + kMs));
-    EXPECT_EQ(detector.ejectionLeft(kStart + kMs), 0);
+    EXPECT_EQ(detector.remainingEjection(kStart + kMs), 0);
 }
 
 // Guards against the soak's seeds 16, 31 and 4001: trials of all hosts kept a slow node busy with work that
