--- a/tests/policy/attempt_tracker_test.cpp
+++ b/tests/policy/attempt_tracker_test.cpp
@@ -1,4 +1,4 @@
-// Specifies when an attempt without an answer counts as lost and is cancelled, and when the node's health is
+// Tests when an attempt without an answer counts as lost and is cancelled, and when the node's health is
 // checked first.
 #include <gtest/gtest.h>
 
@@ -7,9 +7,9 @@
 namespace wingproxy::test {
 namespace {
 
-// A connection that fell silent must not hold a place at its node, and its request's time, until the
-// deadline.
-TEST(AttemptTracker, AnOvertakenAttemptIsCancelledAndRetriedAndOthersAreNot) {
+// An attempt on a connection that fell silent must not hold a slot at its node, and keep its request waiting,
+// until the deadline.
+TEST(AttemptTracker, OnlyAnIdempotentAttemptIsCancelledAndRetriedAfterLaterAnswers) {
     auto s = settings();
     s.mayCancel = true;
     for (const int cls : {0, 2}) {  // idempotent; not idempotent
@@ -25,7 +25,7 @@
                 all.push_back(a);
             if (id <= 6) {
                 EXPECT_TRUE(only<CancelAttempt>(all).empty());
-            }  // by 100 ms: it may be a slow one
+            }  // within 100 ms: it may just be slow
         }
         const auto cancels = only<CancelAttempt>(all);
         ASSERT_EQ(cancels.empty(), cls == 2);
@@ -38,7 +38,7 @@
     }
 }
 
-// With short latency objectives a lost attempt must be found before they are over.
+// Even with a short latency objective, a lost attempt must be detected before the objective has passed.
 TEST(AttemptTracker, ALostAttemptIsCancelledWithinItsLatencyObjective) {
     auto s = settings();
     s.mayCancel = true;
@@ -60,8 +60,8 @@
     EXPECT_EQ(cancels[0].id, 1u);
 }
 
-// With nothing sent later there is no answer that overtakes: a health check that was answered says that the
-// answer was lost.
+// If nothing was sent to the node later, no later answer can show that this one is lost: an answered health
+// check shows it instead.
 TEST(AttemptTracker, ANodeThatGotNothingLaterIsHealthCheckedOnceAndItsAnswerCountsAsLater) {
     for (const auto outcome : {Outcome::Ok, Outcome::Timeout}) {
         auto s = settings();
@@ -71,7 +71,7 @@
         host.batch({request(1, 0, 1, host.now)});
         const auto actions = host.runTo(host.now + 1500 * kMs);
         EXPECT_EQ(only<StartHealthCheck>(actions).size(), 1u);
-        EXPECT_TRUE(only<CancelAttempt>(actions).empty());  // it may be slow
+        EXPECT_TRUE(only<CancelAttempt>(actions).empty());  // it may just be slow
         host.batch({HealthCheckCompleted{"a", outcome, 2 * kMs, {}}});
         EXPECT_EQ(only<CancelAttempt>(host.runTo(host.now + 50 * kMs)).empty(), outcome != Outcome::Ok);
     }
--- a/tests/policy/cluster_view_test.cpp
+++ b/tests/policy/cluster_view_test.cpp
@@ -1,4 +1,4 @@
-// Specifies which nodes get requests while they drain or are replaced, and when discovery is called.
+// Tests which nodes get requests while they drain or are replaced, and when discovery is called.
 #include <gtest/gtest.h>
 
 #include "policy/policy_test_support.h"
@@ -6,11 +6,12 @@
 namespace wingproxy::test {
 namespace {
 
-// Its successor is listed a second or two later: without the grace the cell has no node meanwhile.
+// A successor is listed a second or two after the drain. Without the grace period, the cell would have no
+// node until then.
 TEST(ClusterView, ADrainingNodeServesWithinItsGraceWhereItsCellHasNoOther) {
-    const auto goes = [](Micros after, std::vector<NodeInfo> more = {},
-                         EndpointListKind before = EndpointListKind::Delta,
-                         EndpointListKind kind = EndpointListKind::Delta) {
+    const auto chosenNode = [](Micros after, std::vector<NodeInfo> more = {},
+                               EndpointListKind before = EndpointListKind::Delta,
+                               EndpointListKind kind = EndpointListKind::Delta) {
         Host h = ready();
         if (before == EndpointListKind::Unavailable) h.batch({nodes({}, EndpointListKind::Unavailable)});
         more.push_back(node("a", 0, NodeState::Draining));
@@ -20,16 +21,17 @@
         return sends.empty() ? std::string() : sends[0].node;
     };
     const Micros grace = settings().drainGraceUs;
-    EXPECT_EQ(goes(0), "a");
-    EXPECT_EQ(goes(grace * 6 / 10), "a");
-    EXPECT_EQ(goes(grace * 8 / 10), "");
-    EXPECT_EQ(goes(0, {node("c", 0)}), "c");
-    // Lists that came late may be older than they look: after a lost call, or all anew.
-    EXPECT_EQ(goes(0, {}, EndpointListKind::Unavailable), "");
-    EXPECT_EQ(goes(0, {}, EndpointListKind::Delta, EndpointListKind::Full), "");
+    EXPECT_EQ(chosenNode(0), "a");
+    EXPECT_EQ(chosenNode(grace * 6 / 10), "a");
+    EXPECT_EQ(chosenNode(grace * 8 / 10), "");
+    EXPECT_EQ(chosenNode(0, {node("c", 0)}), "c");
+    // The drain may be older than the list that shows it: after a failed call, and in a full list.
+    EXPECT_EQ(chosenNode(0, {}, EndpointListKind::Unavailable), "");
+    EXPECT_EQ(chosenNode(0, {}, EndpointListKind::Delta, EndpointListKind::Full), "");
 }
 
-// While discovery fails now and then the list must not stay old for long; while it is down it isn't pressed.
+// After a single failure of discovery, the list must be refreshed soon; during an outage, discovery must not
+// be called often.
 TEST(ClusterView, AFailedWatchIsRepeatedWithBackoff) {
     Settings set = settings();
     set.pollsEndpointList = true;
@@ -45,13 +47,13 @@
     EXPECT_EQ(askedWithin(2 * kSecond), 0u);
     EXPECT_EQ(askedWithin(2 * kSecond), 1u);
     h.batch({nodes({node("a", 0)}, EndpointListKind::Delta),
-             nodes({}, EndpointListKind::Unavailable)});  // answered: as at first
+             nodes({}, EndpointListKind::Unavailable)});  // the success resets the backoff
     EXPECT_EQ(askedWithin(150 * kMs), 1u);
 }
 
-// Discovery answers all hosts in turn: when many start at once, or their calls failed at once, they must not
-// come back at once. What it can't answer in time has failed, and is asked again on top of the others.
-// Checked: in no tenth of a second do more than a twelfth of 300 hosts call, and each one calls within the
+// Discovery answers the hosts one after the other, so hosts that start or fail at the same time must not call
+// it again at the same time: calls that it cannot answer in time fail, and are repeated in addition to the
+// others. In no tenth of a second may more than a twelfth of 300 hosts call, and each must call within the
 // poll interval.
 TEST(ClusterView, ManyHostsSpreadTheirCallsToDiscovery) {
     constexpr int kHosts = 300;
@@ -93,7 +95,7 @@
     const auto sends = only<ForwardRequest>(h.batch({request(2, 0, 1, h.now)}));
     ASSERT_EQ(sends.size(), 1u);
     EXPECT_EQ(sends[0].node, "c");
-    h.batch({nodes({node("b", 1)})});  // a full list without c: it has left
+    h.batch({nodes({node("b", 1)})});  // a full list without c removes it
     EXPECT_EQ(only<ForwardRequest>(h.batch({request(3, 0, 1, h.now)})).size(), 0u);
 }
 
--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -1,4 +1,5 @@
-// Specifies how many attempts may be outstanding at a node, by its latency and this host's share of its load.
+// Tests how many attempts may be outstanding at a node, depending on its latency and this host's share of the
+// demand.
 #include "policy/concurrency_limit.h"
 
 #include <gtest/gtest.h>
@@ -9,8 +10,8 @@
 namespace wingproxy::test {
 namespace {
 
-// How many attempts one of a hundred hosts, with a hundredth of what a cell is asked for, has outstanding
-// after an answer that took so long.
+// Number of attempts that one of 100 hosts, with a hundredth of the demand for a cell, has outstanding after
+// an answer that took `took`.
 std::size_t attemptsAfterAnswer(Micros took) {
     Host h(settings(0, 100), kStart);
     h.batch({nodes({node("a", 0), node("b", 1)})});
@@ -28,12 +29,12 @@
 
 TEST(ConcurrencyLimit, AHostWithASmallShareHasTwoAttemptsAtAQuickNodeAndOneAtASlowOne) {
     EXPECT_EQ(attemptsAfterAnswer(20 * kMs), 2u);
-    EXPECT_EQ(attemptsAfterAnswer(200 * kMs), 1u);  // beyond 0.3 of the shortest latency objective
+    EXPECT_EQ(attemptsAfterAnswer(200 * kMs), 1u);  // above 0.3 of the shortest latency objective
 }
 
-// Guards against the soak's seed 31: each of five hosts sent its first three requests at once to a node that
-// needed five seconds for them, and none came back in time.
-TEST(ConcurrencyLimit, HostsThatBeginAtOnceShareTheLimitEvenlyBeforeTheFirstAnswer) {
+// Guards against a failure of soak seed 31: each of five hosts sent its first three requests at the same time
+// to a node that needed 5 s for them, and none was answered in time.
+TEST(ConcurrencyLimit, HostsThatStartTogetherShareTheLimitEvenlyBeforeTheFirstAnswer) {
     const auto firstAttempts = [](int hosts, Micros after = 0) {
         Host host = ready(settings(0, hosts));
         host.now += after;
@@ -44,7 +45,7 @@
     };
     EXPECT_EQ(firstAttempts(1), 3u);
     EXPECT_EQ(firstAttempts(5), 1u);
-    EXPECT_EQ(firstAttempts(5, 2 * kSecond), 3u);  // by then it has heard from the others, or there are none
+    EXPECT_EQ(firstAttempts(5, 2 * kSecond), 3u);  // by now any other host has reported its demand
 }
 
 TEST(ConcurrencyLimit, RisesWhileAnswersAreQuickAndFallsWhileTheyAreSlow) {
@@ -66,7 +67,7 @@
     EXPECT_GE(limit.attemptsAllowed({now, double(kSecond), 0.01}), 1);
 }
 
-TEST(ConcurrencyLimit, AWaitThatAPeerReportsIsWorkedOffWithTime) {
+TEST(ConcurrencyLimit, AWaitReportedByAPeerDrainsWithTime) {
     auto limit = ConcurrencyLimit::startingAt(kStart);
     EXPECT_EQ(limit.expectedLatency(kStart, 400), 100);  // unknown: a quarter of the objective
     limit.onWaitReported(1000, kStart);
--- a/tests/policy/dispatcher_test.cpp
+++ b/tests/policy/dispatcher_test.cpp
@@ -1,4 +1,4 @@
-// Specifies which request leaves next and to which node, and the cell of a new object.
+// Tests which request is sent next and to which node, and which cell a new object goes to.
 #include <gtest/gtest.h>
 
 #include "policy/peer_message.h"
@@ -14,8 +14,8 @@
     EXPECT_EQ(sends[0].node, "a");
 }
 
-// A node just started of which a peer has reported a wait, and which has answered nothing here, looks like
-// the idlest.
+// Guards against a node in slow start that has not answered this host yet and for which a peer has reported a
+// short wait: by these figures alone it looks less busy than any other.
 TEST(Dispatcher, ANewObjectDoesNotGoToAStartingNodeWhileAnotherIsIdle) {
     Host h(settings(0, 100), kStart);
     h.batch({nodes({node("a", 0), node("b", 1, NodeState::Ready, kStart)})});
@@ -26,10 +26,10 @@
         h.batch({ended(id, 0, "a", Outcome::Ok)});
     }
     auto message = peer::header(1);
-    peer::append(message, peer::UsageAggregate{
-                              std::uint32_t(peer::hashOf("1")), {16}, {8}, {}});  // a wait of one millisecond
+    peer::append(message,
+                 peer::UsageAggregate{std::uint32_t(peer::hashOf("1")), {16}, {8}, {}});  // a wait of 1 ms
     h.batch({request(5, 0, 1, h.now, 2, 1),
-             PeerMessageReceived{HostIndex(1), message}});  // it has been asked for the cell once
+             PeerMessageReceived{HostIndex(1), message}});  // the host has seen demand for the cell
     h.runTo(h.now + kSecond);
     for (RequestId id = 10; id < 20; ++id) {
         const auto sends = only<ForwardRequest>(h.batch({request(id, 2, 1, h.now, 2, -1)}));
@@ -50,7 +50,7 @@
     EXPECT_EQ(used.size(), 2u);
 }
 
-TEST(Dispatcher, QueuedRequestsLeaveEarliestDueFirst) {
+TEST(Dispatcher, QueuedRequestsAreSentEarliestDueFirst) {
     auto s = settings();
     s.classes[0].latencyObjectiveUs = 400 * kMs;
     s.classes[2].latencyObjectiveUs = 300 * kMs;
@@ -66,7 +66,8 @@
     EXPECT_EQ(sends[0].id, 11u);
 }
 
-// A node that fails at once looks quick: new objects went there, and may be tried again in its cell only.
+// A node that fails at once has a short latency, which must not attract new objects: what fails there can
+// only be retried in the node's cell.
 TEST(Dispatcher, NewObjectsAvoidANodeThatFails) {
     Host host = ready();
     RequestId id = 0;
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -1,4 +1,4 @@
-// Specifies when a node that fails or is silent gets trial requests only, and when it gets all again.
+// Tests when a node that fails or is silent gets only trial requests, and when it is restored.
 #include "policy/outlier_detector.h"
 
 #include <gtest/gtest.h>
@@ -12,21 +12,22 @@
     Host h = ready();
     h.batch({request(1, 0, 1, h.now)});
     h.now += 5 * kMs;
-    const auto once = only<ForwardRequest>(h.batch({ended(1, 0, "a", Outcome::Rejected, 5 * kMs)})).size();
-    EXPECT_LE(once, 1u);  // the one trial request of a suspect
+    const auto trials = only<ForwardRequest>(h.batch({ended(1, 0, "a", Outcome::Rejected, 5 * kMs)})).size();
+    EXPECT_LE(trials, 1u);  // one trial request for a suspect node
     h.now += 5 * kMs;
     EXPECT_EQ(only<ForwardRequest>(h.batch({ended(1, 1, "a", Outcome::Rejected, 5 * kMs)})).size(), 0u);
     EXPECT_EQ(only<ForwardRequest>(h.runTo(h.now + 200 * kMs)).size(), 0u);
 }
 
-// Requests that a host sends at once after an attempt that nothing came back from.
-std::size_t sentAfterSilence(bool overtaken) {
+// Number of requests that a host sends at once after an attempt that timed out.
+// \param laterAnswered whether the node answered a request that was sent after that attempt
+std::size_t sentAfterTimeout(bool laterAnswered) {
     Host h = ready();
     h.batch({request(1, 0, 1, h.now)});
     h.now += 100 * kMs;
     h.batch({request(2, 0, 1, h.now)});
     h.now += 30 * kMs;
-    if (overtaken) h.batch({ended(2, 0, "a", Outcome::Ok, 30 * kMs)});
+    if (laterAnswered) h.batch({ended(2, 0, "a", Outcome::Ok, 30 * kMs)});
     h.now += 200 * kMs;
     auto late = ended(1, 0, "a", Outcome::Timeout, 330 * kMs);
     late.requestClosed = true;
@@ -35,12 +36,13 @@
 }
 
 TEST(OutlierDetector, ALostAnswerIsDistinguishedFromASilentNode) {
-    EXPECT_EQ(sentAfterSilence(true), 2u);   // the node answered what was sent later: the answer was lost
-    EXPECT_EQ(sentAfterSilence(false), 1u);  // it answered nothing since: one trial request
+    EXPECT_EQ(sentAfterTimeout(true), 2u);   // it answered a later request: only one answer was lost
+    EXPECT_EQ(sentAfterTimeout(false), 1u);  // it answered nothing since: one trial request
 }
 
-// Damaged answers come from nodes that are well: one alone must not leave the node to a request in 300 ms.
-TEST(OutlierDetector, ALoneResetDoesNotEject) {
+// A healthy node may send a damaged answer, which shows as a reset. A single one must not limit the node to
+// one request in 300 ms.
+TEST(OutlierDetector, ASingleResetDoesNotEject) {
     for (const int resets : {1, 2}) {
         Host host(settings(), kStart);
         host.batch({nodes({node("a", 0)})});
@@ -70,8 +72,8 @@
     EXPECT_EQ(detector.remainingEjection(kStart + kMs), 0);
 }
 
-// Guards against the soak's seeds 16, 31 and 4001: trials of all hosts kept a slow node busy with work that
-// was always answered too late.
+// Guards against a failure of soak seeds 16, 31 and 4001: the trial requests of all hosts kept a slow node
+// busy with work that it always finished too late.
 TEST(OutlierDetector, TrialsOfAllHostsLeaveTheSlowestNodeTimeToAnswerThem) {
     Settings quick = settings(0, 1);
     quick.meanUnits = 2;  // the settings promise 12 units a second
@@ -89,10 +91,10 @@
     const auto detector = OutlierDetector::startingAt(kStart);
     EXPECT_FALSE(detector.isSuspect(0, 0, kStart + kSecond));
     EXPECT_TRUE(detector.isSuspect(1, 0, kStart + kSecond));
-    EXPECT_FALSE(detector.isSuspect(1, double(kSecond), kStart + kSecond));  // slow by nature
+    EXPECT_FALSE(detector.isSuspect(1, double(kSecond), kStart + kSecond));  // its usual latency is 1 s
 }
 
-TEST(OutlierDetector, AFailureOfWhatWasOvertakenDoesNotCount) {
+TEST(OutlierDetector, AFailureDoesNotCountIfALaterRequestWasAnswered) {
     auto detector = OutlierDetector::startingAt(kStart);
     detector.onAnswer(false, kStart + kMs, kStart + 2 * kMs);
     EXPECT_FALSE(detector.onFailure(Outcome::Timeout, kStart, kStart + kSecond));
--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -1,5 +1,5 @@
-// Specifies that all hosts together keep to the budget of a node in slow start, whatever the number of hosts,
-// the way in which the node answers, and what the hosts hear of each other. Time is simulated.
+// Tests that all hosts together keep to the budget of a node in slow start, for different numbers of hosts,
+// behaviours of the node, and with or without gossip between the hosts. Time is simulated.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -19,12 +19,12 @@
 const std::string kWarmNode = "warm";
 const std::string kStartingNode = "starting";
 
-/// How the node treats what it is sent.
+/// How the node responds to requests.
 enum class NodeBehaviour {
     Silent,           ///< no answers
     Errors,           ///< an error status at once
     Declines,         ///< declines at once
-    GuaranteedSpeed,  ///< serves one after another, as quickly as the settings promise of any node
+    GuaranteedSpeed,  ///< serves one after another, at the speed that the settings promise of any node
 };
 
 constexpr std::array kAllBehaviours{NodeBehaviour::Silent, NodeBehaviour::Errors, NodeBehaviour::Declines,
@@ -33,35 +33,35 @@
 /// One case of the simulation.
 struct Scenario {
     int hosts = 6;
-    double budget = 51;  ///< units in a window that a node bears when it starts
+    double budget = 51;  ///< units that a node tolerates in one window when it starts
     NodeBehaviour behaviour = NodeBehaviour::Silent;
-    bool linked = true;        ///< whether hosts hear of each other
-    bool demandBefore = true;  ///< another node served the same demand before; else a surge begins
+    bool gossips = true;       ///< whether the hosts receive each other's messages
+    bool demandBefore = true;  ///< another node served the same demand before; false: it starts with the node
     bool skewed = false;       ///< one host in three gets most of the requests
-    Micros restartEvery = 0;   ///< 0: no host starts anew
+    Micros restartEvery = 0;   ///< interval at which all hosts restart; 0: they don't
     double overload = 3;       ///< demand as a multiple of the budget
     std::uint64_t seed = 1;
 };
 
 std::string describe(const Scenario& scenario) {
     std::ostringstream text;
-    text << scenario.hosts << " hosts, budget " << scenario.budget << ", linked " << scenario.linked
+    text << scenario.hosts << " hosts, budget " << scenario.budget << ", gossips " << scenario.gossips
          << ", demand before " << scenario.demandBefore << ", skewed " << scenario.skewed << ", behaviour "
          << int(scenario.behaviour) << ", restart every " << scenario.restartEvery;
     return text.str();
 }
 
-/// Hosts with one node in one cell, all of them under demand for it.
+/// A fleet of hosts with demand for one cell, which has one node.
 class SlowStartFleet {
 public:
     explicit SlowStartFleet(const Scenario& scenario) : scenario_(scenario), random_(scenario.seed) {
         members_.resize(std::size_t(scenario.hosts));
         startAllHosts();
         for (Member& member : members_)
-            member.owedRequests = double(random_() % 1000) / 1000;
+            member.accruedRequests = double(random_() % 1000) / 1000;
     }
     /// Runs to the end of the scenario.
-    /// \return requests of mean work by which the fullest window passed what the node bears
+    /// \return requests of mean work by which the fullest window exceeded what the node tolerates
     double run() {
         for (Micros now = kStart + kStep; now < kNodeStart + kSlowStart; now += kStep) {
             now_ = now;
@@ -81,7 +81,7 @@
         std::map<RequestId, double> unitsById;
         std::map<RequestId, int> attempts;
         std::vector<AnyEvent> inbox;
-        double owedRequests = 0;
+        double accruedRequests = 0;
     };
     Settings settingsOf(int host) const {
         Settings s = settings(host, scenario_.hosts);
@@ -102,9 +102,9 @@
         Settings s = settingsOf(index);
         s.seed += std::uint64_t(incarnations_++) * 1000;
         Member& member = members_[std::size_t(index)];
-        const double owed = member.owedRequests;
+        const double accrued = member.accruedRequests;
         member = Member();
-        member.owedRequests = owed;
+        member.accruedRequests = accrued;
         member.host = std::make_unique<Host>(s, now_);
         member.host->batch({nodes(listedNodes())});
     }
@@ -130,24 +130,24 @@
     void stepHost(int index, Micros now) {
         Member& member = members_[std::size_t(index)];
         std::vector<AnyEvent> events = std::exchange(member.inbox, {});
-        member.owedRequests += demandOf(index) * double(kStep) / 1e6;
-        for (; member.owedRequests >= 1; --member.owedRequests) {
+        member.accruedRequests += demandOf(index) * double(kStep) / 1e6;
+        for (; member.accruedRequests >= 1; --member.accruedRequests) {
             const RequestId id = ++lastId_;
             const double units = double(1 + random_() % 3);
             member.unitsById[id] = units;
             events.emplace_back(request(id, 0, 1, now, units, 0, scenario_.hosts));
         }
-        carryOut(index, member.host->runTo(now), now);
-        carryOut(index, member.host->batch(events), now);
+        perform(index, member.host->runTo(now), now);
+        perform(index, member.host->batch(events), now);
     }
-    void carryOut(int from, const std::vector<Action>& actions, Micros now) {
+    void perform(int from, const std::vector<Action>& actions, Micros now) {
         for (const auto& action : actions) {
             if (const auto* forward = std::get_if<ForwardRequest>(&action)) arrive(from, *forward, now);
-            if (const auto* message = std::get_if<SendPeerMessage>(&action)) pass(from, *message);
+            if (const auto* message = std::get_if<SendPeerMessage>(&action)) deliver(from, *message);
         }
     }
-    void pass(int from, const SendPeerMessage& message) {
-        if (!scenario_.linked) return;
+    void deliver(int from, const SendPeerMessage& message) {
+        if (!scenario_.gossips) return;
         for (int to = 0; to < scenario_.hosts; ++to) {
             if (to == from || (!message.to.isEveryPeer() && message.to.host() != HostIndex(to))) continue;
             members_[std::size_t(to)].inbox.emplace_back(PeerMessageReceived{HostIndex(from), message.bytes});
@@ -175,13 +175,13 @@
         }
     }
 
-    struct Served {
+    struct ServedAttempt {
         int host = 0;
         RequestId id = 0;
         int attempt = 0;
         Micros took = 0;
     };
-    void serve(Served served, double units, Micros now) {
+    void serve(ServedAttempt served, double units, Micros now) {
         const Settings s = settingsOf(0);
         const double unitsPerSecond = slowStartBudget(s, now - kNodeStart) * 1e6 /
                                       double(s.slowStartWindowUs) / s.slowStartOverloadFactor;
@@ -191,7 +191,7 @@
     }
     void deliverAnswers(Micros now) {
         while (!served_.empty() && served_.begin()->first <= now) {
-            const Served served = served_.begin()->second;
+            const ServedAttempt served = served_.begin()->second;
             served_.erase(served_.begin());
             members_[std::size_t(served.host)].inbox.emplace_back(
                 ended(served.id, served.attempt, kStartingNode, Outcome::Ok, served.took));
@@ -204,14 +204,15 @@
     std::vector<Member> members_;
     ArrivalRecord arrivals_;
     Micros nodeIdleAt_ = 0;
-    std::multimap<Micros, Served> served_;  // by the time of the answer
+    std::multimap<Micros, ServedAttempt> served_;  // by the time of the answer
     RequestId lastId_ = 0;
 };
 
 constexpr std::array kHostCounts{3, 6, 40, 300};
 constexpr std::array kBudgets{5.0, 14.0, 51.0, 200.0};
 
-// The combination of fleet, budget, node, links and demand that has this number.
+// The scenario with this number among all combinations of fleet size, budget, node behaviour, gossip and
+// demand.
 Scenario scenarioOf(std::size_t number) {
     const auto choose = [&](const auto& choices) {
         const auto choice = choices[number % choices.size()];
@@ -223,7 +224,7 @@
     one.hosts = choose(kHostCounts);
     one.budget = choose(kBudgets);
     one.behaviour = choose(kAllBehaviours);
-    one.linked = choose(kEither);
+    one.gossips = choose(kEither);
     one.demandBefore = choose(kEither);
     one.skewed = choose(kEither);
     return one;
@@ -237,7 +238,7 @@
     }
 }
 
-TEST(SlowStartFleet, HostsThatStartAnewKeepToTheBudget) {
+TEST(SlowStartFleet, HostsThatRestartKeepToTheBudget) {
     for (const int hosts : {3, 6, 40})
         for (const NodeBehaviour behaviour : kAllBehaviours) {
             Scenario scenario;
@@ -248,10 +249,11 @@
         }
 }
 
-// The budget is not kept by sending nothing: a node that serves as quickly as the settings promise is busy.
+// The budget must not be kept by sending too little: a node that is as fast as the settings promise must get
+// most of what it can serve.
 TEST(SlowStartFleet, AStartingNodeIsUsed) {
     constexpr double kMeanGrowth = (1 + 1 / 0.28) / 2;
-    constexpr double kUsedPart = 0.7;
+    constexpr double kUsedFraction = 0.7;
     for (const int hosts : {3, 6, 40})
         for (const double budget : {51.0, 200.0}) {
             Scenario scenario;
@@ -261,7 +263,7 @@
             SlowStartFleet fleet(scenario);
             fleet.run();
             const double capacity = budget / 2.5 * kMeanGrowth * double(kSlowStart) / double(kSecond);
-            EXPECT_GE(fleet.unitsSent(), kUsedPart * capacity) << describe(scenario);
+            EXPECT_GE(fleet.unitsSent(), kUsedFraction * capacity) << describe(scenario);
         }
 }
 
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Specifies how much is sent to a node that has just started, and how a host earns credit there.
+// Tests how much a host sends to a node that has just started, and how completed units raise that.
 #include "policy/slow_start.h"
 
 #include <gtest/gtest.h>
@@ -10,8 +10,10 @@
 namespace {
 
 // Units sent to a node that has just started, in one second of steady demand.
+//
+// \param answers whether the node answers each request at once, with `outcome`
 double unitsToStartingNode(const Settings& s, Outcome outcome, bool answers) {
-    Host h(s, kStart - kSecond);  // it runs when the node starts
+    Host h(s, kStart - kSecond);  // already running when the node starts
     h.runTo(kStart);
     h.batch({nodes({node("a", 0, NodeState::Ready, kStart - kMs)})});
     double units = 0;
@@ -33,52 +35,54 @@
 
 TEST(SlowStart, AStartingNodeGetsLittleMoreThanItCompletes) {
     const auto s = settings(0, 3);
-    const double free = s.slowStartUnits / s.hostCount + s.maxUnits;
-    EXPECT_LE(unitsToStartingNode(s, Outcome::Ok, false), free);  // silent: the hosts' part, then nothing
+    const double fixedUnits = s.slowStartUnits / s.hostCount + s.maxUnits;
+    EXPECT_LE(unitsToStartingNode(s, Outcome::Ok, false), fixedUnits);  // silent: only the fixed part
     EXPECT_GE(unitsToStartingNode(s, Outcome::Ok, false), 2);
     EXPECT_LE(unitsToStartingNode(s, Outcome::Rejected, true),
-              free);                                                 // rejected units are never given back
-    EXPECT_GT(unitsToStartingNode(s, Outcome::Ok, true), 3 * free);  // it answers: as much again
+              fixedUnits);                                                 // rejected units still count
+    EXPECT_GT(unitsToStartingNode(s, Outcome::Ok, true), 3 * fixedUnits);  // grows with completed units
 }
 
-// Requests sent to a starting node that answers none, 40 s after it was sent all that slow start allows,
-// which counts over a longer window here. Meanwhile it is off the list, or stays on it.
-std::size_t sentAgainToStartingNode(bool offTheList) {
+// Number of requests sent to a starting node that answers none, 40 s after its allowance was used up. The
+// slow start window is longer than that here.
+//
+// \param unlisted whether the node is missing from the endpoint list in between
+std::size_t sentAgainToStartingNode(bool unlisted) {
     auto s = settings(0, 1);
     s.slowStartWindowUs = 90 * kSecond;
     s.slowStartDurationUs = 900 * kSecond;
     Host h(s, kStart);
     const auto listed = nodes({node("a", 0, NodeState::Ready, kStart)});
     RequestId id = 0;
-    const auto push = [&] {
+    const auto sendRequests = [&] {
         std::size_t sent = 0;
         for (int i = 0; i < 40; ++i, h.now += 10 * kMs) {
             if (only<ForwardRequest>(h.batch({request(++id, 2, 1, h.now)})).empty()) continue;
-            h.batch({ended(id, 0, "a", Outcome::Cancelled)});  // which says nothing of the node
+            h.batch({ended(id, 0, "a", Outcome::Cancelled)});  // says nothing about the node
             ++sent;
         }
         return sent;
     };
     h.batch({listed});
-    EXPECT_GT(push(), 0u);
+    EXPECT_GT(sendRequests(), 0u);
     h.runTo(h.now + 5 * kSecond);
-    if (offTheList) h.batch({nodes({})});
+    if (unlisted) h.batch({nodes({})});
     h.runTo(h.now + 40 * kSecond);
-    if (offTheList) h.batch({listed});
-    return push();
+    if (unlisted) h.batch({listed});
+    return sendRequests();
 }
 
 TEST(SlowStart, ANodeThatIsListedAgainIsRememberedWithinTheWindow) {
     EXPECT_EQ(sentAgainToStartingNode(true), sentAgainToStartingNode(false));
 }
 
-// A host that is one of three, in the test's settings.
+// The allowance at `now` for a node that started at kStart, with the test's settings.
 SlowStartAllowance allowanceOf(const SlowStartLimiter& limiter, int hosts, Micros now,
                                std::optional<SlowStartPeers> peers = {}) {
     return limiter.allowance(settings(0, hosts), {now - kStart, kStart, 1, peers}, now);
 }
 
-TEST(SlowStartLimiter, AdmitsThisHostsPartAndThenWhatFollowsFromCompletedUnits) {
+TEST(SlowStartLimiter, AdmitsItsFixedPartAndThenAMultipleOfTheCompletedUnits) {
     SlowStartLimiter limiter;
     const SlowStartAllowance first = allowanceOf(limiter, 3, kStart);
     EXPECT_TRUE(limiter.admits(first, first.units, kStart));
@@ -98,7 +102,7 @@
     EXPECT_GE(allowance.windowUs, s.slowStartWindowUs + s.connectTimeoutUs);
 }
 
-// On average a host sends its allowance, also where that is a part of a request.
+// On average a host sends its allowance, even one smaller than a request.
 TEST(SlowStartLimiter, RoundsItsAllowanceToWholeRequestsAtRandom) {
     constexpr int kLimiters = 2'000;
     for (const double allowed : {0.5, 1.0, 3.0, 5.0}) {
@@ -123,11 +127,11 @@
     EXPECT_TRUE(SlowStartLimiter().admits(allowance, 1, kStart));
 }
 
-TEST(SlowStartLimiter, SharesByDemandOnlyWhereManyHostsHearOfEachOther) {
+TEST(SlowStartLimiter, DividesByDemandOnlyIfManyHostsReceiveGossip) {
     const SlowStartLimiter limiter;
-    const double unheard = allowanceOf(limiter, 300, kStart).units;
+    const double withoutGossip = allowanceOf(limiter, 300, kStart).units;
     const double busy = allowanceOf(limiter, 300, kStart, SlowStartPeers{0.5, 0}).units;
-    EXPECT_NEAR(busy, unheard * 300 / 2, 0.01);
+    EXPECT_NEAR(busy, withoutGossip * 300 / 2, 0.01);
     EXPECT_GT(allowanceOf(limiter, 300, kStart, SlowStartPeers{0.5, 4}).units, busy);
     EXPECT_EQ(allowanceOf(limiter, 3, kStart, SlowStartPeers{0.5, 4}).units,
               allowanceOf(limiter, 3, kStart).units);
@@ -135,8 +139,8 @@
 
 constexpr int kManyRequests = 40;
 
-// Units that a host sends within 0.4 s to a node that fails each of them at once.
-double unitsSentAtOnce(Host& h, RequestId& id) {
+// Units that a host sends within 0.4 s to a node that answers each request at once with an error.
+double unitsSentToFailingNode(Host& h, RequestId& id) {
     double units = 0;
     for (int i = 0; i < kManyRequests; ++i, h.now += 10 * kMs) {
         ++id;
@@ -156,24 +160,24 @@
     h.batch({listedWith(0)});
     h.runTo(kStart + 10 * kSecond);
     RequestId id = 0;
-    const double sentBefore = unitsSentAtOnce(h, id);
+    const double sentBefore = unitsSentToFailingNode(h, id);
     EXPECT_GT(sentBefore, 0);
     h.runTo(h.now + 500 * kMs);
     h.batch({listedWith(h.now - kSecond)});
-    const double sentAfter = unitsSentAtOnce(h, id);
+    const double sentAfter = unitsSentToFailingNode(h, id);
 
     Host fresh(settings(0, 1), kStart);
     fresh.batch({listedWith(0)});
     fresh.runTo(kStart + 10 * kSecond);
     fresh.batch({listedWith(fresh.now - kSecond)});
     id = 0;
-    const double allowed = unitsSentAtOnce(fresh, id);
+    const double allowed = unitsSentToFailingNode(fresh, id);
     EXPECT_GT(allowed, 0);
     EXPECT_LE(sentBefore + sentAfter, std::max(allowed, sentBefore));
 }
 
-// A wall clock that is stepped by an hour, either way, makes no difference: the host saw the node appear.
-TEST(SlowStart, ASteppedWallClockDoesNotPassAStartingNodeOffAsWarm) {
+// A step of the wall clock by an hour, either way, makes no difference, as an earlier list lacked the node.
+TEST(SlowStart, ANewlyListedNodeStartsSlowlyAfterAStepOfTheWallClock) {
     constexpr Micros kHour = 3600 * kSecond;
     std::set<double> sent;
     for (const Micros step : {Micros(0), -kHour, kHour}) {
@@ -183,36 +187,36 @@
         h.batch({nodes({})});
         h.batch({listedWith(h.now + step)});
         RequestId id = 0;
-        sent.insert(unitsSentAtOnce(h, id));
-        h.runTo(h.now + 11 * kSecond);  // beyond the slow start of these settings
-        EXPECT_EQ(unitsSentAtOnce(h, id), kManyRequests) << step;
+        sent.insert(unitsSentToFailingNode(h, id));
+        h.runTo(h.now + 11 * kSecond);  // longer than slow start in these settings
+        EXPECT_EQ(unitsSentToFailingNode(h, id), kManyRequests) << step;
     }
     EXPECT_EQ(sent.size(), 1u);
     EXPECT_LT(*sent.rbegin(), kManyRequests);
 }
 
-// A process that starts while the wall clock is an hour ahead finds nodes in its first list that look old.
-TEST(SlowStart, AProcessThatStartsWithAWrongClockStartsSlowly) {
+// If a process starts while the wall clock is an hour ahead, nodes in its first list look warm.
+TEST(SlowStart, ARecentlyStartedNodeStartsSlowlyIfTheHostStartsWithAWrongClock) {
     Host h(settings(0, 1), 2 * 3600 * kSecond);
     h.batch({listedWith(h.now - 3600 * kSecond)});
     RequestId id = 0;
-    EXPECT_LT(unitsSentAtOnce(h, id), kManyRequests);
+    EXPECT_LT(unitsSentToFailingNode(h, id), kManyRequests);
     Host old(settings(0, 1), 2 * 3600 * kSecond);
-    old.batch({listedWith(0)});  // long ago, by discovery's word
-    EXPECT_EQ(unitsSentAtOnce(old, id), kManyRequests);
+    old.batch({listedWith(0)});  // discovery says: long ago
+    EXPECT_EQ(unitsSentToFailingNode(old, id), kManyRequests);
 }
 
-TEST(SlowStart, AProcessThatStartsAnewWaitsForTheWindowOfItsPredecessor) {
+TEST(SlowStart, ARestartedHostProcessWaitsForTheWindowOfItsPredecessor) {
     const Settings s = settings(0, 1);
     Host h(s, kStart);
     h.batch({listedWith(kStart - kSecond)});
     RequestId id = 0;
-    EXPECT_EQ(unitsSentAtOnce(h, id), 0);
+    EXPECT_EQ(unitsSentToFailingNode(h, id), 0);
     h.runTo(kStart + s.slowStartWindowUs + kSecond);
-    EXPECT_GT(unitsSentAtOnce(h, id), 0);
+    EXPECT_GT(unitsSentToFailingNode(h, id), 0);
 }
 
-TEST(SlowStart, ABodyCountsAgainWhenItsNodeHasAllOfIt) {
+TEST(SlowStart, ARequestCountsAgainWhenItsBodyIsComplete) {
     const Settings s = settings(0, 1);
     Host h(s, kStart - kSecond);
     h.batch({nodes({})});
@@ -233,7 +237,7 @@
         completed.emplace_back(RequestBodyCompleted{forward.id, h.now + 2 * kSecond});
     h.batch(completed);
     RequestId id = 100;
-    EXPECT_LT(unitsSentAtOnce(h, id), double(sent.size()));
+    EXPECT_LT(unitsSentToFailingNode(h, id), double(sent.size()));
 }
 
 }  // namespace
