--- a/src/policy/attempt_tracker.h
+++ b/src/policy/attempt_tracker.h
@@ -12,8 +12,8 @@
 /// Counts the attempts at each node, and updates the node's limits and gossip with their outcomes.
 class AttemptTracker {
 public:
+    /// All parameters must outlive the object.
     /// \param retries charges retries to the retry budget
-    /// All four must outlive the object.
     AttemptTracker(Context& context, ClusterView& cluster, Gossip& gossip, RetryPolicy& retries)
         : context_(context), cluster_(cluster), gossip_(gossip), retries_(retries) {}
 
@@ -33,8 +33,7 @@
     }
     /// Whether an outcome says anything about its node.
     /// \param heldSlot whether the body was complete and the node had not finished its work; otherwise an
-    /// `Ok`
-    ///        or `Error` was counted before, or answers only a part of the body
+    ///        answer or an error was counted before, or came for a part of the body
     [[nodiscard]] static bool countsForNode(const AttemptOutcome& event, bool heldSlot);
     /// An attempt ended, or its node has finished its work.
     /// \param units size of its request
--- a/src/policy/cluster_view.h
+++ b/src/policy/cluster_view.h
@@ -136,7 +136,8 @@
 
 private:
     /// Applies one entry of a list.
-    /// \param drainIsNew whether a drain in this entry was announced since the previous list
+    /// \param drainIsNew whether a drain in this entry counts as just announced; it may be older after a
+    ///        failed call to discovery
     /// \return whether the node's process is new
     bool applyNode(const NodeInfo& info, bool drainIsNew);
     [[nodiscard]] NodeStart startOf(const NodeInfo& info) const;
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -19,7 +19,7 @@
 constexpr double kMaxCompletedFraction = 0.75;
 // Fraction of what a node tolerates that is used; the rest covers requests of more work than their units say.
 constexpr double kUsedFraction = 0.8;
-// Standard deviations by which the sum over all hosts may exceed its mean.
+// Margin above the mean of the sum over all hosts, in standard deviations.
 constexpr double kDeviations = 3;
 // Request size for which the rounding variance is computed, in mean requests.
 constexpr double kRoundedRequestSize = 1.5;
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -44,10 +44,12 @@
 /// and declined requests. It is the sum of two terms, each of which is safe when summed over all hosts:
 ///
 /// - A fixed part of the budget that the settings promise for any node (`slowStartBudget`), divided by the
-///   number of hosts. If that is less than one request, hosts that receive gossip divide it by demand
-///   instead.
-/// - A multiple of the units that the node completed within the window. It cannot complete more than its
-///   capacity, so the units completed for all hosts add up to a part of its budget.
+///   number of hosts.
+/// - A multiple of the units that the node completed for this host within the window. It cannot complete more
+///   than its capacity, so the units completed for all hosts add up to a part of its budget.
+///
+/// If the fixed part of a host is less than a request of mean size, hosts that receive gossip divide the sum
+/// of both terms over all hosts by demand instead.
 ///
 /// Allowances are rounded to whole requests at random, independently on each host. Units are units of work.
 class SlowStartLimiter {
