--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-UsageMemory Gossip::usageMemory() {
+UsageLifetimes Gossip::usageMemory() {
     return {kUsageMemory, kPeerUsageLifetime, kSlowStartLifetime, kUntilComplete};
 }
 Micros Gossip::reportInterval() { return kReportInterval; }
--- a/src/policy/gossip.h
+++ b/src/policy/gossip.h
@@ -26,7 +26,7 @@
         : context_(context), usage_(usage), cluster_(cluster), outbox_(outbox) {}
 
     /// How long what is known of a key's use counts.
-    static UsageMemory usageMemory();
+    static UsageLifetimes usageMemory();
 
     /// What is new about a key, besides its rate.
     struct Observation {
--- a/src/policy/usage_table.h
+++ b/src/policy/usage_table.h
@@ -19,7 +19,7 @@
 using UsageByKey = std::map<std::uint32_t, KeyUsage>;
 
 /// How long what is known of a key's use counts, in microseconds.
-struct UsageMemory {
+struct UsageLifetimes {
     Micros ownRate = 0;        ///< time in which a sample of this host's rate loses its weight
     Micros others = 0;         ///< since the others' use was last reported
     Micros slowStart = 0;      ///< the same, for the budgets of nodes in slow start
@@ -30,7 +30,8 @@
 class UsageTable {
 public:
     /// \param context gives the time; must outlive the table
-    UsageTable(const Context& context, const UsageMemory& memory) : context_(context), memory_(memory) {}
+    UsageTable(const Context& context, const UsageLifetimes& lifetimes)
+        : context_(context), lifetimes_(lifetimes) {}
 
     /// The key of a volume's name or a cell's number: the same on every host.
     static std::uint32_t keyOf(const std::string& name) { return std::uint32_t(peer::hashOf(name)); }
@@ -47,10 +48,12 @@
     }
 
     /// Counts units that this host is asked for.
-    void record(KeyUsage& usage, double units) const { usage.record(units, context_.now, memory_.ownRate); }
+    void record(KeyUsage& usage, double units) const {
+        usage.record(units, context_.now, lifetimes_.ownRate);
+    }
     /// Units a second that this host is asked for.
     [[nodiscard]] double ownRate(const KeyUsage& usage) const {
-        return usage.ownRate(context_.now, memory_.ownRate);
+        return usage.ownRate(context_.now, lifetimes_.ownRate);
     }
     /// Units a second that the other hosts are asked for; 0 where that is not known.
     [[nodiscard]] double othersRate(const KeyUsage& usage) const {
@@ -59,11 +62,11 @@
     /// What the others say of a cell with nodes in slow start; nothing where that is old, or too new to be
     /// complete.
     [[nodiscard]] std::optional<SlowStartPeers> slowStartPeers(const KeyUsage& usage) const {
-        const bool isRecent = context_.now - usage.others().at < memory_.slowStart;
-        const bool isComplete = context_.now - usage.othersKnownSince() >= memory_.untilComplete;
+        const bool isRecent = context_.now - usage.others().at < lifetimes_.slowStart;
+        const bool isComplete = context_.now - usage.othersKnownSince() >= lifetimes_.untilComplete;
         if (!isRecent || !isComplete) return std::nullopt;
         const double own = ownRate(usage);
-        const double all = own + usage.peakOthersRate(context_.now, memory_.slowStart);
+        const double all = own + usage.peakOthersRate(context_.now, lifetimes_.slowStart);
         return SlowStartPeers{all > kNegligibleRate ? own / all : 1, usage.others().slowStartRate};
     }
     /// This host's part of all that the key is asked for, from 0 to 1; 1 where it is asked for nothing.
@@ -82,11 +85,11 @@
 
 private:
     [[nodiscard]] bool knowsOthers(const KeyUsage& usage) const {
-        return context_.now - usage.others().at < memory_.others;
+        return context_.now - usage.others().at < lifetimes_.others;
     }
 
     const Context& context_;
-    UsageMemory memory_;
+    UsageLifetimes lifetimes_;
     UsageByKey entries_;
 };
 
