--- a/src/policy/cell_queues.h
+++ b/src/policy/cell_queues.h
@@ -73,7 +73,7 @@
     /// The waiting request with the least value, the first of equals; null if none waits.
     /// \param valueOf a function from a request to its value
     template <typename ValueOf>
-    [[nodiscard]] PendingRequest* least(ValueOf valueOf) const {
+    [[nodiscard]] PendingRequest* leastValuable(ValueOf valueOf) const {
         PendingRequest* least = nullptr;
         for (const RequestQueue& queue : queues_)
             for (const auto& [key, request] : queue.entries())
--- a/src/policy/dispatcher.h
+++ b/src/policy/dispatcher.h
@@ -47,7 +47,8 @@
     [[nodiscard]] AnswerReason holdReason(const PendingRequest& request) const;
     /// The least valuable queued request, the first of equals; null if none is queued.
     [[nodiscard]] PendingRequest* leastValuable() {
-        return queues_.least([&](const PendingRequest& request) { return admission_.value(request); });
+        return queues_.leastValuable(
+            [&](const PendingRequest& request) { return admission_.value(request); });
     }
     /// The queues, to mark changed cells and to read what is queued.
     [[nodiscard]] CellQueues& queues() { return queues_; }
--- a/tests/policy/value_types_test.cpp
+++ b/tests/policy/value_types_test.cpp
@@ -125,7 +125,7 @@
     queues.add(early);
     EXPECT_EQ(queues.of(CellIndex(1)).entries().begin()->second, &early);
     EXPECT_EQ(queues.of(CellIndex(1)).units(), 5);
-    EXPECT_EQ(queues.least([](const PendingRequest& request) { return request.units(); }), &late);
+    EXPECT_EQ(queues.leastValuable([](const PendingRequest& request) { return request.units(); }), &late);
     EXPECT_TRUE(queues.hasChanged());
     EXPECT_EQ(queues.takeChanged(), CellIndex(1));
     EXPECT_FALSE(queues.hasChanged());
