--- a/src/policy/cell_queues.h
+++ b/src/policy/cell_queues.h
@@ -89,7 +89,7 @@
             markChanged(CellIndex(cell));
     }
     /// Marks the cells in which requests wait.
-    void markWaiting() {
+    void markNonEmptyChanged() {
         for (std::size_t cell = 0; cell < queues_.size(); ++cell)
             if (!queues_[cell].empty()) markChanged(CellIndex::ofPosition(cell));
     }
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -140,7 +140,7 @@
     if (context_.settings.mayCancel) attempts_.cancelLostAttempts(requests_);
     leases_.rebalanceAll();
     if (context_.now - lastReportAt_ >= Gossip::reportInterval() / 2) reportUsage();
-    dispatcher_.queues().markWaiting();
+    dispatcher_.queues().markNonEmptyChanged();
 }
 
 // What an open request needs stays: one with an idempotency key may be sent again only near its first node.
--- a/tests/policy/value_types_test.cpp
+++ b/tests/policy/value_types_test.cpp
@@ -131,7 +131,7 @@
     EXPECT_FALSE(queues.hasChanged());
     queues.remove(late);
     EXPECT_FALSE(late.isQueued());
-    queues.markWaiting();
+    queues.markNonEmptyChanged();
     EXPECT_EQ(queues.takeChanged(), CellIndex(1));
 }
 
