--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -83,7 +83,7 @@
         const auto& [attempt, index] = *request.nodeByAttempt().begin();
         const AnswerState state = answerState(request, cluster_.node(index));
         if (state == AnswerState::NeedsHealthCheck) nodesToCheck.insert(index);
-        if (state == AnswerState::Lost && (request.isFinished() || retries_.mayRepeatLost(request)))
+        if (state == AnswerState::Lost && (request.isFinished() || retries_.mayRetryIfLost(request)))
             lost.emplace(request.sequence(), CancelAttempt{id, attempt});
     }
     for (const auto& [sequence, cancel] : lost)
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -47,7 +47,7 @@
     return isRepeatable(request) && request.info().deadlineUs - context_.now >= 2 * kTickInterval;
 }
 
-bool RetryPolicy::mayRepeatLost(const PendingRequest& request) const {
+bool RetryPolicy::mayRetryIfLost(const PendingRequest& request) const {
     return request.attempts() < context_.settings.maxAttempts &&
            request.retrySafety() != RetrySafety::NotIdempotent;
 }
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -24,7 +24,7 @@
     /// Whether another attempt may be made now or later, after one has ended.
     [[nodiscard]] bool mayRetry(const PendingRequest& request) const;
     /// Whether another attempt would be allowed, should the outstanding one be lost.
-    [[nodiscard]] bool mayRepeatLost(const PendingRequest& request) const;
+    [[nodiscard]] bool mayRetryIfLost(const PendingRequest& request) const;
     /// The one guard before every rejection, which says to the client that nothing ran.
     [[nodiscard]] static bool mayReject(const PendingRequest& request);
 
