--- a/src/policy/decaying_rate.h
+++ b/src/policy/decaying_rate.h
@@ -1,5 +1,5 @@
 /// \file
-/// A rate of units that is forgotten exponentially, and a value with the time of its measurement.
+/// An exponentially decaying rate of units, and a value with the time of its measurement.
 #pragma once
 
 #include <cmath>
@@ -8,24 +8,24 @@
 
 namespace wingproxy {
 
-/// Units a second, averaged with exponentially falling weights over the recent past.
+/// Units per second, averaged over the recent past with exponentially decaying weights.
 struct DecayingRate {
-    double value = 0;  ///< units a second, as of `at`
-    Micros at = 0;     ///< last update
+    double value = 0;  ///< units per second, as of `at`
+    Micros at = 0;     ///< time of the last update
 
     /// The rate at `now`.
-    /// \param memory time in which the weight of a sample falls to 1/e, in microseconds
-    [[nodiscard]] double rate(Micros now, Micros memory) const {
-        return value * std::exp(-double(now - at) / double(memory));
+    /// \param timeConstant time in which the weight of a sample falls to 1/e, in microseconds
+    [[nodiscard]] double rate(Micros now, Micros timeConstant) const {
+        return value * std::exp(-double(now - at) / double(timeConstant));
     }
     /// Counts `units` at `now`.
-    void add(Micros now, Micros memory, double units) {
-        value = rate(now, memory) + units * 1e6 / double(memory);
+    void add(Micros now, Micros timeConstant, double units) {
+        value = rate(now, timeConstant) + units * 1e6 / double(timeConstant);
         at = now;
     }
 };
 
-/// Units a second; less counts as none, and nothing is divided by less.
+/// Units per second; a lower rate counts as zero, and no division is by less.
 inline constexpr double kNegligibleRate = 1e-9;
 
 /// A value and when it was measured.
--- a/src/policy/event_window.h
+++ b/src/policy/event_window.h
@@ -8,18 +8,18 @@
 
 namespace wingproxy {
 
-/// The times of recent events, oldest first. The owner decides which are too old.
+/// The times of recent events, oldest first. The owner removes those that are too old.
 struct EventWindow {
     std::deque<Micros> times;
 
-    /// Counts an event; times never fall.
+    /// Records an event; `now` must not be earlier than in the call before.
     void record(Micros now) { times.push_back(now); }
-    /// Forgets events before `oldest`; one at that time stays.
+    /// Removes events before `oldest`; one at exactly that time stays.
     void dropBefore(Micros oldest) {
         while (!times.empty() && times.front() < oldest)
             times.pop_front();
     }
-    /// Number of events that are not forgotten.
+    /// Number of events that have not been removed.
     [[nodiscard]] double count() const { return double(times.size()); }
 };
 
--- a/src/policy/key_order.h
+++ b/src/policy/key_order.h
@@ -1,5 +1,5 @@
 /// \file
-/// The order of requests with the same key, for classes that are served one after the other.
+/// The order of requests with the same key, for classes whose requests are sent one after the other.
 #pragma once
 
 #include <algorithm>
@@ -11,14 +11,14 @@
 
 namespace wingproxy {
 
-/// Owns one queue of open requests for each key. A key may be paused: then only the request that caused the
-/// pause is next.
+/// Owns one queue of open requests per key. While a key is paused, only the request that caused the pause may
+/// be sent.
 class KeyOrder {
 public:
-    /// A request arrived: it is served after all that have the key already.
+    /// Appends a request to the queue of its key.
     void add(const std::string& key, RequestId id) { keys_[key].order.push_back(id); }
-    /// Whether this request is the first of its key, the key is not paused for it, and no attempt of an
-    /// earlier request runs. True for a key that is not known.
+    /// Whether this request is the first in the queue of its key, the key is not paused for it, and no
+    /// attempt of a finished request is outstanding. True for an unknown key.
     [[nodiscard]] bool isNext(const std::string& key, RequestId id, Micros now) const {
         const auto entry = keys_.find(key);
         if (entry == keys_.end()) return true;
@@ -26,16 +26,16 @@
         if (queue.order.front() != id || queue.abandonedAttempts > 0) return false;
         return now >= queue.pausedUntil || queue.pausedBy == id;
     }
-    /// An attempt ended that may run yet.
-    /// \param by the request that may go on meanwhile; 0: none
+    /// Pauses a key, because a node may still be executing an attempt that has ended.
+    /// \param by the request that may still be sent; 0: none
     void pause(const std::string& key, Micros until, RequestId by) {
         const auto entry = keys_.find(key);
         if (entry == keys_.end()) return;
         entry->second.pausedUntil = until;
         entry->second.pausedBy = by;
     }
-    /// A request has its final answer.
-    /// \param outstanding its attempts without an outcome
+    /// Removes a request that has its final answer.
+    /// \param outstanding its attempts without an outcome, which block the key until they end
     void remove(const std::string& key, RequestId id, int outstanding, Micros now) {
         const auto entry = keys_.find(key);
         if (entry == keys_.end()) return;
@@ -43,13 +43,13 @@
         entry->second.abandonedAttempts += outstanding;
         if (entry->second.isIdle(now)) keys_.erase(entry);
     }
-    /// An attempt ended whose request had its final answer before.
+    /// An attempt of a removed request ended.
     void onAbandonedAttemptEnded(const std::string& key) {
         const auto entry = keys_.find(key);
         if (entry == keys_.end()) return;
         entry->second.abandonedAttempts = std::max(0, entry->second.abandonedAttempts - 1);
     }
-    /// Forgets keys without requests, attempts and pause.
+    /// Removes keys without open requests, outstanding attempts or a pause.
     void forgetIdle(Micros now) {
         std::erase_if(keys_, [&](const auto& entry) { return entry.second.isIdle(now); });
     }
@@ -59,7 +59,7 @@
 private:
     struct Queue {
         std::deque<RequestId> order;
-        int abandonedAttempts = 0;  // outstanding, of requests that have their final answer
+        int abandonedAttempts = 0;  // outstanding attempts of removed requests
         Micros pausedUntil = kNever;
         RequestId pausedBy = 0;
 
--- a/src/policy/key_scope.h
+++ b/src/policy/key_scope.h
@@ -1,12 +1,12 @@
 /// \file
-/// Where nodes recognise a repeated idempotency key.
+/// Which nodes recognise an idempotency key that another node has seen.
 #pragma once
 
 #include "wingproxy/policy.h"
 
 namespace wingproxy {
 
-/// Whether a key that one node got is recognised by the other: both lie in the same scope.
+/// Whether both nodes lie in the same scope, so that each recognises the keys that the other has seen.
 inline bool isInScope(KeyScope scope, const NodeInfo& one, const NodeInfo& other) {
     switch (scope) {
         case KeyScope::Global:
--- a/src/policy/key_usage.h
+++ b/src/policy/key_usage.h
@@ -1,5 +1,5 @@
 /// \file
-/// What one volume or one cell is asked for: through this host, and through the others as gossip reports it.
+/// The demand on one volume or cell: through this host, and through the others as gossip reports it.
 #pragma once
 
 #include <algorithm>
@@ -12,90 +12,94 @@
 
 namespace wingproxy {
 
-/// What the other hosts are asked for, as the rendezvous host of the key last reported it.
+/// The demand through the other hosts, as the rendezvous host of the key last reported it.
 struct PeerUsage {
-    double rate = 0;           ///< units a second
-    Micros at = kNever;        ///< when the report came
-    double slowStartRate = 0;  ///< units a second that nodes in slow start completed for all hosts
+    double rate = 0;           ///< units per second
+    Micros at = kNever;        ///< when the report arrived
+    double slowStartRate = 0;  ///< units per second that nodes in slow start completed for all hosts
 };
 
-/// The use of one key, which names a volume or a cell in gossip. Owned by `UsageTable`.
+/// The usage of one key, which identifies a volume or a cell in gossip. Owned by `UsageTable`.
 class KeyUsage {
 public:
-    /// All that it knows; for the snapshot.
+    /// All state that a successor process takes over; for the snapshot.
     struct State {
         DecayingRate demand;    ///< through this host
-        DecayingRate reported;  ///< the demand that the rendezvous host was last sent
+        DecayingRate reported;  ///< the demand last reported to the rendezvous host
         PeerUsage others;
         double slowStartUnits = 0;  ///< completed by nodes in slow start since the last report
         std::set<HostIndex> peers;  ///< the other hosts that use the key
-        CellIndex cell;             ///< none: the key of a volume
+        CellIndex cell;             ///< the cell of the key; none: a key of volumes
         int reportedOutstanding = 0;
-        int volumes = 0;  ///< how many volumes of this host have the key, as two names may share a hash
+        int volumes = 0;  ///< number of this host's volumes with the key, as names may share a hash
     };
-    /// Nothing is known of the key yet.
+    /// A key without any reports.
     KeyUsage() = default;
-    /// Takes over what a predecessor process knew.
+    /// Restores the state of a predecessor process.
     explicit KeyUsage(State state) : state_(std::move(state)) {}
 
-    /// Counts units that this host is asked for.
-    /// \param memory see `DecayingRate`
-    void record(double units, Micros now, Micros memory) { state_.demand.add(now, memory, units); }
-    /// Units a second that this host is asked for.
-    [[nodiscard]] double ownRate(Micros now, Micros memory) const { return state_.demand.rate(now, memory); }
-    /// What the other hosts are asked for; `PeerUsage::at` says how old that is.
+    /// Counts units requested through this host.
+    /// \param timeConstant see `DecayingRate`
+    void record(double units, Micros now, Micros timeConstant) {
+        state_.demand.add(now, timeConstant, units);
+    }
+    /// Demand through this host, in units per second.
+    [[nodiscard]] double ownRate(Micros now, Micros timeConstant) const {
+        return state_.demand.rate(now, timeConstant);
+    }
+    /// The last reported demand through the other hosts; `PeerUsage::at` gives its age.
     [[nodiscard]] const PeerUsage& others() const { return state_.others; }
-    /// The rendezvous host reported what the other hosts are asked for.
-    /// \param lifetime how long a report counts, in microseconds
+    /// The rendezvous host reported the demand through the other hosts.
+    /// \param lifetime how long a report is used, in microseconds
     void onOthersReported(const PeerUsage& others, Micros lifetime) {
         if (others.at - state_.others.at > lifetime) othersKnownSince_ = others.at;
-        const double held = peakOthersRate_.rate(others.at, lifetime);
-        peakOthersRate_ = {std::max(held, others.rate), others.at};
+        const double decayedPeak = peakOthersRate_.rate(others.at, lifetime);
+        peakOthersRate_ = {std::max(decayedPeak, others.rate), others.at};
         state_.others = others;
     }
-    /// Units a second that the other hosts are asked for, or were shortly before: a rendezvous host that has
-    /// just started knows a part of them only.
-    /// \param memory time in which an earlier peak loses its weight, in microseconds
-    [[nodiscard]] double peakOthersRate(Micros now, Micros memory) const {
-        return std::max(state_.others.rate, peakOthersRate_.rate(now, memory));
+    /// The larger of the last reported rate of the other hosts and their decaying peak, in units per second.
+    /// The peak counts because a rendezvous host that has just started knows only some of the hosts.
+    /// \param timeConstant of the peak's decay, see `DecayingRate`
+    [[nodiscard]] double peakOthersRate(Micros now, Micros timeConstant) const {
+        return std::max(state_.others.rate, peakOthersRate_.rate(now, timeConstant));
     }
-    /// Since when reports have come without a gap, in this process.
+    /// Since when this process has received reports without a gap longer than their lifetime.
     [[nodiscard]] Micros othersKnownSince() const { return othersKnownSince_; }
 
-    /// The demand that the rendezvous host knows of, so that only a change is reported.
+    /// The demand last reported to the rendezvous host, to report only changes.
     [[nodiscard]] const DecayingRate& reported() const { return state_.reported; }
-    /// The attempts that were outstanding at the last report.
+    /// Outstanding attempts at the last report.
     [[nodiscard]] int reportedOutstanding() const { return state_.reportedOutstanding; }
-    /// The rendezvous host was sent these figures.
-    /// \param rate units a second of this host
+    /// Records the figures that were sent to the rendezvous host.
+    /// \param rate of this host, in units per second
     void onReported(double rate, int outstanding, Micros now) {
         state_.reported = {rate, now};
         state_.reportedOutstanding = outstanding;
     }
 
-    /// A node in slow start completed units for this host.
+    /// Counts units that a node in slow start completed for this host.
     void onSlowStartCompleted(double units) { state_.slowStartUnits += units; }
-    /// The units completed since the last call; each is reported once.
+    /// Returns the units completed since the last call and resets them, so that each is reported once.
     [[nodiscard]] double takeSlowStartUnits() { return std::exchange(state_.slowStartUnits, 0); }
-    /// A node of the cell started anew: what its predecessor completed says nothing of it.
+    /// A node of the cell restarted: discards the units that its predecessor completed.
     void restartSlowStart() {
         state_.slowStartUnits = 0;
         state_.others.slowStartRate = 0;
     }
 
-    /// The other hosts that use the key, of which leases may be requested.
+    /// The other hosts that use the key; leases may be requested of them.
     [[nodiscard]] const std::set<HostIndex>& peers() const { return state_.peers; }
-    /// The rendezvous host named another host that uses the key.
+    /// Adds a host that the rendezvous host named as a user of the key.
     void addPeer(HostIndex host) { state_.peers.insert(host); }
 
-    /// The cell that the key belongs to; none for the key of a volume.
+    /// The cell that the key belongs to; none for a key of volumes.
     [[nodiscard]] CellIndex cell() const { return state_.cell; }
-    /// Makes it the key of a cell, which is never forgotten.
+    /// Makes it the key of a cell; such keys are never removed.
     void assignCell(CellIndex cell) { state_.cell = cell; }
-    /// A volume of this host has the key.
+    /// Counts a volume of this host that has the key.
     void addVolume() { ++state_.volumes; }
-    /// A volume was forgotten.
-    /// \return whether nothing has the key any more
+    /// A volume with the key was removed.
+    /// \return whether no volume and no cell has the key any more
     [[nodiscard]] bool removeVolume() { return --state_.volumes == 0 && state_.cell.isNone(); }
 
     /// For the snapshot.
--- a/src/policy/lease_allocator.cpp
+++ b/src/policy/lease_allocator.cpp
@@ -6,21 +6,23 @@
 namespace wingproxy {
 namespace {
 
-// The design's number of chunks, rounded for each host. Where hosts are many each still owns a few: a host
-// with little demand would else need all of its own for it, and the busy one could borrow nothing.
+// Chunks that a limit is split into over all hosts; each host's part is rounded. With many hosts each still
+// owns a few: otherwise a host with little demand would need all its chunks itself, and a busy host could
+// borrow none.
 constexpr int kChunksOfLimit = 20;
 constexpr int kMinOwnedChunks = 4;
-constexpr Micros kLeaseDuration = 2'000'000;  // long against a message, short against a surge of demand
+constexpr Micros kLeaseDuration = 2'000'000;  // much longer than a message takes, shorter than a load surge
 constexpr Micros kRenewBefore = kLeaseDuration / 2;
-constexpr Micros kRequestInterval = 50'000;  // for a volume: two crossings of the network
+constexpr Micros kRequestInterval = 50'000;  // between lease requests for a volume: two network delays
 constexpr Micros kRequestTimeout = 2 * kRequestInterval;
-constexpr double kDemandMargin = 1.25;      // claims follow demand with a margin for chance
-constexpr double kBacklogSeconds = 0.5;     // a backlog requests chunks that would clear it in this time
-constexpr int kIdleChunksKept = 1;          // against chance
-constexpr double kBudgetPerRequest = 64;    // each client's request pays so many bytes of requests for chunks
-constexpr double kMaxRequestBudget = 1024;  // and so many are saved at the most
-constexpr double kReservePart = 0.25;  // of a bucket, for one more request of each client that is connected
-constexpr double kMinFillRate = 1e-3;  // units a second; no division by less
+constexpr double kDemandMargin = 1.25;      // factor on the measured demand, for random fluctuation
+constexpr double kBacklogSeconds = 0.5;     // chunks are requested that would clear a backlog in this time
+constexpr int kIdleChunksKept = 1;          // not returned, for random fluctuation
+constexpr double kBudgetPerRequest = 64;    // bytes of lease requests allowed for each client request
+constexpr double kMaxRequestBudget = 1024;  // bytes
+// Fraction of a bucket reserved at a hot restart, for one more request of each connected client.
+constexpr double kReserveFraction = 0.25;
+constexpr double kMinFillRate = 1e-3;  // units per second; avoids division by zero
 
 }  // namespace
 
@@ -53,7 +55,7 @@
     const PlanInfo& plan = context_.settings.plans.at(volume.plan().position());
     if (plan.limit <= 0) return;
     limit.setShares(splitIntoChunks(plan, volume.hosts()));
-    // A bucket starts empty, as an earlier process of this host may have spent it, and fills from there.
+    // The bucket is empty at the start, as an earlier process of this host may have spent its tokens.
     limit.startFilling(volume.hosts() == 1 ? context_.startedAt : std::min(state_.recoveredAt, context_.now));
     refill(volume);
     if (context_.handedOver) limit.keepOnly(0);
@@ -62,10 +64,10 @@
 double LeaseAllocator::timeToTokens(const Volume& volume, double units) const {
     const VolumeLimit& limit = volume.limit();
     double fillRate = limit.rateOf(chunksInUse(volume));
-    const double othersLeave =
+    const double rateLeftByOthers =
         context_.settings.plans.at(volume.plan().position()).limit - usage_.othersRate(volume.usage());
     for (const auto& [peer, lease] : limit.held())
-        if (lease.isAwaited(context_.now, kRequestTimeout)) fillRate = std::max(fillRate, othersLeave);
+        if (lease.isAwaited(context_.now, kRequestTimeout)) fillRate = std::max(fillRate, rateLeftByOthers);
     return std::max(0.0, units - limit.tokens()) * 1e6 / std::max(fillRate, kMinFillRate);
 }
 
@@ -82,10 +84,10 @@
     refill(volume);
     limit.dropExpiredGrants(context_.now);
     const double demand = demandOf(volume);
-    const double claim = limit.rateOf(chunksInUse(volume));
-    if (returnIdleChunks(volume, claim - demand)) return;
+    const double usableRate = limit.rateOf(chunksInUse(volume));
+    if (returnIdleChunks(volume, usableRate - demand)) return;
     if (context_.now - limit.lastRequestAt() < kRequestInterval) return;
-    requestChunks(volume, std::max(0, int(std::ceil((demand - claim) / chunkRate))));
+    requestChunks(volume, std::max(0, int(std::ceil((demand - usableRate) / chunkRate))));
 }
 
 bool LeaseAllocator::returnIdleChunks(Volume& volume, double surplus) {
@@ -123,7 +125,7 @@
     limit.onRequestSent(peer, now);
     state_.requestBudget -= double(peer::LeaseRequest::kEncodedBytes);
     outbox_.send(peer, peer::LeaseRequest{volume.hash(), std::uint8_t(wanted), lease.stamp});
-    return (wanted - held + 1) / 2;  // a peer may grant less: twice what lacks is requested
+    return (wanted - held + 1) / 2;  // a peer may grant less: requests add up to twice the missing chunks
 }
 
 void LeaseAllocator::addRequestBudget() {
@@ -136,7 +138,7 @@
     refill(*volume);
     HeldLease* const lease = volume->limit().findRequested(from, grant.stamp);
     if (!lease) return false;
-    // The owner counts what it granted before until it learns that no more than this is used.
+    // The owner counts the larger earlier grant until it is told that only these chunks are in use.
     if (lease->until > context_.now && int(grant.chunks) < lease->chunks)
         outbox_.send(from, peer::LeaseReturn{volume->hash(), grant.chunks, grant.stamp});
     lease->onGranted(std::min(int(grant.chunks), volume->limit().shares().ownedChunks), kLeaseDuration);
@@ -165,10 +167,10 @@
     const int granted = grantable(*volume, peer, request.chunks);
     const int grantedBefore = limit.chunksGranted() - limit.chunksGranted(peer);
     if (granted == 0 && grantedBefore == 0) return;
-    const auto saved = splitSavedTokens(*volume, std::max(0, granted - grantedBefore));
+    const auto accrued = takeAccruedTokens(*volume, std::max(0, granted - grantedBefore));
     limit.addGrant({peer, granted, context_.now + kLeaseDuration, request.stamp});
     refill(*volume);
-    outbox_.send(peer, peer::LeaseGrant{volume->hash(), std::uint8_t(granted), saved, request.stamp});
+    outbox_.send(peer, peer::LeaseGrant{volume->hash(), std::uint8_t(granted), accrued, request.stamp});
 }
 
 int LeaseAllocator::grantable(const Volume& volume, HostIndex peer, int wanted) const {
@@ -178,11 +180,11 @@
     return std::clamp(shares.ownedChunks - volume.limit().chunksGranted(peer) - ownChunks, 0, wanted);
 }
 
-peer::FixedPoint LeaseAllocator::splitSavedTokens(Volume& volume, int newChunks) const {
+peer::FixedPoint LeaseAllocator::takeAccruedTokens(Volume& volume, int newChunks) const {
     const double tokens = volume.limit().tokensOf(newChunks, std::max(1, chunksInUse(volume)));
-    const auto saved = peer::FixedPoint::of(tokens);
-    spend(volume, saved.value());
-    return saved;
+    const auto accrued = peer::FixedPoint::of(tokens);
+    spend(volume, accrued.value());
+    return accrued;
 }
 
 // ---- restart and hot restart
@@ -191,7 +193,7 @@
     std::map<Volume*, double> reserved;
     for (auto& [name, volume] : volumes_.all()) {
         refill(volume);
-        reserved[&volume] = volume.limit().reserve(kReservePart);
+        reserved[&volume] = volume.limit().reserve(kReserveFraction);
     }
     return reserved;
 }
--- a/src/policy/lease_allocator.h
+++ b/src/policy/lease_allocator.h
@@ -1,10 +1,10 @@
 /// \file
-/// Cuts a volume's limit into chunks, and leases them between the hosts that serve it (docs/design.md).
+/// Splits a volume's limit into chunks and leases them between the hosts that serve it (docs/design.md).
 ///
-/// Each host has a base rate and a number of chunks that it owns. It spends both, but for the chunks that it
-/// leased to peers. The sum over all hosts is the limit, whichever messages are lost: the owner grants a
-/// chunk once, and the lease ends at the borrower first, which counts from its request, the owner from its
-/// grant.
+/// Each host has a base rate and owns a number of chunks. It may spend both, except the chunks that it has
+/// leased to peers. The sum over all hosts never exceeds the limit, whichever messages are lost: the owner
+/// grants a chunk to one peer at a time, and the lease expires at the borrower first, because the borrower
+/// counts its duration from the request and the owner from the grant.
 #pragma once
 
 #include <map>
@@ -16,58 +16,61 @@
 
 namespace wingproxy {
 
-/// Owns the limits of the volumes in a `VolumeTable`, and the leases of chunks.
+/// Manages the limits of the volumes in a `VolumeTable` and the leases of chunks.
 class LeaseAllocator {
 public:
-    /// \param recovery says when leases of an earlier process of this host are over
-    /// \param usage says which peers may have chunks, and what they are asked for
-    /// \param outbox takes the messages; all five must outlive the object
+    /// \param recovery tells when all leases granted by an earlier process of this host have expired
+    /// \param usage tells which peers may hold chunks, and their demand
+    /// \param outbox takes the messages to peers; all five must outlive the object
     LeaseAllocator(const Context& context, const fleet::RestartRecovery& recovery, UsageTable& usage,
                    VolumeTable& volumes, PeerOutbox& outbox);
 
-    /// The longest time that a chunk is leased for, in microseconds.
+    /// Maximum duration of a lease, in microseconds.
     static Micros leaseDuration();
 
     // -- limits
-    /// Sets up the limit of a volume that was just opened.
+    /// Initializes the limit of a volume that was just added to the table.
     void open(Volume& volume);
-    /// Whether the volume may spend `units` now. Brings its bucket up to date.
+    /// Whether the volume may spend `units` now. Refills its bucket first.
     [[nodiscard]] bool hasTokens(Volume& volume, double units) {
         if (!volume.limit().isLimited()) return true;
         refill(volume);
         return volume.limit().tokens() >= units;
     }
-    /// Takes tokens for a request that is sent. `hasTokens` must have allowed it in this batch.
+    /// Takes the tokens of a request that is sent. `hasTokens` must have returned true for it in this batch.
     static void spend(Volume& volume, double units) { volume.limit().spend(units); }
-    /// Units of requests that wait without tokens: a demand beyond what arrives.
+    /// Adds units of requests that are queued without tokens. They count as demand on top of the arrival
+    /// rate.
     static void addQueuedUnits(Volume& volume, double units) { volume.limit().addQueuedUnits(units); }
-    /// These units wait no more, or have their tokens.
+    /// Removes units whose requests have left the queue or got their tokens.
     static void removeQueuedUnits(Volume& volume, double units) { volume.limit().removeQueuedUnits(units); }
-    /// Microseconds until the volume has tokens for `units`. A request for chunks that is under way counts as
-    /// granted, as far as the other hosts leave of the limit.
+    /// Estimated microseconds until the volume has tokens for `units`. While a request for chunks is
+    /// unanswered, the bucket is assumed to fill at the rate that the other hosts leave of the limit.
     [[nodiscard]] double timeToTokens(const Volume& volume, double units) const;
 
     // -- leases
-    /// Requests chunks where demand passes what this host may spend now, returns them where it fell below.
+    /// Requests chunks if the demand exceeds the rate that this host may spend now, and returns chunks if it
+    /// has fallen below.
     void rebalance(Volume& volume);
     /// Rebalances all volumes.
     void rebalanceAll() {
         for (auto& [name, volume] : volumes_.all())
             rebalance(volume);
     }
-    /// A request came from a client: it pays for bytes of requests for chunks, so that the messages between
-    /// hosts stay in proportion to the work.
+    /// Called for each client request. Adds to the byte budget for lease requests, so that the traffic
+    /// between hosts stays proportional to the load.
     void addRequestBudget();
-    /// Keeps a peer's request until the batch ends.
+    /// Stores a peer's lease request until the end of the batch, see `serveRequests`.
     void onRequest(HostIndex from, const peer::LeaseRequest& request) {
         requests_.push_back({from, request});
     }
-    /// Grants what this host does not need itself, to lower host numbers first.
+    /// Answers the stored lease requests in the order of host numbers, granting chunks that this host does
+    /// not need itself.
     void serveRequests();
-    /// A peer answered a request for chunks. Answers to other requests than the last one are ignored.
-    /// \return whether a client's request may have become possible
+    /// A peer answered a lease request. Only an answer to the latest request to that peer is used.
+    /// \return whether a client request that waits for tokens may now be sent
     bool onGrant(HostIndex from, const peer::LeaseGrant& grant);
-    /// A peer keeps fewer of the chunks that this host granted.
+    /// A peer returned some of the chunks that this host granted to it.
     void onReturn(HostIndex from, const peer::LeaseReturn& returned) {
         Volume* const volume = volumes_.find(returned.volume);
         if (!volume) return;
@@ -75,7 +78,7 @@
         volume->limit().onReturned(from, returned.chunks, returned.stamp);
         refill(*volume);
     }
-    /// A peer's new process knows nothing of the chunks that it granted: they go back to it.
+    /// A peer restarted: its new process does not know the leases that it granted, so this host drops them.
     void onPeerRestarted(HostIndex peer) {
         for (auto& [name, volume] : volumes_.all()) {
             refill(volume);
@@ -84,41 +87,41 @@
     }
 
     // -- restart and hot restart
-    /// Uses the chunks of this host once no lease of an earlier process is out.
+    /// Starts to spend this host's own chunks once no lease of an earlier process is outstanding.
     void useOwnedChunksOnceRecovered() {
         if (state_.recoveredAt <= context_.now || !recovery_.isRecovered(context_.now)) return;
         for (auto& [name, volume] : volumes_.all())
-            refill(volume);  // until now without its own chunks
+            refill(volume);  // up to now without the owned chunks
         state_.recoveredAt = context_.now;
     }
-    /// Takes from each volume the tokens that open requests may need yet; the rest goes to the successor
-    /// process. To be called before the snapshot is taken.
-    /// \return units kept, by volume
+    /// Takes from each volume's bucket the tokens that open requests may still need; the rest goes to the
+    /// successor process. Must be called before the snapshot is taken.
+    /// \return the reserved units of each volume
     std::map<Volume*, double> reserveForOpenRequests();
-    /// Leaves the reserved units here, and no other right.
+    /// After the snapshot: leaves this process only the reserved units, and no chunks.
     static void keepOnly(const std::map<Volume*, double>& reserved) {
         for (const auto& [volume, units] : reserved)
             volume->limit().keepOnly(units);
     }
 
-    /// What is not in the volumes; for the snapshot.
+    /// State outside the volumes, for the snapshot.
     struct State {
-        Micros recoveredAt = -kNever;  ///< since then this host spends its own chunks
-        double requestBudget = 0;      ///< bytes that requests for chunks may still cost
+        Micros recoveredAt = -kNever;  ///< from then on this host spends its own chunks
+        double requestBudget = 0;      ///< bytes of lease requests that may still be sent
     };
     /// For the snapshot.
     [[nodiscard]] const State& state() const { return state_; }
-    /// Takes over from a predecessor process; the volumes must have been restored before.
+    /// Restores the state of a predecessor process; the volumes must be restored first.
     void restore(const State& state) { state_ = state; }
 
 private:
-    /// A peer's request of this batch.
+    /// A peer's lease request that arrived in this batch.
     struct ReceivedRequest {
         HostIndex from;
         peer::LeaseRequest request;
     };
-    // Base and owned chunks together are limit / hosts at every host, in rate and burst: the sum needs no
-    // message to arrive.
+    // At every host the base and the owned chunks add up to limit / hosts, in rate and in burst, so that the
+    // total equals the limit without any message.
     static VolumeLimit::Shares splitIntoChunks(const PlanInfo& plan, int hosts);
     void refill(Volume& volume) const {
         VolumeLimit& limit = volume.limit();
@@ -133,13 +136,14 @@
     [[nodiscard]] double demandOf(const Volume& volume) const;
     bool returnIdleChunks(Volume& volume, double surplus);
     void requestChunks(Volume& volume, int missing);
-    // Returns how many chunks may be expected of the peer beyond those that it granted already.
+    // Returns how many further chunks the peer is expected to grant.
     int requestFrom(Volume& volume, HostIndex peer, int missing);
     void serve(const ReceivedRequest& received);
     [[nodiscard]] int grantable(const Volume& volume, HostIndex peer, int wanted) const;
-    // What a newly granted chunk has saved up goes with it, so that the busy host can use the burst.
-    peer::FixedPoint splitSavedTokens(Volume& volume, int newChunks) const;
-    // Milliseconds, and never 0.
+    // Takes the tokens that newly granted chunks have accrued. They are sent with the grant, so that the busy
+    // host can use the burst.
+    peer::FixedPoint takeAccruedTokens(Volume& volume, int newChunks) const;
+    // The time in milliseconds; the lowest bit is set, so that it is never 0.
     [[nodiscard]] std::uint32_t newStamp() const { return std::uint32_t(context_.now / 1000) | 1u; }
 
     const Context& context_;
--- a/src/policy/micros.h
+++ b/src/policy/micros.h
@@ -1,13 +1,13 @@
 /// \file
-/// The sentinel that stands for a point in time that never was.
+/// The sentinel for a time that never occurred.
 #pragma once
 
 #include "wingproxy/policy.h"
 
 namespace wingproxy {
 
-/// Earlier than any point in time, and far enough from the limits of the type that differences do not
-/// overflow.
+/// Earlier than any time that occurs, and far enough from the limits of the type that differences to it do
+/// not overflow.
 inline constexpr Micros kNever = -1'000'000'000'000'000'000;
 
 }  // namespace wingproxy
--- a/src/policy/volume.h
+++ b/src/policy/volume.h
@@ -1,5 +1,5 @@
 /// \file
-/// A volume as this host knows it, with the records of its leases and of its quota.
+/// A volume's state at this host: its limit with the leases of chunks, and its quota.
 #pragma once
 
 #include <algorithm>
@@ -15,25 +15,25 @@
 
 namespace wingproxy {
 
-/// Chunks of this host that a peer holds.
+/// A lease that this host granted: chunks of its own that a peer holds.
 struct GrantedLease {
     HostIndex peer;
     int chunks = 0;
-    Micros until = 0;         ///< by this host's clock, from the grant
+    Micros until = 0;         ///< expiry by this host's clock, counted from the grant
     std::uint32_t stamp = 0;  ///< of the peer's request
 };
 
-/// Chunks of a peer that this host holds.
+/// A lease that a peer granted: chunks of the peer that this host holds.
 struct HeldLease {
     int chunks = 0;
-    Micros until = 0;         ///< by this host's clock, from its request
+    Micros until = 0;         ///< expiry by this host's clock, counted from its request
     std::uint32_t stamp = 0;  ///< of the last request
-    bool requested = false;   ///< and not answered yet
+    bool requested = false;   ///< the last request is not answered yet
     Micros requestedAt = 0;
 
-    /// Whether it gives this host chunks.
+    /// Whether it has chunks and has not expired.
     [[nodiscard]] bool isRunning(Micros now) const { return chunks > 0 && until > now; }
-    /// Whether the answer to a request is still to be expected.
+    /// Whether a request is unanswered and has not timed out.
     [[nodiscard]] bool isAwaited(Micros now, Micros timeout) const {
         return requested && now - requestedAt < timeout;
     }
@@ -44,32 +44,32 @@
         requestedAt = now;
     }
     /// The last request was answered.
-    /// \param duration of the lease, from its request
+    /// \param duration of the lease, counted from the request
     void onGranted(int grantedChunks, Micros duration) {
         requested = false;
         chunks = grantedChunks;
         until = requestedAt + duration;
     }
-    /// Gives back all but so many chunks; an answer that is on its way counts no more.
+    /// Keeps only `keptChunks`; an outstanding answer will be ignored.
     void reduceTo(int keptChunks) {
         chunks = keptChunks;
         requested = false;
     }
 };
 
-/// The part of a volume's limit that this host may spend: a base of its own, and chunks. `LeaseAllocator`
-/// divides the limit and moves the chunks; here are their records and the bucket that they fill.
+/// The part of a volume's limit that this host may spend: a fixed base, and chunks. Holds the leases and the
+/// token bucket that base and chunks fill; `LeaseAllocator` divides the limit and moves the chunks.
 class VolumeLimit {
 public:
-    /// This host's part of the limit, by its plan. Rates are units a second, bursts are units.
+    /// This host's part of the limit, derived from the plan. Rates are units per second, bursts are units.
     struct Shares {
         double baseRate = 0;
         double baseBurst = 0;
-        double chunkRate = 0;  ///< of one chunk; 0: chunks add nothing, and none is leased
+        double chunkRate = 0;  ///< of one chunk; 0: chunks are worth nothing and are not leased
         double chunkBurst = 0;
-        int ownedChunks = 0;  ///< that belong to this host
+        int ownedChunks = 0;  ///< chunks that belong to this host, leased to peers or not
     };
-    /// All that it knows but for the requests that wait, which belong to one process; for the snapshot.
+    /// All state except the units of queued requests, which belong to one process; for the snapshot.
     struct State {
         bool limited = false;
         Shares shares;
@@ -80,10 +80,10 @@
         Micros lastRequestAt = kNever;
     };
     VolumeLimit() = default;
-    /// Takes over what a predecessor process knew.
+    /// Restores the state of a predecessor process.
     explicit VolumeLimit(State state) : state_(std::move(state)) {}
 
-    /// Whether the plan has a limit; if not, nothing else here counts.
+    /// Whether the plan has a limit; if not, the rest of this object is unused.
     [[nodiscard]] bool isLimited() const { return state_.limited; }
     /// Sets this host's part; the volume is limited from now on.
     void setShares(const Shares& shares) {
@@ -93,43 +93,43 @@
     /// This host's part of the limit.
     [[nodiscard]] const Shares& shares() const { return state_.shares; }
 
-    // -- tokens, one for each unit of work
-    /// The bucket is empty at this time and fills from there.
+    // -- tokens, one per unit of work
+    /// Sets the time from which the bucket fills.
     void startFilling(Micros at) { state_.bucket.at = at; }
-    /// Brings the bucket up to date.
-    /// \param chunks that fill it, see `chunksInUse`
+    /// Adds the tokens accrued since the last refill.
+    /// \param chunks that fill the bucket, see `chunksInUse`
     void refill(int chunks, Micros now) { state_.bucket.refill(rateOf(chunks), burstOf(chunks), now); }
-    /// Tokens as of the last refill; below 0 where a burst passed the limit.
+    /// Tokens as of the last refill; negative if a burst exceeded the limit.
     [[nodiscard]] double tokens() const { return state_.bucket.tokens; }
-    /// Takes the tokens of a request that is sent; does nothing if there is no limit.
+    /// Takes the tokens of a request that is sent; no effect without a limit.
     void spend(double units) {
         if (state_.limited) state_.bucket.tokens -= units;
     }
-    /// A peer granted chunks with the tokens that they had saved up.
+    /// Adds the tokens that came with the chunks of a peer's grant.
     void addTokens(double units) { state_.bucket.tokens += units; }
-    /// Units a second that the base and so many chunks bring.
+    /// Rate of the base and `chunks` chunks, in units per second.
     [[nodiscard]] double rateOf(int chunks) const {
         return state_.shares.baseRate + chunks * state_.shares.chunkRate;
     }
-    /// Capacity of the bucket that goes with it, in units.
+    /// Bucket capacity for the base and `chunks` chunks, in units.
     [[nodiscard]] double burstOf(int chunks) const {
         return state_.shares.baseBurst + chunks * state_.shares.chunkBurst;
     }
-    /// The tokens that so many of the chunks in use have saved up.
+    /// The part of the tokens that `chunks` of the `chunksUsed` chunks in use have accrued.
     [[nodiscard]] double tokensOf(int chunks, int chunksUsed) const {
         return tokens() * std::min(1.0, chunks * state_.shares.chunkBurst / burstOf(chunksUsed));
     }
 
-    // -- requests that wait without tokens
-    /// Units that wait: a demand beyond what arrives.
+    // -- requests queued without tokens
+    /// Adds units of requests that are queued without tokens.
     void addQueuedUnits(double units) { queuedUnits_ += units; }
-    /// These units wait no more, or have their tokens.
+    /// Removes units whose requests have left the queue or got their tokens.
     void removeQueuedUnits(double units) { queuedUnits_ = std::max(0.0, queuedUnits_ - units); }
-    /// Units that wait beyond the tokens that there are.
+    /// Queued units that exceed the available tokens.
     [[nodiscard]] double backlog() const { return std::max(0.0, queuedUnits_ - tokens()); }
 
     // -- chunks
-    /// Chunks that fill the bucket: those of this host that no peer has, and those that it holds of peers.
+    /// Chunks that fill the bucket: owned ones that are not leased out, and those leased from peers.
     /// \param mayUseOwned whether this host may spend its own chunks
     [[nodiscard]] int chunksInUse(bool mayUseOwned, Micros now) const {
         int chunks = mayUseOwned ? std::max(0, state_.shares.ownedChunks - chunksGranted()) : 0;
@@ -137,8 +137,8 @@
             if (lease.until > now) chunks += lease.chunks;
         return chunks;
     }
-    /// Chunks granted to peers, but for one peer's: of each the largest grant still running at the last
-    /// refill, so that a chunk never fills two buckets for the same time.
+    /// Chunks granted to peers other than `exceptPeer`: for each peer the largest grant that had not expired
+    /// at the last refill, so that no chunk fills two buckets for the same period.
     [[nodiscard]] int chunksGranted(HostIndex exceptPeer = HostIndex()) const {
         std::map<HostIndex, int> largest;
         for (const GrantedLease& lease : state_.granted)
@@ -149,55 +149,56 @@
             sum += chunks;
         return sum;
     }
-    /// A peer was granted chunks.
+    /// Records a grant to a peer.
     void addGrant(const GrantedLease& lease) { state_.granted.push_back(lease); }
-    /// A peer keeps only so many of the chunks granted up to its request `stamp`.
+    /// A peer keeps at most `chunks` of the chunks granted for its requests up to `stamp`.
     void onReturned(HostIndex peer, int chunks, std::uint32_t stamp) {
         for (GrantedLease& lease : state_.granted)
             if (lease.peer == peer && std::int32_t(stamp - lease.stamp) >= 0)
                 lease.chunks = std::min(lease.chunks, chunks);
     }
-    /// Forgets grants that are over.
+    /// Removes expired grants.
     void dropExpiredGrants(Micros now) {
         std::erase_if(state_.granted, [&](const GrantedLease& lease) { return lease.until <= now; });
     }
-    /// All grants that are not forgotten.
+    /// All grants that have not been removed.
     [[nodiscard]] const std::vector<GrantedLease>& grants() const { return state_.granted; }
 
-    /// The lease on chunks of a peer, made if there is none.
+    /// The lease on chunks of a peer, created if there is none.
     [[nodiscard]] HeldLease& leaseOf(HostIndex peer) { return state_.held[peer]; }
-    /// All leases on chunks of peers, by the peer.
+    /// All leases on chunks of peers, by peer.
     [[nodiscard]] std::map<HostIndex, HeldLease>& held() { return state_.held; }
-    /// As above, to read.
+    /// Const overload of the above.
     [[nodiscard]] const std::map<HostIndex, HeldLease>& held() const { return state_.held; }
-    /// The lease that a peer's answer to the request `stamp` belongs to, or null.
+    /// The lease that waits for a peer's answer to the request `stamp`, or null.
     [[nodiscard]] HeldLease* findRequested(HostIndex peer, std::uint32_t stamp) {
         const auto entry = state_.held.find(peer);
         if (entry == state_.held.end()) return nullptr;
         HeldLease& lease = entry->second;
         return lease.requested && lease.stamp == stamp ? &lease : nullptr;
     }
-    /// A peer's new process knows of no lease.
+    /// Drops the lease of a peer that restarted and no longer knows of it.
     void dropLease(HostIndex peer) { state_.held.erase(peer); }
-    /// Chunks were requested of a peer.
+    /// Chunks were requested of a peer: sets `lastPeerAsked` and `lastRequestAt`.
     void onRequestSent(HostIndex peer, Micros now) {
         state_.lastPeerAsked = peer;
         state_.lastRequestAt = now;
     }
-    /// The next request goes to the peer after it.
+    /// The peer of the last request; the next request goes to the peer after it.
     [[nodiscard]] HostIndex lastPeerAsked() const { return state_.lastPeerAsked; }
-    /// When any peer was last requested for chunks.
+    /// When chunks were last requested of any peer.
     [[nodiscard]] Micros lastRequestAt() const { return state_.lastRequestAt; }
 
     // -- hot restart
-    /// Takes the tokens of queued requests from the bucket, or a part of all if that is more.
-    double reserve(double part) {
-        const double wanted = std::max(queuedUnits_, part * tokens());
+    /// Takes from the bucket the tokens of queued requests, or `fraction` of all tokens if that is more.
+    /// \return the tokens taken, at most those in the bucket
+    double reserve(double fraction) {
+        const double wanted = std::max(queuedUnits_, fraction * tokens());
         const double taken = std::clamp(wanted, 0.0, std::max(0.0, tokens()));
         state_.bucket.tokens -= taken;
         return taken;
     }
-    /// Leaves these tokens, which do not grow any more, and no chunks.
+    /// Sets the tokens, stops the bucket from filling, and drops all leases.
     void keepOnly(double tokens) {
         state_.bucket.tokens = tokens;
         state_.shares = {0, tokens, 0, 0, state_.shares.ownedChunks};
@@ -209,26 +210,26 @@
 
 private:
     State state_;
-    double queuedUnits_ = 0;  // of requests that wait here without tokens
+    double queuedUnits_ = 0;  // of requests queued without tokens
 };
 
-/// A volume's use of one cell through this host, and what of its weighted share is left there.
+/// A volume's demand on one cell through this host, and the bucket of its weighted share there.
 struct CellQuota {
     DecayingRate demand;
     TokenBucket share;
 };
 
-/// What is left of a volume's guaranteed rate and shares; `Admission` fills and spends it.
+/// The token buckets of a volume's guaranteed rate and shares, filled and spent by `Admission`.
 struct VolumeQuota {
     std::map<CellIndex, CellQuota> byCell;
     std::vector<DecayingRate> demandByClass;
     TokenBucket guaranteed;
 };
 
-/// A volume that was asked for here, or by a peer, not long ago. Owned by `VolumeTable`.
+/// A volume with recent client requests or recent lease requests of peers. Owned by `VolumeTable`.
 class Volume {
 public:
-    /// All that it knows but for its entry in the usage table; for the snapshot.
+    /// All state except the entry in the usage table; for the snapshot.
     struct State {
         std::uint64_t hash = 0;
         PlanIndex plan;
@@ -238,15 +239,15 @@
         VolumeLimit::State limit;
         VolumeQuota quota;
     };
-    /// Only for containers that are being read from a snapshot.
+    /// Only for containers that are filled from a snapshot.
     Volume() = default;
-    /// A volume that is asked for the first time.
+    /// A volume that is requested for the first time.
     /// \param hash of its name; the low half is its key in gossip
-    /// \param plan none: its name is unknown, and requests for it have neither limit nor quota
-    /// \param hosts that serve it, this one included
+    /// \param plan none: unknown, and requests for the volume have neither limit nor quota
+    /// \param hosts number of hosts that serve it, this one included
     Volume(std::uint64_t hash, PlanIndex plan, int hosts, KeyUsage& usage)
         : hash_(hash), plan_(plan), hosts_(hosts), usage_(&usage) {}
-    /// Takes over what a predecessor process knew; `attach` must follow.
+    /// Restores the state of a predecessor process; `attach` must follow.
     explicit Volume(State state)
         : hash_(state.hash),
           plan_(state.plan),
@@ -255,34 +256,34 @@
           demand_(state.demand),
           limit_(std::move(state.limit)),
           quota_(std::move(state.quota)) {}
-    /// Sets its entry in the usage table, which must outlive it.
+    /// Sets its entry in the usage table, which must outlive the volume.
     void attach(KeyUsage& usage) { usage_ = &usage; }
 
-    /// Hash of its name, by which leases name it.
+    /// Hash of its name, which identifies it in lease messages.
     [[nodiscard]] std::uint64_t hash() const { return hash_; }
     /// Its key in gossip and in `UsageTable`.
     [[nodiscard]] std::uint32_t key() const { return static_cast<std::uint32_t>(hash_); }
-    /// None: unknown.
+    /// Its service plan; none: unknown.
     [[nodiscard]] PlanIndex plan() const { return plan_; }
-    /// Hosts that serve it, at least 1.
+    /// Number of hosts that serve it, at least 1.
     [[nodiscard]] int hosts() const { return hosts_; }
-    /// What it is asked for, here and at the other hosts.
+    /// Its demand at this host and at the others, as gossip reports it.
     [[nodiscard]] KeyUsage& usage() const { return *usage_; }
 
-    /// Counts units that this host is asked for.
+    /// Counts units requested through this host.
     void recordDemand(double units, Micros now) { demand_.add(now, kRateMemory, units); }
-    /// Units a second that this host is asked for.
+    /// Demand through this host, in units per second.
     [[nodiscard]] double demandRate(Micros now) const { return demand_.rate(now, kRateMemory); }
-    /// A request or a peer needs it: it is kept for a while from now on.
+    /// A client request or a peer's lease request needs it; see `VolumeTable::forgetUnneeded`.
     void onNeeded(Micros now) { neededAt_ = now; }
-    /// When it was needed last.
+    /// When it was last needed.
     [[nodiscard]] Micros neededAt() const { return neededAt_; }
 
     /// This host's part of its limit, which `LeaseAllocator` alone changes.
     [[nodiscard]] VolumeLimit& limit() { return limit_; }
-    /// As above, to read.
+    /// Const overload of the above.
     [[nodiscard]] const VolumeLimit& limit() const { return limit_; }
-    /// What is left of its guaranteed rate and shares, which `Admission` alone changes.
+    /// The buckets of its guaranteed rate and shares, which `Admission` alone changes.
     [[nodiscard]] VolumeQuota& quota() { return quota_; }
 
     /// For the snapshot.
--- a/src/policy/volume_table.cpp
+++ b/src/policy/volume_table.cpp
@@ -23,7 +23,8 @@
     return entry == byHash_.end() ? nullptr : entry->second;
 }
 
-// A bucket is full again when its volume is forgotten, so a volume that comes back gains nothing.
+// Volumes are kept until their bucket has had time to fill: one that is opened again then gains no tokens by
+// the removal.
 void VolumeTable::forgetUnneeded(Micros period, const std::set<const Volume*>& inUse) {
     for (auto entry = volumes_.begin(); entry != volumes_.end();) {
         const Volume& volume = entry->second;
--- a/src/policy/volume_table.h
+++ b/src/policy/volume_table.h
@@ -12,35 +12,35 @@
 
 namespace wingproxy {
 
-/// By the name that requests give.
+/// Volumes by the name that requests give.
 using VolumeByName = std::map<std::string, Volume>;
 
-/// Owns the volumes. References stay valid until a volume is forgotten.
+/// Owns the volumes. A reference to a volume stays valid until `forgetUnneeded` removes it.
 class VolumeTable {
 public:
     /// \param usage has an entry for each volume; both must outlive the table
     VolumeTable(const Context& context, UsageTable& usage) : context_(context), usage_(usage) {}
 
-    /// The volume of a request.
+    /// Result of `open`.
     struct Opened {
         Volume& volume;
-        bool isNew;  ///< its limit and quota are yet to be set up
+        bool isNew;  ///< the caller must set up its limit and quota
     };
-    /// The volume of a request, made if there is none.
+    /// The volume of a request, created if there is none.
     Opened open(const Request& request);
     /// The volume with this hash of its name, or null.
     [[nodiscard]] Volume* find(std::uint64_t hash);
     /// All volumes by name.
     [[nodiscard]] VolumeByName& all() { return volumes_; }
-    /// As above, to read.
+    /// Const overload of the above.
     [[nodiscard]] const VolumeByName& all() const { return volumes_; }
     /// Number of volumes, for `Policy::tableEntries`.
     [[nodiscard]] std::size_t size() const { return volumes_.size(); }
 
-    /// Forgets volumes that were not needed for `period` microseconds and for as long as their bucket takes
-    /// to fill. \param inUse volumes of open requests
+    /// Removes volumes that were not needed for `period` microseconds plus the time that their bucket takes
+    /// to fill. \param inUse volumes of open requests, which are kept
     void forgetUnneeded(Micros period, const std::set<const Volume*>& inUse);
-    /// Takes volumes over; the usage table must have been restored before.
+    /// Restores the volumes of a predecessor process; the usage table must be restored first.
     void restore(VolumeByName volumes);
 
 private:
