--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -5,12 +5,13 @@
 namespace wingproxy {
 namespace {
 
-constexpr double kHigherClassSeconds = 0.5;  // of the demand of higher classes is left to them in a quota
-// Work is sent while an answer takes at most this part of the shortest objective.
-constexpr double kSpareLatencyPart = 0.7;
-constexpr double kShareLatencyPart = 1;
-// Steps of a level: slower up than down, as what all hosts admit at once fills any queue, and faster where
-// the node is as good as idle. The most asked falls slowly: a host may see it seldom.
+constexpr double kHigherClassSeconds = 0.5;  // of the demand of higher classes are reserved for them
+// Work is sent while the expected latency is at most this fraction of the shortest latency objective.
+constexpr double kSpareLatencyFraction = 0.7;
+constexpr double kShareLatencyFraction = 1;
+// Factors applied at each update. A level rises more slowly than it falls, as the work that all hosts admit
+// at once can fill any queue; it rises faster where a node is nearly idle. The peak demand decays slowly, as
+// this host may see the peak only rarely.
 constexpr double kLevelDecrease = 0.92;
 constexpr double kLevelIncrease = 1.02;
 constexpr double kIdleLevelIncrease = 1.08;
@@ -71,11 +72,12 @@
         unqueued = node.concurrency().queueingThreshold();
     }
     level.peakDemand *= kPeakDemandDecay;
-    if (latency == kUnlimited) return;  // the successor of a drained node is not overloaded: the level stays
+    // No ready node, e.g. until the successor of a drained one starts: that is no sign of overload.
+    if (latency == kUnlimited) return;
     const double increase = latency <= unqueued ? kIdleLevelIncrease : kLevelIncrease;
-    if (latency > kShareLatencyPart * context_.latencyObjective)
+    if (latency > kShareLatencyFraction * context_.latencyObjective)
         level.level = std::min(level.level, level.peakDemand) * kLevelDecrease;
-    if (latency < kSpareLatencyPart * context_.latencyObjective)
+    if (latency < kSpareLatencyFraction * context_.latencyObjective)
         level.level = std::min(kUnlimited, level.level * increase);
 }
 
@@ -85,18 +87,18 @@
     const double factor = plan.isNone() ? 1 : settings.plans.at(plan.position()).priorityFactor;
     const double beyondGuaranteed =
         request.quota() == QuotaClass::Share ? settings.shareWeight : settings.spareWeight;
-    const double part = request.quota() == QuotaClass::Guaranteed ? 1 : beyondGuaranteed;
-    return request.priorityWeight() * factor * part;
+    const double quotaWeight = request.quota() == QuotaClass::Guaranteed ? 1 : beyondGuaranteed;
+    return request.priorityWeight() * factor * quotaWeight;
 }
 
 double Admission::maxLatency(const PendingRequest& request) const {
     const double timeLeft = double(request.due() - context_.now);
     if (request.quota() == QuotaClass::Guaranteed) return timeLeft;
     if (request.quota() == QuotaClass::Share)
-        return std::min(timeLeft, kShareLatencyPart * context_.latencyObjective);
+        return std::min(timeLeft, kShareLatencyFraction * context_.latencyObjective);
     const WaterLevel level = levelOf(request.cell());
-    if (level.level < level.peakDemand) return 0;  // spare: only where the shares are not contended
-    return kSpareLatencyPart * context_.latencyObjective;
+    if (level.level < level.peakDemand) return 0;  // spare work is not sent where shares are contended
+    return kSpareLatencyFraction * context_.latencyObjective;
 }
 
 }  // namespace wingproxy
--- a/src/policy/key_order.h
+++ b/src/policy/key_order.h
@@ -49,7 +49,7 @@
         if (entry == keys_.end()) return;
         entry->second.abandonedAttempts = std::max(0, entry->second.abandonedAttempts - 1);
     }
-    /// Removes keys without open requests, outstanding attempts or a pause.
+    /// Removes keys that have no open requests, no outstanding attempts and no pause.
     void forgetIdle(Micros now) {
         std::erase_if(keys_, [&](const auto& entry) { return entry.second.isIdle(now); });
     }
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -5,7 +5,7 @@
 namespace wingproxy {
 namespace {
 
-constexpr double kMinUnitsPerSecond = 1e-3;  // no division by less
+constexpr double kMinUnitsPerSecond = 1e-3;  // avoids division by zero
 
 }  // namespace
 
@@ -14,7 +14,7 @@
     for (const NodeIndex index : cell.nodes) {
         const Node& node = cluster_.node(index);
         if (!cluster_.acceptsRequests(node)) continue;
-        // A suspect answers no sooner than it is tried.
+        // A suspect node gets only trial requests, one per trial interval.
         const double trialRate = node.concurrency().estimate().units * 1e6 / double(cluster_.trialInterval());
         capacity.unitsPerSecond += cluster_.isSuspect(node) ? trialRate : cluster_.unitsPerSecond(node);
         const double latency =
--- a/src/policy/load_shedder.h
+++ b/src/policy/load_shedder.h
@@ -1,5 +1,5 @@
 /// \file
-/// Finds the waiting requests that cannot be answered in time, so that they are rejected at once.
+/// Finds queued requests that cannot be answered in time, so that they can be rejected at once.
 #pragma once
 
 #include <map>
@@ -11,9 +11,9 @@
 
 namespace wingproxy {
 
-/// Looks at the queue of a cell in the order of sending. For each request that would come too late, the least
-/// valuable one at or before it is shed; for each whose volume has no tokens in time, the one of least
-/// priority of that volume.
+/// Walks the queue of a cell in the order of sending. For each request that would be answered too late, it
+/// sheds the least valuable request up to and including that one. For each request whose volume will not have
+/// tokens in time, it sheds the one of that volume with the lowest priority.
 class LoadShedder {
 public:
     /// All four must outlive the object.
@@ -21,33 +21,34 @@
                 const LeaseAllocator& leases)
         : context_(context), cluster_(cluster), admission_(admission), leases_(leases) {}
 
-    /// What a queue has too much of.
+    /// The part of a queue that exceeds the cell's capacity.
     struct Overload {
-        std::vector<PendingRequest*> requests;  ///< to be shed, in this order
-        Micros backlog = 0;                     ///< microseconds that the rest of the queue takes
+        std::vector<PendingRequest*> requests;  ///< to be rejected, in this order
+        Micros backlog = 0;                     ///< time to serve the rest of the queue, in microseconds
     };
-    /// Looks at the queue of a cell. The queue stays as it is: the caller rejects what is to be shed.
+    /// Finds the requests to shed from the queue of a cell. Does not change the queue: the caller rejects
+    /// them.
     [[nodiscard]] Overload overload(const Cell& cell, const RequestQueue& queue) const;
 
 private:
-    /// What a cell can do.
+    /// The capacity of a cell.
     struct Capacity {
         double unitsPerSecond;
-        double latency;  ///< of its quickest node, microseconds
+        double latency;  ///< lowest latency of the nodes that accept requests, microseconds; 0: none does
     };
-    /// The requests that stay, as far as the queue was looked at.
+    /// The requests that are kept, of the part of the queue that was examined so far.
     struct Backlog {
         std::vector<PendingRequest*> requests;
         double units = 0;
         std::map<const Volume*, double> tokensNeeded;
 
-        /// Adds the next request of the queue.
+        /// Appends the next request of the queue.
         void add(PendingRequest& request) {
             requests.push_back(&request);
             units += request.units();
             if (request.needsTokens()) tokensNeeded[&request.volume()] += request.units();
         }
-        /// Takes out one that is shed.
+        /// Removes a request that is shed.
         void remove(std::vector<PendingRequest*>::iterator position) {
             const PendingRequest& request = **position;
             units -= request.units();
@@ -57,12 +58,13 @@
     };
     using Position = std::vector<PendingRequest*>::iterator;
     [[nodiscard]] Capacity capacityOf(const Cell& cell) const;
-    /// The request to shed for the last one of the backlog; its end if that one can be answered in time.
+    /// The request to shed because the last one of the backlog cannot be answered in time; the end of the
+    /// backlog if it can.
     [[nodiscard]] Position victimFor(Backlog& backlog, const Capacity& capacity) const;
-    /// The latest of equals.
+    /// The request of the backlog with the lowest value; the last of equals.
     [[nodiscard]] Position leastValuable(Backlog& backlog) const;
-    /// The last request of the backlog, or the first one of its volume that has lower priority than all
-    /// others.
+    /// The request without tokens with the lowest priority weight, among those of the same volume as the last
+    /// request of the backlog. Of equals the last request is preferred, then the first in the queue.
     [[nodiscard]] static Position lowestPriorityOfVolume(Backlog& backlog);
 
     const Context& context_;
--- a/src/policy/pending_request.h
+++ b/src/policy/pending_request.h
@@ -1,5 +1,5 @@
 /// \file
-/// A request that has no final answer yet, or whose attempts are not over.
+/// A client request without a final answer, or with outstanding attempts.
 #pragma once
 
 #include <map>
@@ -10,11 +10,11 @@
 
 namespace wingproxy {
 
-/// Where a request lies in what its volume may ask for.
+/// The part of its volume's quota that covers a request.
 enum class QuotaClass {
-    Guaranteed,  ///< inside the guaranteed rate
-    Share,       ///< inside the weighted share of a cell
-    Spare,       ///< beyond it: served while nothing else needs the capacity
+    Guaranteed,  ///< within the guaranteed rate
+    Share,       ///< within the weighted share of a cell
+    Spare,       ///< beyond both: served while nothing else needs the capacity
 };
 
 /// One request of a client, from its arrival to its final answer and the end of its last attempt. Owned by
@@ -24,98 +24,101 @@
     /// A request that just arrived; `onReceived`, `setDue` and `setCell` must follow.
     explicit PendingRequest(Request info) : info_(std::move(info)) {}
 
-    // -- what was asked
-    /// The request as it was received, but for its deadline, which moves when a body is complete.
+    // -- the request as received
+    /// The request as it was received, except that `onBodyCompleted` updates its deadline.
     [[nodiscard]] const Request& info() const { return info_; }
-    /// Names it to the caller of the policy.
+    /// Its id for the caller of the policy.
     [[nodiscard]] RequestId id() const { return info_.id; }
-    /// Units of work that it makes.
+    /// Its size in units of work.
     [[nodiscard]] double units() const { return info_.units; }
-    /// Null: unknown class.
+    /// Its request class; null: unknown.
     [[nodiscard]] const ClassInfo* classInfo() const { return classInfo_; }
-    /// That of its class; an unknown class is never sent again once it may have run.
+    /// The retry safety of its class. A request of unknown class is not retried once it may have run.
     [[nodiscard]] RetrySafety retrySafety() const {
         return classInfo_ ? classInfo_->retrySafety : RetrySafety::NotIdempotent;
     }
-    /// Value of a unit of its work that is answered in time.
+    /// Priority weight of its class: the value of a unit of its work that is answered in time.
     [[nodiscard]] double priorityWeight() const { return classInfo_ ? classInfo_->priorityWeight : 1; }
-    /// The latency objective of its class, in microseconds; `otherwise` where it has none.
+    /// The latency objective of its class, in microseconds; `otherwise` if there is none.
     [[nodiscard]] Micros latencyObjective(Micros otherwise) const {
         return classInfo_ && classInfo_->latencyObjectiveUs > 0 ? classInfo_->latencyObjectiveUs : otherwise;
     }
-    /// Of which its units are taken.
+    /// The volume whose limit and quota it is charged to.
     [[nodiscard]] Volume& volume() const { return *volume_; }
-    /// Order of arrival, from 0.
+    /// Its number in the order of arrival, from 0.
     [[nodiscard]] std::uint64_t sequence() const { return sequence_; }
-    /// Whether its body is still coming: it takes no slot at a node yet, as the node cannot answer.
+    /// Whether its body is still being received. Until the body is complete it takes no slot at a
+    /// node, as the node cannot answer.
     [[nodiscard]] bool isBodyIncomplete() const { return info_.bodyIncomplete; }
 
-    // -- where and when it is to be served
-    /// It should be answered by then: the end of its latency objective or its deadline, whichever is sooner.
+    // -- where and when it is served
+    /// When it should be answered: at its latency objective or its deadline, whichever is earlier.
     [[nodiscard]] Micros due() const { return due_; }
-    /// Must not change while it is queued, as queues are ordered by it.
+    /// Sets `due`; not while it is queued, as queues are ordered by it.
     void setDue(Micros due) { due_ = due; }
-    /// Where it is to be served; none: a new object that has no cell yet.
+    /// The cell that serves it; none: a new object that has no cell yet.
     [[nodiscard]] CellIndex cell() const { return cell_; }
-    /// Must not change while it is queued.
+    /// Sets `cell`; not while it is queued.
     void setCell(CellIndex cell) { cell_ = cell; }
-    /// `Share` until `Admission` classified it.
+    /// Its quota class; `Share` until `Admission` has classified it.
     [[nodiscard]] QuotaClass quota() const { return quota_; }
-    /// What its volume's quota covers of it. \param isGuaranteed takes precedence over `isShare`
+    /// Sets its quota class.
+    /// \param isGuaranteed takes precedence over `isShare`; neither: `Spare`
     void setQuota(bool isGuaranteed, bool isShare) {
         const QuotaClass beyondGuaranteed = isShare ? QuotaClass::Share : QuotaClass::Spare;
         quota_ = isGuaranteed ? QuotaClass::Guaranteed : beyondGuaranteed;
     }
-    /// Whether it waits in the queue of its cell.
+    /// Whether it is in the queue of its cell.
     [[nodiscard]] bool isQueued() const { return queued_; }
-    /// Whether its units were taken from the volume's limit; retries are not charged again.
+    /// Whether its units were taken from the volume's limit; retries are not charged.
     [[nodiscard]] bool hasTokens() const { return hasTokens_; }
     /// Whether it waits for tokens of a limited volume.
     [[nodiscard]] bool needsTokens() const { return volume_->limit().isLimited() && !hasTokens_; }
 
     // -- its attempts
-    /// Attempts so far.
+    /// Number of attempts so far.
     [[nodiscard]] int attempts() const { return attempts_; }
-    /// Attempts without an outcome.
+    /// Number of attempts without an outcome.
     [[nodiscard]] int outstanding() const { return outstanding_; }
     /// The nodes of the attempts without an outcome.
     [[nodiscard]] const std::map<AttemptIndex, NodeIndex>& nodeByAttempt() const { return nodeByAttempt_; }
-    /// When the last attempt was sent, or the body was complete.
+    /// When the last attempt was sent, or when the body was complete if that is later.
     [[nodiscard]] Micros sentAt() const { return sentAt_; }
-    /// The node of the first attempt that may have run, near which it may have to be repeated; none: nothing
-    /// may have run.
+    /// The node of the first attempt that may have run. A retry may have to go to a node in its key scope.
+    /// None: no attempt can have run.
     [[nodiscard]] NodeIndex pinnedNode() const { return pinnedNode_; }
     /// Whether an attempt that ended may have done its work.
     [[nodiscard]] bool mayHaveRun() const { return mayHaveRun_; }
-    /// Whether no attempt ran or may run yet, so that a rejection is true.
+    /// Whether no attempt ran or may still run, so that a rejection, which says so, is true.
     [[nodiscard]] bool neverRan() const { return !mayHaveRun_ && outstanding_ == 0; }
-    /// Until when nodes recognise its idempotency key; 0: it has none, or needs none.
+    /// Until when nodes recognise its idempotency key; 0 if its class does not retry by key.
     [[nodiscard]] Micros repeatableUntil() const {
         return retrySafety() == RetrySafety::IdempotentWithKey ? firstSentAt_ + classInfo_->keyWindowUs : 0;
     }
-    /// Whether the response reaches the client already: no other answer is possible.
+    /// Whether the response is being forwarded to the client, so that no other answer is possible.
     [[nodiscard]] bool isStreaming() const { return streaming_; }
-    /// Whether a node has done its work and only bytes follow.
+    /// Whether a node has completed the work and only bytes of the response follow.
     [[nodiscard]] bool isNodeDone() const { return nodeDone_; }
-    /// Whether it has its final answer; attempts may be outstanding.
+    /// Whether it has its final answer; attempts may still be outstanding.
     [[nodiscard]] bool isFinished() const { return finished_; }
 
-    // -- what happened
-    /// It was taken in. \param classInfo null: unknown class
+    // -- events
+    /// It was received.
+    /// \param classInfo null: unknown class
     void onReceived(const ClassInfo* classInfo, Volume& volume, std::uint64_t sequence) {
         classInfo_ = classInfo;
         volume_ = &volume;
         sequence_ = sequence;
     }
-    /// Its body is complete: nodes may start now, and the client's time runs from now on.
+    /// Its body is complete: nodes can start now, and the client's deadline counts from now.
     void onBodyCompleted(Micros deadline, Micros now) {
         info_.bodyIncomplete = false;
         info_.deadlineUs = deadline;
         sentAt_ = now;
     }
-    /// It waits in the queue of its cell from now on.
+    /// It was added to the queue of its cell.
     void onQueued() { queued_ = true; }
-    /// It left that queue.
+    /// It was removed from the queue of its cell.
     void onDequeued() { queued_ = false; }
     /// Its units were taken from the volume's limit.
     void onTokensSpent() { hasTokens_ = true; }
@@ -129,19 +132,20 @@
         sentAt_ = now;
         ++outstanding_;
     }
-    /// A response began. \param forwarding its bytes reach the client already
+    /// A response began.
+    /// \param forwarding its bytes are being forwarded to the client
     void onResponseStarted(bool forwarding) { streaming_ = streaming_ || forwarding; }
-    /// A node has done its work, only bytes follow.
-    /// \return whether that is news: the attempt's slot is free now
+    /// A node has completed the work; only bytes of the response follow.
+    /// \return whether the attempt still held its slot, which is free now
     [[nodiscard]] bool onNodeDone() { return !isBodyIncomplete() && !std::exchange(nodeDone_, true); }
-    /// An attempt is over; `onOutcome` follows unless the request is finished.
-    /// \return whether it still held a slot at its node
+    /// An attempt ended; `onOutcome` follows unless the request is finished.
+    /// \return whether the attempt still held a slot at its node
     [[nodiscard]] bool onAttemptEnded(AttemptIndex attempt) {
         nodeByAttempt_.erase(attempt);
         --outstanding_;
         return !isBodyIncomplete() && !std::exchange(nodeDone_, false);
     }
-    /// An attempt ended in this way, which says whether its node may have done any work.
+    /// Records from the outcome of an attempt whether its node may have done any work.
     void onOutcome(Outcome outcome) {
         const bool nothingRan = outcome == Outcome::Rejected || outcome == Outcome::ConnectFailed ||
                                 outcome == Outcome::NotStarted;
@@ -156,7 +160,7 @@
 private:
     Request info_;
     const ClassInfo* classInfo_ = nullptr;  // owned by the settings
-    Volume* volume_ = nullptr;              // owned by VolumeTable, which keeps the volumes of open requests
+    Volume* volume_ = nullptr;              // owned by VolumeTable, which keeps volumes of open requests
     QuotaClass quota_ = QuotaClass::Share;
     std::uint64_t sequence_ = 0;
     Micros due_ = 0;
@@ -168,7 +172,7 @@
     int attempts_ = 0;
     int outstanding_ = 0;
     Micros sentAt_ = 0;
-    Micros firstSentAt_ = kNever;  // first attempt that may have run
+    Micros firstSentAt_ = kNever;  // of the first attempt that may have run
     NodeIndex pinnedNode_;
     bool mayHaveRun_ = false;
     bool streaming_ = false;
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -24,14 +24,14 @@
            context_.now < request.repeatableUntil();
 }
 
-// Whether the node recognises the idempotency key of an attempt that the pinned node got.
+// Whether the node recognises an idempotency key that the pinned node has seen.
 bool RetryPolicy::knowsKey(const PendingRequest& request, const NodeInfo& node) const {
     if (request.retrySafety() != RetrySafety::IdempotentWithKey || request.pinnedNode().isNone()) return true;
     return isInScope(request.classInfo()->keyScope, cluster_.node(request.pinnedNode()).info(), node);
 }
 
-// A request that is exactly one window old counts no more, a retry still does: the client's side errs on
-// safety.
+// A request that is exactly one window old no longer counts, but a retry of that age still does: at the
+// boundary the stricter count applies.
 bool RetryPolicy::isInRetryBudget() {
     const Settings& settings = context_.settings;
     if (settings.retryWindowUs <= 0) return true;
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -1,5 +1,5 @@
 /// \file
-/// The guards: whether a request may be sent to a node, retried, or rejected.
+/// Decides whether a request may be sent to a node, retried, or rejected.
 #pragma once
 
 #include "policy/cluster_view.h"
@@ -10,37 +10,38 @@
 
 namespace wingproxy {
 
-/// Holds the rules on idempotency, draining nodes, slow start, limits, order of keys and the retry budget.
-/// Owns the budget and the order of keys.
+/// Applies the rules on idempotency, draining nodes, slow start, limits, key order and the retry budget. Owns
+/// the retry budget and the key order.
 class RetryPolicy {
 public:
-    /// \param cluster says which nodes accept requests
-    /// \param leases says whether a volume has tokens; all three must outlive the object
+    /// \param cluster tells which nodes accept requests
+    /// \param leases tells whether a volume has tokens; all three must outlive the object
     RetryPolicy(const Context& context, ClusterView& cluster, LeaseAllocator& leases)
         : context_(context), cluster_(cluster), leases_(leases) {}
 
-    /// The one guard before every send.
+    /// Whether the request may be sent to the node now. Must be checked before every send.
     [[nodiscard]] bool maySend(const PendingRequest& request, NodeIndex node);
-    /// Whether another attempt may be made now or later, after one has ended.
+    /// Whether another attempt may be made, now or later, after one has ended.
     [[nodiscard]] bool mayRetry(const PendingRequest& request) const;
-    /// Whether another attempt would be allowed, should the outstanding one be lost.
+    /// Whether another attempt would be allowed if the outstanding one is lost.
     [[nodiscard]] bool mayRetryIfLost(const PendingRequest& request) const;
-    /// The one guard before every rejection, which says to the client that nothing ran.
+    /// Whether the request may be rejected, which tells the client to send it again if it wants: either
+    /// nothing ran, or running it twice is safe. Must be checked before every rejection.
     [[nodiscard]] static bool mayReject(const PendingRequest& request);
 
-    // -- what happened
-    /// A request arrived: it adds to the retry budget, and to the order of its key.
+    // -- events
+    /// A request arrived: adds to the retry budget, and appends the request to the order of its key.
     void onReceived(const PendingRequest& request) {
         if (context_.settings.retryWindowUs > 0) budget_.requests.record(context_.now);
         if (isOrdered(request)) keys_.add(request.info().key, request.id());
     }
-    /// A request is about to be sent; its own count of attempts does not have this one yet. Any but the first
-    /// is charged to the retry budget.
+    /// A request is about to be sent; its own attempt count does not include this one yet. Every attempt
+    /// after the first is charged to the retry budget.
     void onSent(const PendingRequest& request) {
         if (request.attempts() > 0 && context_.settings.retryWindowUs > 0)
             budget_.retries.record(context_.now);
     }
-    /// An attempt ended; the request's own counts are up to date.
+    /// An attempt ended; the request's own counts already include that.
     void onAttemptEnded(const PendingRequest& request, Outcome outcome) {
         if (!isOrdered(request)) return;
         const std::string& key = request.info().key;
@@ -49,12 +50,12 @@
                         request.isFinished() ? 0 : request.id());
         if (request.isFinished()) keys_.onAbandonedAttemptEnded(key);
     }
-    /// A request has its final answer: the next one of its key may follow once its attempts have ended.
+    /// A request has its final answer: the next one with its key may be sent once its attempts have ended.
     void onFinished(const PendingRequest& request) {
         if (isOrdered(request))
             keys_.remove(request.info().key, request.id(), request.outstanding(), context_.now);
     }
-    /// Forgets keys that no request and no pause needs; to be called now and then.
+    /// Removes keys without requests, attempts and pause; must be called periodically.
     void forgetIdleKeys() { keys_.forgetIdle(context_.now); }
 
     /// Number of keys whose order is kept, for `Policy::tableEntries`.
@@ -64,9 +65,9 @@
         EventWindow requests;
         EventWindow retries;
     };
-    /// For the snapshot; the order of keys belongs to the open requests, which stay with this process.
+    /// For the snapshot. The key order is not part of it, as open requests stay with this process.
     [[nodiscard]] const State& state() const { return budget_; }
-    /// Takes over the budget of a predecessor process.
+    /// Restores the budget of a predecessor process.
     void restore(State state) { budget_ = std::move(state); }
 
 private:
