--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -1,4 +1,4 @@
-// Specifies when work counts as spare: the water level of a cell over the loss and return of its nodes.
+// Tests when work counts as spare: the water level of a cell while its nodes leave and return.
 #include <gtest/gtest.h>
 
 #include "policy/policy_test_support.h"
@@ -6,9 +6,9 @@
 namespace wingproxy::test {
 namespace {
 
-// While a release leaves a cell without a node, nothing is overloaded there: its water level fell to nothing
-// all the same, and the new node stood idle for seconds while its cell's work was rejected as spare.
-TEST(Admission, ACellThatWasWithoutANodeServesAllItsWorkOnceItHasOne) {
+// A cell without a node, as during a rollout, is not overloaded. If its water level falls meanwhile, the new
+// node is idle for seconds while the cell's requests are rejected as spare.
+TEST(Admission, ACellThatHadNoNodeServesAllRequestsOnceItHasOne) {
     Host h = ready();
     RequestId id = 0;
     h.batch({nodes({node("a", 0, NodeState::Removed)}, EndpointListKind::Delta)});
--- a/tests/policy/lease_allocator_test.cpp
+++ b/tests/policy/lease_allocator_test.cpp
@@ -1,5 +1,5 @@
-// Specifies the leases of chunks: three hosts over a network that delays and loses messages never send more
-// for a limited volume than its limit allows, and a busy host gets the chunks of idle ones.
+// Tests the leases of chunks: three hosts, joined by a network that delays and loses messages, together never
+// exceed the limit of a volume, and a busy host borrows the chunks of idle ones.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -12,7 +12,7 @@
 namespace wingproxy::test {
 namespace {
 
-// Hosts joined by a network that the test may slow, cut or drop from.
+// Hosts joined by a simulated network whose delay, loss and partitions the test sets.
 struct Fleet {
     explicit Fleet(int n, std::uint64_t seed = 1) : random(seed) {
         for (int i = 0; i < n; ++i)
@@ -35,30 +35,30 @@
                 if (cut || cuts.count({i, other}) || (lossPercent > 0 && int(random() % 100) < lossPercent))
                     continue;
                 const Micros delay = minDelay + Micros(random() % std::uint64_t(maxDelay - minDelay + 1));
-                wire.push_back({now + delay, i, other, message.bytes});
+                inFlight.push_back({now + delay, i, other, message.bytes});
             }
         for (const auto& send : only<ForwardRequest>(actions)) {
-            if (paid.insert(send.id).second) spend(units[send.id], i);
+            if (charged.insert(send.id).second) spend(units[send.id], i);
             answers.emplace_back(now + 5 * kMs, i, send);
         }
     }
     void spend(double u, int host) {
-        store = std::min(burst, store + limit * double(now - storeAt) / 1e6) - u;
-        storeAt = now;
-        lowest = std::min(lowest, store);
+        reference = std::min(burst, reference + limit * double(now - referenceAt) / 1e6) - u;
+        referenceAt = now;
+        lowest = std::min(lowest, reference);
         sent[host] += u;
     }
-    // Moves on in steps of 1 ms; host i gets rate[i] units a second in requests of 2 units.
+    // Advances the time in steps of 1 ms; host i gets rate[i] units per second in requests of 2 units.
     void run(Micros span, std::map<int, double> rate) {
         for (const Micros end = now + span; now < end;) {
             now += kMs;
-            for (std::size_t k = 0; k < wire.size();) {
-                if (wire[k].at > now) {
+            for (std::size_t k = 0; k < inFlight.size();) {
+                if (inFlight[k].at > now) {
                     ++k;
                     continue;
                 }
-                const auto m = wire[k];
-                wire.erase(wire.begin() + static_cast<std::ptrdiff_t>(k));
+                const auto m = inFlight[k];
+                inFlight.erase(inFlight.begin() + static_cast<std::ptrdiff_t>(k));
                 if (hosts.count(m.to)) deliver(m.to, {PeerMessageReceived{HostIndex(m.from), m.bytes}});
             }
             while (!answers.empty() && std::get<0>(answers.front()) <= now) {
@@ -68,9 +68,9 @@
             }
             for (auto& [i, host] : hosts) {
                 take(i, host->runTo(now));
-                owed[i] += rate[i] / 1000;
-                while (owed[i] >= 2) {
-                    owed[i] -= 2;
+                unsentUnits[i] += rate[i] / 1000;
+                while (unsentUnits[i] >= 2) {
+                    unsentUnits[i] -= 2;
                     units[++lastId] = 2;
                     deliver(i, {request(lastId, 0, 0, now, 2, 0, 3)});
                 }
@@ -83,18 +83,19 @@
         std::string bytes;
     };
     std::mt19937_64 random;
-    Micros now = kStart, storeAt = kStart, minDelay = 2 * kMs, maxDelay = 20 * kMs;
-    double limit = 20, burst = 48, store = 48, lowest = 48;
+    Micros now = kStart, referenceAt = kStart, minDelay = 2 * kMs, maxDelay = 20 * kMs;
+    // `reference` is a token bucket with the volume's whole limit; the hosts exceeded it if `lowest` < 0.
+    double limit = 20, burst = 48, reference = 48, lowest = 48;
     int lossPercent = 0;
     bool cut = false;
     std::set<std::pair<int, int>> cuts;  // from, to
     std::uint64_t processes = 0;
     RequestId lastId = 0;
     std::map<int, std::unique_ptr<Host>> hosts;
-    std::map<int, double> owed, sent;
+    std::map<int, double> unsentUnits, sent;  // by host: units due but not requested yet, units sent
     std::map<RequestId, double> units;
-    std::set<RequestId> paid;
-    std::vector<Message> wire;
+    std::set<RequestId> charged;
+    std::vector<Message> inFlight;
     std::deque<std::tuple<Micros, int, ForwardRequest>> answers;
 };
 
@@ -136,7 +137,7 @@
     EXPECT_GE(f.lowest, 0);
 }
 
-// A home that grants less than before may use the difference only once the borrower has said that it doesn't.
+// An owner that grants fewer chunks than before may use the others only once the borrower has returned them.
 TEST(LeaseAllocator, AGrantOfFewerChunksFreesTheOthersAtOnce) {
     double sum = 0;
     for (int round = 0; round < 5; ++round) {
@@ -151,8 +152,9 @@
     EXPECT_GT(sum, 5 * 3 * 20 * 0.95);  // of the limit
 }
 
-// A volume that is asked for at one host alone is not forgotten at the others: they grant their part of it.
-TEST(LeaseAllocator, AHostThatIsNotAskedForAVolumeGoesOnGranting) {
+// Lease requests keep a volume in use at hosts that get no client requests for it: they go on granting
+// chunks.
+TEST(LeaseAllocator, AHostWithoutRequestsForAVolumeKeepsGrantingItsChunks) {
     Fleet f(3);
     f.run(2 * kSecond, {{0, 2}, {1, 2}, {2, 2}});
     f.run(70 * kSecond, {{0, 60}});
@@ -162,7 +164,7 @@
     EXPECT_GE(f.lowest, 0);
 }
 
-TEST(LeaseAllocator, AForgottenVolumeStartsWithItsLimitAndItsPeers) {
+TEST(LeaseAllocator, AVolumeThatWasRemovedReturnsWithItsLimitAndPeers) {
     Fleet f(3);
     for (const int round : {1, 2}) {
         f.run(2 * kSecond, {{0, 2}, {1, 2}, {2, 2}});
@@ -170,15 +172,15 @@
         f.run(10 * kSecond, {{0, 60}, {1, 2}, {2, 2}});
         EXPECT_GT(f.sent[0], 20.0 / 3 * 10 * 1.6) << round;
         f.run(70 * kSecond, {});
-        EXPECT_LE(f.hosts[0]->policy.tableEntries(), 8u);  // its nodes and cells
+        EXPECT_LE(f.hosts[0]->policy.tableEntries(), 8u);  // only nodes and cells are left
     }
     EXPECT_GE(f.lowest, 0);
 }
 
-TEST(LeaseAllocator, TheSumKeepsTheLimitThroughLossCrossingCutsAndRestarts) {
+TEST(LeaseAllocator, TheTotalStaysWithinTheLimitThroughLossReorderingPartitionsAndRestarts) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         Fleet f(3, seed);
-        f.maxDelay = 400 * kMs;  // messages overtake one another
+        f.maxDelay = 400 * kMs;  // messages are reordered
         f.lossPercent = 20;
         std::mt19937_64 random(seed);
         for (int step = 0; step < 40; ++step) {
@@ -186,21 +188,21 @@
             f.run(Micros(300 + random() % 900) * kMs,
                   {{int(random() % 3), high}, {int(random() % 3), high / 2}, {2, 3}});
             f.cut = random() % 5 == 0;
-            if (random() % 4 == 0) f.start(int(random() % 3));  // killed and up again at once
+            if (random() % 4 == 0) f.start(int(random() % 3));  // killed and restarted at once
         }
         EXPECT_GE(f.lowest, 0) << "seed " << seed;
     }
 }
 
-// The limit over every way in which a host ends: announced before and served on for a while, announced and
-// killed at once, or not announced; messages lost, and late by up to 2 s, shutdown notices among them. Host 0
-// holds all chunks that there are and keeps the store near its end, so that a chunk that two hosts spend
-// shows: with a host that recovers at once the store is overdrawn.
-TEST(LeaseAllocator, TheSumKeepsTheLimitThroughShutdownNoticesAndCrashes) {
+// Covers every way in which a host stops: with a shutdown notice and some time to serve on, with a notice and
+// killed at once, or without a notice. Messages, shutdown notices among them, are lost or late by up to 2 s.
+// Host 0 holds all chunks and keeps the reference bucket nearly empty, so that a chunk spent by two hosts
+// overdraws it, as happens when a host counts as recovered right after its restart.
+TEST(LeaseAllocator, TheTotalStaysWithinTheLimitThroughShutdownNoticesAndCrashes) {
     std::map<fleet::RestartRecovery::RecoveryCause, int> by;
     for (std::uint64_t seed = 1; seed <= 120; ++seed) {
         Fleet f(3, seed);
-        f.store = f.lowest = 0;  // as the hosts' buckets: no more is due to them than what fills from here on
+        f.reference = f.lowest = 0;  // as the hosts' buckets: only what accrues from now on may be spent
         std::mt19937_64 random(seed * 31);
         f.run(2 * kSecond, {{0, 4}, {1, 4}, {2, 4}});
         f.run(5 * kSecond, {{0, 80}, {1, 1}, {2, 1}});
@@ -211,7 +213,7 @@
             f.deliver(who, {ShutdownStarted{f.now + Micros(random() % 4'000) * kMs}});
             f.run(Micros(random() % 3'000) * kMs, {{0, 80}});
         }
-        if (seed % 5 > 0) f.cuts = {{who, 0}, {0, who}};  // 0 never hears that its lender restarted
+        if (seed % 5 > 0) f.cuts = {{who, 0}, {0, who}};  // host 0 does not learn that its lender restarted
         f.hosts.erase(who);
         f.run(Micros(random() % 3 == 0 ? random() % 2'000 : 1) * kMs, {{0, 80}});
         f.start(who);
@@ -224,20 +226,20 @@
     EXPECT_GT(by[fleet::RestartRecovery::RecoveryCause::LeaseExpired], 5);
 }
 
-TEST(LeaseAllocator, ARestartedHostWaitsUntilItsEarlierLeasesAreOver) {
+TEST(LeaseAllocator, ARestartedHostWaitsUntilItsEarlierLeasesExpired) {
     Fleet f(3);
     f.run(2 * kSecond, {{0, 2}, {1, 2}, {2, 2}});
     f.run(3 * kSecond, {{0, 60}, {1, 2}, {2, 2}});
     f.cut = true;
-    f.wire.clear();
-    f.start(1);  // knows nothing of what it granted to 0
+    f.inFlight.clear();
+    f.start(1);  // does not know the chunks that it granted to host 0
     f.sent.clear();
     f.run(1800 * kMs, {{1, 60}});
-    EXPECT_LE(f.sent[1], 1.0 / 3 * 2 + 2);  // its base alone
+    EXPECT_LE(f.sent[1], 1.0 / 3 * 2 + 2);  // the base rate alone
     EXPECT_GE(f.lowest, 0);
 }
 
-TEST(LeaseAllocator, ForeignAndBrokenMessagesChangeNothing) {
+TEST(LeaseAllocator, MalformedMessagesAndUnknownSendersAreIgnored) {
     Fleet f(3);
     f.run(2 * kSecond, {{0, 2}, {1, 2}, {2, 2}});
     f.sent.clear();
--- a/tests/policy/load_shedder_test.cpp
+++ b/tests/policy/load_shedder_test.cpp
@@ -1,4 +1,4 @@
-// Specifies which waiting requests are rejected at once, as they cannot be answered in time or their
+// Tests which queued requests are rejected early, because they cannot be answered in time or their
 // connections are needed.
 #include <gtest/gtest.h>
 
@@ -8,7 +8,7 @@
 namespace {
 
 TEST(LoadShedder, EveryRequestGetsOneFinalAnswerBeforeItsDeadline) {
-    Host h(settings(), kStart);  // no node at all: nothing can be served
+    Host h(settings(), kStart);  // without nodes no request can be served
     h.batch();
     h.batch({request(1, 0, 1, h.now), request(2, 2, 1, h.now)});
     const auto actions = h.runTo(h.now + 2 * kSecond);
@@ -29,7 +29,7 @@
     EXPECT_EQ(finals(h.batch({last})), 1u);
 }
 
-TEST(LoadShedder, TheLeastValuableIsRejectedAtOnceWithRetryAfter) {
+TEST(LoadShedder, ExcessRequestsAreRejectedAtOnceWithRetryAfter) {
     Host h = ready();
     std::vector<AnyEvent> events;
     for (RequestId id = 1; id <= 200; ++id)
@@ -42,17 +42,17 @@
     EXPECT_LE(only<ForwardRequest>(actions).size(), 16u);
 }
 
-// A host that shuts down keeps connections free: only queued requests are rejected.
+// A host that needs connections while it shuts down gets them from queued requests only.
 TEST(LoadShedder, WhenCapacityIsNeededOnlyQueuedRequestsAreRejectedLeastValuableFirst) {
     Host h = ready();
     for (RequestId id = 1; id <= 5; ++id) {
         auto r = request(id, 0, 1, h.now, 6);
-        if (id <= 3) r.volume = "another";  // takes the three places of the initial limit
+        if (id <= 3) r.volume = "another";  // takes the three slots of the initial concurrency limit
         ASSERT_EQ(only<ForwardRequest>(h.batch({r})).size(), id <= 3 ? 1u : 0u);
     }
     const auto first = only<RejectRequest>(h.batch({CapacityNeeded{1}}));
     ASSERT_EQ(first.size(), 1u);
-    EXPECT_EQ(first[0].id, 5u);  // 4 lies inside its volume's reserve
+    EXPECT_EQ(first[0].id, 5u);  // 4 is within its volume's guaranteed rate
     EXPECT_GT(first[0].retryAfterUs, 0);
     EXPECT_EQ(finals(h.batch({CapacityNeeded{9}})), 1u);
     EXPECT_EQ(finals(h.batch({CapacityNeeded{1}})), 0u);
--- a/tests/policy/policy_test_support.h
+++ b/tests/policy/policy_test_support.h
@@ -1,5 +1,5 @@
 /// \file
-/// Helpers of the tests that feed events to one policy and look at its actions.
+/// Helpers for tests that feed events to one policy and check its actions.
 #pragma once
 
 #include <set>
@@ -9,14 +9,14 @@
 
 namespace wingproxy::test {
 
-/// A host that knows a ready node in each of the two cells.
+/// A host that knows one ready node in each of the two cells.
 inline Host ready(const Settings& s = settings()) {
     Host h(s, kStart);
     h.batch({nodes({node("a", 0), node("b", 1)})});
     return h;
 }
 
-/// How many final answers that are no success are among the actions.
+/// The number of rejections and failures among the actions: final answers other than a success.
 inline std::size_t finals(const std::vector<Action>& actions) {
     return only<RejectRequest>(actions).size() + only<FailRequest>(actions).size();
 }
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Specifies when a request may be sent again, and which final answer it may get.
+// Tests when a request may be retried, and which final answer it may get.
 #include <gtest/gtest.h>
 
 #include "policy/policy_test_support.h"
@@ -39,7 +39,7 @@
     const auto again = only<ForwardRequest>(h.batch({ended(1, 0, first[0].node, Outcome::Reset)}));
     ASSERT_EQ(again.size(), 1u);
     EXPECT_EQ(again[0].node, first[0].node);
-    h.now += 1100 * kMs;  // past the window: neither a send nor a rejection
+    h.now += 1100 * kMs;  // after the key window: neither a retry nor a rejection
     const auto late = h.batch({ended(1, 1, first[0].node, Outcome::Reset)});
     EXPECT_EQ(only<ForwardRequest>(late).size(), 0u);
     EXPECT_EQ(only<RejectRequest>(late).size(), 0u);
@@ -59,14 +59,14 @@
     EXPECT_EQ(sends[0].id, 2u);
     auto three = request(3, 3, 1, h.now);
     three.key = "same";
-    h.batch({three, RequestCancelled{2}});  // 2 ended, its attempt is outstanding
+    h.batch({three, RequestCancelled{2}});  // request 2 is finished, its attempt is outstanding
     EXPECT_EQ(only<ForwardRequest>(h.runTo(h.now + 50 * kMs)).size(), 0u);
     h.batch({ended(2, 0, "a", Outcome::Timeout)});
     EXPECT_EQ(only<ForwardRequest>(h.runTo(h.now + 200 * kMs)).size(), 0u);  // the key is paused for 300 ms
     EXPECT_EQ(only<ForwardRequest>(h.runTo(h.now + 150 * kMs)).size(), 1u);
 }
 
-TEST(RetryPolicy, RetriesKeepWithinTheBudget) {
+TEST(RetryPolicy, RetriesStayWithinTheBudget) {
     auto s = settings();
     s.retryAllowance = 1;
     s.retryRatio = 0.1;
--- a/tests/policy/value_types_test.cpp
+++ b/tests/policy/value_types_test.cpp
@@ -1,4 +1,4 @@
-// Specifies the value types and tables of the policy, each alone.
+// Unit tests of the policy's value types and tables.
 #include <gtest/gtest.h>
 
 #include "policy/cell_queues.h"
@@ -21,7 +21,7 @@
     return PendingRequest(info);
 }
 
-TEST(DecayingRate, FallsToOneEthInItsMemory) {
+TEST(DecayingRate, DecaysByAFactorOfEInItsTimeConstant) {
     DecayingRate rate;
     rate.add(kSecond, kSecond, 10);
     EXPECT_DOUBLE_EQ(rate.rate(kSecond, kSecond), 10);
@@ -30,7 +30,7 @@
     EXPECT_DOUBLE_EQ(rate.rate(2 * kSecond, kSecond), 10 * std::exp(-1.0) + 10);
 }
 
-TEST(TokenBucket, FillsToItsCapacityAndKeepsWhatIsReserved) {
+TEST(TokenBucket, FillsToItsCapacityAndKeepsReservedTokens) {
     TokenBucket bucket;
     bucket.refill(4, 10, kSecond);
     EXPECT_DOUBLE_EQ(bucket.tokens, 4);
@@ -39,20 +39,20 @@
     EXPECT_DOUBLE_EQ(bucket.tokens, 1);
     bucket.refill(4, 10, 60 * kSecond);
     EXPECT_DOUBLE_EQ(bucket.tokens, 10);
-    EXPECT_TRUE(bucket.tryTake(8, 5, 10));  // a full bucket serves any request
+    EXPECT_TRUE(bucket.tryTake(8, 5, 10));  // a full bucket serves a request of any size
 }
 
-TEST(LatencyFloor, OutlivesAPauseAndForgetsAnOldPace) {
+TEST(LatencyFloor, KeepsTheMinimumOfTheCurrentAndThePreviousSpan) {
     LatencyFloor floor;
     EXPECT_EQ(floor.value(), 0);
     floor.record(10, 0, kSecond);
-    floor.record(30, kSecond + 1, kSecond);  // the next span
+    floor.record(30, kSecond + 1, kSecond);  // in the next span
     EXPECT_EQ(floor.value(), 10);
     floor.record(40, 2 * kSecond + 2, kSecond);
     EXPECT_EQ(floor.value(), 30);
 }
 
-TEST(LatencyEstimate, TakesAPeersWaitOnTopOfTheFloor) {
+TEST(LatencyEstimate, AddsAReportedWaitToTheFloor) {
     LatencyEstimate estimate;
     estimate.record(40, 2, 1, 1);
     estimate.floor.record(estimate.perUnit, 0, kSecond);
@@ -64,7 +64,7 @@
     EXPECT_EQ(estimate.updatedAt, kSecond);
 }
 
-TEST(EventWindow, CountsWhatIsNotTooOld) {
+TEST(EventWindow, CountsEventsThatAreNotTooOld) {
     EventWindow window;
     for (const Micros at : {1, 2, 3})
         window.record(at);
@@ -72,7 +72,7 @@
     EXPECT_EQ(window.count(), 2);
 }
 
-TEST(SlowStartWindow, SumsWhatWasSentAndCompletedWithinIt) {
+TEST(SlowStartWindow, SumsUnitsSentAndCompletedWithinIt) {
     SlowStartWindow window;
     window.addSent(6, 0);
     window.addSent(4, kSecond);
@@ -91,14 +91,14 @@
     EXPECT_EQ(least.choice, NodeIndex(4));
 }
 
-TEST(KeyOrder, ServesOneRequestAfterTheOther) {
+TEST(KeyOrder, SendsOneRequestOfAKeyAtATime) {
     KeyOrder order;
     EXPECT_TRUE(order.isNext("k", 1, 0));
     order.add("k", 1);
     order.add("k", 2);
     EXPECT_TRUE(order.isNext("k", 1, 0));
     EXPECT_FALSE(order.isNext("k", 2, 0));
-    order.remove("k", 1, 1, 0);  // answered, with an attempt outstanding
+    order.remove("k", 1, 1, 0);  // finished, with an attempt outstanding
     EXPECT_FALSE(order.isNext("k", 2, 0));
     order.onAbandonedAttemptEnded("k");
     EXPECT_TRUE(order.isNext("k", 2, 0));
@@ -106,7 +106,7 @@
     EXPECT_FALSE(order.isNext("k", 2, kSecond - 1));
     EXPECT_TRUE(order.isNext("k", 2, kSecond));
     order.pause("k", 2 * kSecond, 2);
-    EXPECT_TRUE(order.isNext("k", 2, kSecond));  // its own pause does not hold it
+    EXPECT_TRUE(order.isNext("k", 2, kSecond));  // the request that caused the pause may be sent
     order.remove("k", 2, 0, kSecond);
     EXPECT_EQ(order.size(), 1u);
     order.forgetIdle(2 * kSecond);
@@ -135,7 +135,7 @@
     EXPECT_EQ(queues.takeChanged(), CellIndex(1));
 }
 
-TEST(VolumeLimit, CountsTheLargestRunningGrantOfEachPeer) {
+TEST(VolumeLimit, CountsTheLargestUnexpiredGrantOfEachPeer) {
     VolumeLimit limit;
     limit.setShares({0, 0, 0, 0, 10});
     limit.addGrant({HostIndex(1), 4, kSecond, 1});
@@ -145,7 +145,7 @@
     EXPECT_EQ(limit.chunksGranted(HostIndex(1)), 3);
     EXPECT_EQ(limit.chunksInUse(true, 0), 3);
     EXPECT_EQ(limit.chunksInUse(false, 0), 0);
-    limit.onReturned(HostIndex(1), 1, 1);  // up to the first request: the second grant runs on
+    limit.onReturned(HostIndex(1), 1, 1);  // only grants up to the first request: the second one stays
     EXPECT_EQ(limit.chunksGranted(), 5);
     limit.startFilling(kSecond);
     EXPECT_EQ(limit.chunksGranted(), 0);
@@ -168,7 +168,7 @@
     EXPECT_EQ(limit.chunksInUse(false, kSecond), 3);
 }
 
-TEST(VolumeLimit, SetsAsideWhatQueuedRequestsNeed) {
+TEST(VolumeLimit, ReservesTheTokensOfQueuedRequests) {
     VolumeLimit limit;
     limit.addTokens(8);
     EXPECT_EQ(limit.reserve(0.25), 2);
@@ -181,7 +181,7 @@
     EXPECT_EQ(limit.tokens(), 3);
 }
 
-TEST(KeyAggregate, SumsItsHostsAndForgetsIdleOnes) {
+TEST(KeyAggregate, SumsItsHostsAndRemovesIdleOnes) {
     KeyAggregate aggregate;
     EXPECT_TRUE(aggregate.record(HostIndex(1), 10, 2, 0));
     EXPECT_TRUE(aggregate.record(HostIndex(2), 1, 1, 0));
@@ -193,7 +193,7 @@
     const UsageTotals totals = aggregate.totals(0, kSecond, kSecond);
     EXPECT_DOUBLE_EQ(totals.rate, 21);
     EXPECT_EQ(totals.outstanding, 3);
-    EXPECT_DOUBLE_EQ(totals.wait, 1500);  // so long an answer takes for each outstanding attempt
+    EXPECT_DOUBLE_EQ(totals.wait, 1500);  // the smoothed wait per outstanding attempt, times 3
     aggregate.onSent(totals, 0);
     EXPECT_DOUBLE_EQ(aggregate.sentWaitLeft(500, 1), 1000);
     aggregate.dropIdle(2, 0, kSecond);
--- a/tests/support/policy_support.h
+++ b/tests/support/policy_support.h
@@ -1,5 +1,5 @@
 /// \file
-/// Settings, nodes, requests and a host with its clock, for tests that give a Policy its events themselves.
+/// Settings, nodes, requests and a host with a clock, for tests that feed events to a Policy directly.
 #pragma once
 
 #include <map>
@@ -15,8 +15,8 @@
 constexpr Micros kSecond = 1'000'000;
 constexpr Micros kStart = 10'000'000;
 
-/// Settings with the four kinds of classes (0: idempotent, 1: idempotent with a key, 2: not idempotent, 3:
-/// ordered by key), and two plans (0: with a limit, 1: without).
+/// Settings with four classes (0: idempotent, 1: idempotent with a key, 2: not idempotent, 3: ordered by key)
+/// and two plans (0: with a limit, 1: without).
 inline Settings settings(int host = 0, int hosts = 1) {
     Settings settings;
     settings.seed = 77 + static_cast<std::uint64_t>(host);
@@ -55,13 +55,13 @@
     return {kind, 1, std::move(list)};
 }
 /// A node of zone "hall" with rating 1.
-/// \param started time of its start; 0: long ago
+/// \param started when its process started, microseconds; 0: long ago
 inline NodeInfo node(std::string id, int cell, NodeState state = NodeState::Ready, Micros started = 0) {
     return {std::move(id), "hall", CellIndex(cell), 1, state, started};
 }
 
-/// A request with a key of its own for the volume of its plan; its deadline is 2 s after `now`.
-/// \param hosts over which the volume's requests are spread
+/// A request with a unique key for the volume of its plan; its deadline is 2 s after `now`.
+/// \param hosts that serve the volume
 inline Request request(RequestId id, int classIndex, int plan, Micros now, double units = 2, int cell = 0,
                        int hosts = 1) {
     Request request;
@@ -77,17 +77,17 @@
     return request;
 }
 
-/// The end of an attempt, without a load report.
-/// \param took from the attempt's start
+/// The outcome of an attempt, without a load report.
+/// \param took time since the start of the attempt
 inline AttemptOutcome ended(RequestId id, int attempt, const std::string& node, Outcome outcome,
                             Micros took = 20 * kMs) {
     return {id, AttemptIndex(attempt), node, outcome, took, outcome == Outcome::Ok, 0, 0, {}};
 }
 
-/// Any event of the policy, written without the wrappers of requests and endpoint lists.
+/// Any policy event; a request or an endpoint list is wrapped in its event type.
 struct AnyEvent {
     template <typename T>
-    AnyEvent(T value) : event(wrap(std::move(value))) {}  // implicit, so that a batch is a plain list
+    AnyEvent(T value) : event(wrap(std::move(value))) {}  // implicit: a batch is an initializer list
     static Event wrap(Request request) { return RequestReceived{std::move(request)}; }
     static Event wrap(EndpointList list) { return EndpointListReceived{std::move(list)}; }
     template <typename T>
@@ -100,7 +100,8 @@
 /// One host under test: a policy, its clock and its timers.
 struct Host {
     Host(const Settings& settings, Micros start) : policy(settings, start), now(start) {}
-    /// Gives the policy a batch of events and notes the timers that it sets.
+    /// Feeds the policy a batch of events and records the timers that it sets.
+    /// \return the actions of the batch
     std::vector<Action> batch(const std::vector<AnyEvent>& events = {}) {
         for (const auto& any : events)
             policy.on(now, any.event);
@@ -110,8 +111,8 @@
                 timers.emplace(now + timer->delayUs, timer->token);
         return actions;
     }
-    /// Runs to `until`, with each timer that is due as a batch of its own.
-    /// \return all actions on the way
+    /// Advances the clock to `until`; each timer that falls due is a batch of its own.
+    /// \return the actions of all these batches
     std::vector<Action> runTo(Micros until) {
         std::vector<Action> all;
         while (!timers.empty() && timers.begin()->first <= until) {
@@ -127,7 +128,7 @@
 
     Policy policy;
     Micros now;
-    std::multimap<Micros, std::uint64_t> timers;  ///< tokens by the time when they are due
+    std::multimap<Micros, std::uint64_t> timers;  ///< tokens by due time
 };
 
 /// The actions of one type, in their order.
