--- a/src/policy/lease_allocator.cpp
+++ b/src/policy/lease_allocator.cpp
@@ -67,7 +67,8 @@
     const double rateLeftByOthers =
         context_.settings.plans.at(volume.plan().position()).limit - usage_.othersRate(volume.usage());
     for (const auto& [peer, lease] : limit.held())
-        if (lease.isAwaited(context_.now, kRequestTimeout)) fillRate = std::max(fillRate, rateLeftByOthers);
+        if (lease.isAnswerPending(context_.now, kRequestTimeout))
+            fillRate = std::max(fillRate, rateLeftByOthers);
     return std::max(0.0, units - limit.tokens()) * 1e6 / std::max(fillRate, kMinFillRate);
 }
 
@@ -93,7 +94,7 @@
 bool LeaseAllocator::returnIdleChunks(Volume& volume, double surplus) {
     const int idle = int(surplus / volume.limit().shares().chunkRate) - kIdleChunksKept;
     for (auto& [peer, lease] : volume.limit().held()) {
-        if (!lease.isRunning(context_.now) || idle < 1) continue;
+        if (!lease.isActive(context_.now) || idle < 1) continue;
         lease.reduceTo(std::max(0, lease.chunks - idle));
         outbox_.send(peer, peer::LeaseReturn{volume.hash(), std::uint8_t(lease.chunks), lease.stamp});
         return true;
@@ -115,11 +116,11 @@
     const int ownedChunks = limit.shares().ownedChunks;
     HeldLease& lease = limit.leaseOf(peer);
     const Micros now = context_.now;
-    const bool running = lease.isRunning(now);
-    const bool renews = running && lease.until - now < kRenewBefore;
-    if ((missing == 0 && !renews) || lease.isAwaited(now, kRequestTimeout)) return 0;
-    if (!renews && running && lease.chunks >= ownedChunks) return 0;
-    const int held = running ? lease.chunks : 0;
+    const bool active = lease.isActive(now);
+    const bool renews = active && lease.until - now < kRenewBefore;
+    if ((missing == 0 && !renews) || lease.isAnswerPending(now, kRequestTimeout)) return 0;
+    if (!renews && active && lease.chunks >= ownedChunks) return 0;
+    const int held = active ? lease.chunks : 0;
     const int wanted = std::min(ownedChunks, held + missing);
     lease.onRequested(newStamp(), now);
     limit.onRequestSent(peer, now);
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -25,8 +25,8 @@
     [[nodiscard]] bool mayRetry(const PendingRequest& request) const;
     /// Whether another attempt would be allowed if the outstanding one is lost.
     [[nodiscard]] bool mayRetryIfLost(const PendingRequest& request) const;
-    /// Whether the request may be rejected, which tells the client to send it again if it wants: either
-    /// nothing ran, or running it twice is safe. Must be checked before every rejection.
+    /// Whether the request may be rejected. The client may send a rejected request again, so either nothing
+    /// ran or running it twice is safe. Must be checked before every rejection.
     [[nodiscard]] static bool mayReject(const PendingRequest& request);
 
     // -- events
--- a/src/policy/volume.h
+++ b/src/policy/volume.h
@@ -32,9 +32,9 @@
     Micros requestedAt = 0;
 
     /// Whether it has chunks and has not expired.
-    [[nodiscard]] bool isRunning(Micros now) const { return chunks > 0 && until > now; }
+    [[nodiscard]] bool isActive(Micros now) const { return chunks > 0 && until > now; }
     /// Whether a request is unanswered and has not timed out.
-    [[nodiscard]] bool isAwaited(Micros now, Micros timeout) const {
+    [[nodiscard]] bool isAnswerPending(Micros now, Micros timeout) const {
         return requested && now - requestedAt < timeout;
     }
     /// Chunks were requested of the peer.
--- a/src/policy/volume_table.cpp
+++ b/src/policy/volume_table.cpp
@@ -6,7 +6,7 @@
 
 namespace wingproxy {
 
-VolumeTable::Opened VolumeTable::open(const Request& request) {
+VolumeTable::OpenResult VolumeTable::open(const Request& request) {
     if (const auto known = volumes_.find(request.volume); known != volumes_.end())
         return {known->second, false};
     const std::uint64_t hash = peer::hashOf(request.volume);
--- a/src/policy/volume_table.h
+++ b/src/policy/volume_table.h
@@ -22,12 +22,12 @@
     VolumeTable(const Context& context, UsageTable& usage) : context_(context), usage_(usage) {}
 
     /// Result of `open`.
-    struct Opened {
+    struct OpenResult {
         Volume& volume;
         bool isNew;  ///< the caller must set up its limit and quota
     };
     /// The volume of a request, created if there is none.
-    Opened open(const Request& request);
+    OpenResult open(const Request& request);
     /// The volume with this hash of its name, or null.
     [[nodiscard]] Volume* find(std::uint64_t hash);
     /// All volumes by name.
--- a/tests/policy/value_types_test.cpp
+++ b/tests/policy/value_types_test.cpp
@@ -160,11 +160,11 @@
     EXPECT_EQ(limit.findRequested(HostIndex(2), 7), nullptr);
     HeldLease* const lease = limit.findRequested(HostIndex(1), 7);
     ASSERT_NE(lease, nullptr);
-    EXPECT_TRUE(lease->isAwaited(kSecond, kSecond));
+    EXPECT_TRUE(lease->isAnswerPending(kSecond, kSecond));
     lease->onGranted(3, kSecond);
     EXPECT_EQ(limit.findRequested(HostIndex(1), 7), nullptr);
-    EXPECT_TRUE(lease->isRunning(kSecond));
-    EXPECT_FALSE(lease->isRunning(2 * kSecond));
+    EXPECT_TRUE(lease->isActive(kSecond));
+    EXPECT_FALSE(lease->isActive(2 * kSecond));
     EXPECT_EQ(limit.chunksInUse(false, kSecond), 3);
 }
 
