--- a/src/policy/lease_allocator.h
+++ b/src/policy/lease_allocator.h
@@ -45,7 +45,8 @@
     /// Removes units whose requests have left the queue or got their tokens.
     static void removeQueuedUnits(Volume& volume, double units) { volume.limit().removeQueuedUnits(units); }
     /// Estimated microseconds until the volume has tokens for `units`. While a request for chunks is
-    /// unanswered, the bucket is assumed to fill at the rate that the other hosts leave of the limit.
+    /// unanswered, the bucket is assumed to fill at least at the rate that the other hosts leave of the
+    /// limit.
     [[nodiscard]] double timeToTokens(const Volume& volume, double units) const;
 
     // -- leases
