--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -36,8 +36,8 @@
 
     CellQuota& cell = volume.quota().byCell[request.cell()];
     WaterLevel& level = levelAt(request.cell());
-    cell.demand.add(context_.now, kRateMemory, units);
-    const double demand = cell.demand.rate(context_.now, kRateMemory);
+    cell.demand.add(context_.now, kRateTimeConstant, units);
+    const double demand = cell.demand.rate(context_.now, kRateTimeConstant);
     level.peakDemand = std::max(level.peakDemand, demand / std::max(plan.shares * ownShare, kNegligibleRate));
     const double shareRate = level.level * plan.shares * ownShare;
     const double shareCapacity = shareRate + settings.maxUnits;
@@ -57,8 +57,8 @@
     double reserved = 0;
     for (std::size_t i = 0; i < classes.size(); ++i)
         if (classes[i].priorityWeight > request.classInfo()->priorityWeight)
-            reserved += demandByClass[i].rate(context_.now, kRateMemory) * kHigherClassSeconds;
-    demandByClass[request.info().classIndex.position()].add(context_.now, kRateMemory, request.units());
+            reserved += demandByClass[i].rate(context_.now, kRateTimeConstant) * kHigherClassSeconds;
+    demandByClass[request.info().classIndex.position()].add(context_.now, kRateTimeConstant, request.units());
     return reserved;
 }
 
--- a/src/policy/cluster_view.h
+++ b/src/policy/cluster_view.h
@@ -103,18 +103,18 @@
         return {context_.now, context_.latencyObjective, usage ? usage_.ownShare(*usage) : 1,
                 startingHosts()};
     }
-    /// Number of hosts that may be starting now, this one included: all of them until `kRateMemory` after the
-    /// start of this one, since the hosts of a fleet often start together; 1 later, when the demand of the
-    /// others is known as far as they report it.
+    /// Number of hosts that may be starting now, this one included: all of them until `kRateTimeConstant`
+    /// after the start of this one, since the hosts of a fleet often start together; 1 later, when the demand
+    /// of the others is known as far as they report it.
     [[nodiscard]] int startingHosts() const {
-        const bool isStarted = context_.now - context_.startedAt >= kRateMemory;
+        const bool isStarted = context_.now - context_.startedAt >= kRateTimeConstant;
         return isStarted ? 1 : std::max(context_.settings.hostCount, 1);
     }
-    /// Number of listed nodes that are not ready, or are suspect and were inactive for `kRateMemory`
+    /// Number of listed nodes that are not ready, or are suspect and were inactive for `kRateTimeConstant`
     /// (`OutlierDetector::wasActiveWithin`).
     [[nodiscard]] std::size_t avoidedNodes() const {
         const auto isAvoided = [&](const Node& node) {
-            const bool isActive = node.outliers().wasActiveWithin(kRateMemory, context_.now);
+            const bool isActive = node.outliers().wasActiveWithin(kRateTimeConstant, context_.now);
             return node.isListed() && (!node.isReady() || (isSuspect(node) && !isActive));
         };
         return std::size_t(std::count_if(table_.nodes().begin(), table_.nodes().end(), isAvoided));
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -68,7 +68,7 @@
 void ConcurrencyLimit::record(const Answer& answer, Micros now) {
     LatencyEstimate& estimate = state_.estimate;
     // The older the estimate, the more weight the new answer has.
-    const double age = double(now - answer.updatedBefore) / double(kRateMemory);
+    const double age = double(now - answer.updatedBefore) / double(kRateTimeConstant);
     const double weight = estimate.latency > 0 ? std::max(kSmoothing, 1 - std::exp2(-age)) : 1;
     estimate.updatedAt = now;
     estimate.record(answer.latency, answer.units, weight, kSmoothing);
--- a/src/policy/context.h
+++ b/src/policy/context.h
@@ -12,7 +12,7 @@
 namespace wingproxy {
 
 /// Time in which a sample of an arrival or completion rate loses its weight, in microseconds.
-extern const Micros kRateMemory;
+extern const Micros kRateTimeConstant;
 /// Interval at which the policy looks at its queues and at what is due, in microseconds.
 extern const Micros kTickInterval;
 
--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -59,7 +59,7 @@
 void Gossip::handle(HostIndex from, const peer::UsageReport& report) {
     KeyAggregate& aggregate = aggregates_[report.key];
     const bool isNew = aggregate.record(from, report.rate.value(), report.outstanding, context_.now);
-    aggregate.recordSlowStart(report.slowStartUnits, context_.now, kRateMemory);
+    aggregate.recordSlowStart(report.slowStartUnits, context_.now, kRateTimeConstant);
     if (report.joins && aggregate.join(from)) introduce(report.key, aggregate, from);
     if (report.wait.code > 0)
         aggregate.recordWait(report.wait.us(), totalsOf(aggregate).outstanding, kWaitSmoothing);
--- a/src/policy/gossip.h
+++ b/src/policy/gossip.h
@@ -100,7 +100,7 @@
     void sendAggregate(std::uint32_t key, const KeyAggregate& aggregate, const UsageTotals& totals,
                        HostIndex to);
     [[nodiscard]] UsageTotals totalsOf(const KeyAggregate& aggregate) const {
-        return aggregate.totals(context_.now, usageMemory().ownRate, kRateMemory);
+        return aggregate.totals(context_.now, usageMemory().ownRate, kRateTimeConstant);
     }
     [[nodiscard]] bool isDue(const KeyUsage& usage, const Observation& observation) const;
     [[nodiscard]] bool isDue(const KeyAggregate& aggregate, const UsageTotals& totals) const;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -6,8 +6,8 @@
 
 namespace wingproxy {
 
-const Micros kRateMemory = 1'000'000;  // the bucket of the guaranteed rate holds a second too
-const Micros kTickInterval = 10'000;   // far below any objective, far above a batch
+const Micros kRateTimeConstant = 1'000'000;  // the bucket of the guaranteed rate holds a second too
+const Micros kTickInterval = 10'000;         // far below any objective, far above a batch
 
 namespace {
 
--- a/src/policy/volume.h
+++ b/src/policy/volume.h
@@ -271,9 +271,9 @@
     [[nodiscard]] KeyUsage& usage() const { return *usage_; }
 
     /// Counts units requested through this host.
-    void recordDemand(double units, Micros now) { demand_.add(now, kRateMemory, units); }
+    void recordDemand(double units, Micros now) { demand_.add(now, kRateTimeConstant, units); }
     /// Demand through this host, in units per second.
-    [[nodiscard]] double demandRate(Micros now) const { return demand_.rate(now, kRateMemory); }
+    [[nodiscard]] double demandRate(Micros now) const { return demand_.rate(now, kRateTimeConstant); }
     /// A client request or a peer's lease request needs it; see `VolumeTable::forgetUnneeded`.
     void onNeeded(Micros now) { neededAt_ = now; }
     /// When it was last needed.
