--- a/src/policy/cluster_view.cpp
+++ b/src/policy/cluster_view.cpp
@@ -67,7 +67,7 @@
     const auto [node, isNew] = table_.add(info);
     const bool started = isNew || node.info().startedUs != info.startedUs;
     if (started) {
-        const double phase = peer::fractionOf(info.id + std::to_string(context_.settings.seed));
+        const double phase = peer::hashToFraction(info.id + std::to_string(context_.settings.seed));
         node.restart(startOf(info), phase, context_.now);
     }
     if (node.isReady() && info.state == NodeState::Draining && drainIsNew)
--- a/src/policy/cluster_view.h
+++ b/src/policy/cluster_view.h
@@ -145,7 +145,8 @@
     [[nodiscard]] Micros watchSpread() const;
     // A pseudo-random part of `span`, determined by the seed and the current time.
     [[nodiscard]] Micros jitter(Micros span) const {
-        return Micros(double(span) * peer::fractionOf(context_.settings.seed + std::uint64_t(context_.now)));
+        return Micros(double(span) *
+                      peer::hashToFraction(context_.settings.seed + std::uint64_t(context_.now)));
     }
 
     Context& context_;
--- a/src/policy/peer_message.h
+++ b/src/policy/peer_message.h
@@ -26,9 +26,9 @@
 }
 
 /// A number from 0 to 1 that is the same for the same text.
-inline double fractionOf(const std::string& text) { return double(hashOf(text) % 1024) / 1024; }
+inline double hashToFraction(const std::string& text) { return double(hashOf(text) % 1024) / 1024; }
 /// The same for a number, by its decimal digits.
-inline double fractionOf(std::uint64_t number) { return fractionOf(std::to_string(number)); }
+inline double hashToFraction(std::uint64_t number) { return hashToFraction(std::to_string(number)); }
 
 /// A duration in one byte, in logarithmic steps: code = steps * log2(1 + milliseconds), which covers up to
 /// about 45 days with an error of at most 9 %.
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -91,7 +91,7 @@
 bool SlowStartLimiter::admits(const SlowStartAllowance& allowance, double units, Micros now) const {
     if (now < allowance.usableSince || allowance.units <= 0) return false;
     const auto windowNumber = std::uint64_t(double(now) / double(allowance.windowUs) + state_.phase);
-    const double rounding = peer::fractionOf(peer::hashOf(std::to_string(state_.phase)) + windowNumber);
+    const double rounding = peer::hashToFraction(peer::hashOf(std::to_string(state_.phase)) + windowNumber);
     const double sent = state_.window.sums(allowance.windowUs, now).sent;
     return sent + units <= allowance.units + rounding * units;
 }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -109,7 +109,7 @@
         double sent = 0;
         for (int i = 0; i < kLimiters; ++i) {
             SlowStartLimiter limiter;
-            limiter.restart(kStart, peer::fractionOf(std::uint64_t(i)));
+            limiter.restart(kStart, peer::hashToFraction(std::uint64_t(i)));
             const SlowStartAllowance allowance{allowed, 2 * kSecond, kStart};
             while (limiter.admits(allowance, 2, kStart)) {
                 limiter.onSent(2, 2 * kSecond, kStart);
