--- a/include/wingproxy/index.h
+++ b/include/wingproxy/index.h
@@ -1,6 +1,6 @@
 /// \file
-/// Index types of the decision module's interface: a host, a cell, a class, a plan and an attempt are each
-/// named by a number, and the compiler keeps the five kinds apart.
+/// Strongly typed indices of the decision module's interface: hosts, cells, classes, plans and attempts are
+/// each numbered from 0, and the compiler keeps the five kinds apart.
 #pragma once
 
 #include <compare>
@@ -8,17 +8,17 @@
 
 namespace wingproxy {
 
-/// A number from 0 that names one thing of a kind, or nothing.
+/// The number, from 0, of one item of a kind; or no item at all.
 ///
-/// Two kinds never convert into each other, nor from or to a plain integer: `value()` and the constructor
-/// stand where a number enters or leaves the program (wire, settings, stored data), `position()` where a
-/// vector is accessed. An index that names nothing sorts before all others.
+/// There are no conversions between kinds, nor from or to a plain integer: `value()` and the constructor are
+/// for the places where a number enters or leaves the program (wire, settings, stored data), `position()` is
+/// for access to a vector. An index that names nothing sorts before all others.
 ///
 /// \tparam Kind an empty type that only tells the kinds apart
 template <typename Kind>
 class Index {
 public:
-    /// What `value()` gives for an index that names nothing; stored data and wires hold this number.
+    /// The `value()` of an index that names nothing, also on the wire and in stored data.
     static constexpr int kNoneValue = -1;
 
     /// Names nothing.
@@ -39,16 +39,16 @@
     /// The position in a vector that has one element for each number. Beyond the end of any vector if the
     /// index names nothing, so that `std::vector::at` throws.
     [[nodiscard]] constexpr std::size_t position() const { return static_cast<std::size_t>(value_); }
-    /// Whether it names one of the things that are numbered from 0 to `count` - 1.
+    /// Whether it names one of the items numbered from 0 to `count` - 1.
     [[nodiscard]] constexpr bool isBelow(int count) const { return isSet() && value_ < count; }
-    /// The next number; of none it is 0.
+    /// The next number; 0 if this index names nothing.
     [[nodiscard]] constexpr Index next() const { return Index(value_ + 1); }
 
-    /// By the number; an index that names nothing comes first.
+    /// Compares the numbers; an index that names nothing comes first.
     // NOLINTNEXTLINE(modernize-use-nullptr): false positive on the comparison with 0 that C++20 generates
     constexpr auto operator<=>(const Index&) const = default;
 
-    /// Writes to a cereal archive, or reads from one, the same bytes as those of `value()`.
+    /// Writes to a cereal archive, or reads from one, the same bytes as for the plain integer `value()`.
     template <typename Archive>
     void serialize(Archive& archive) {
         int number = value_;
@@ -60,9 +60,9 @@
     int value_ = kNoneValue;
 };
 
-/// A host of the tier, that is one running copy of this program; below `Settings::hostCount`.
+/// A host of the tier, that is, one running instance of this program; below `Settings::hostCount`.
 using HostIndex = Index<struct HostKind>;
-/// A group of nodes that hold the same objects, as the endpoint list numbers it.
+/// A group of nodes that hold the same objects, by its number in the endpoint list.
 using CellIndex = Index<struct CellKind>;
 /// A request class: its position in `Settings::classes`.
 using ClassIndex = Index<struct ClassKind>;
--- a/src/policy/context.h
+++ b/src/policy/context.h
@@ -1,5 +1,5 @@
 /// \file
-/// What all parts of the policy share: the settings, the time of the batch, and the actions that it gives.
+/// What all parts of the policy share: the settings, the current time, and the actions of the batch.
 #pragma once
 
 #include <string>
@@ -11,14 +11,14 @@
 
 namespace wingproxy {
 
-/// Time in which a sample of an arrival or completion rate loses its weight, in microseconds.
+/// Time in which the weight of a sample in an arrival or completion rate falls to 1/e, in microseconds.
 extern const Micros kRateTimeConstant;
-/// Interval at which the policy looks at its queues and at what is due, in microseconds.
+/// Interval of the tick, at which the policy examines its queues and does periodic work, in microseconds.
 extern const Micros kTickInterval;
 
-/// Owned by `Policy`; every part keeps a reference. Only `Policy` sets the time.
+/// Owned by `Policy::Impl`; every part keeps a reference. Only `Policy::Impl` sets the time.
 struct Context {
-    /// \param defaultObjective stands in where no class has a latency objective, in microseconds
+    /// \param defaultObjective used if no class has a latency objective, in microseconds
     Context(const Settings& given, Micros start, Micros defaultObjective)
         : settings(given), now(start), startedAt(start) {
         const Micros shortest = given.shortestLatencyObjective();
@@ -26,10 +26,10 @@
     }
 
     Settings settings;
-    Micros now = 0;               ///< of the batch; never falls
-    Micros startedAt = 0;         ///< of this host's earliest process in a row of hot restarts
+    Micros now = 0;               ///< time of the current event or end of batch; never decreases
+    Micros startedAt = 0;         ///< start of the first process in an unbroken series of hot restarts
     double latencyObjective = 0;  ///< the shortest of all classes, in microseconds
-    bool handedOver = false;  ///< a successor process has all rights; open requests are only finished here
+    bool handedOver = false;  ///< a snapshot was taken for a successor: only open requests are finished here
     std::vector<Action> actions;  ///< of this batch, in order
 
     /// Adds an action of any kind to the batch.
--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -6,41 +6,44 @@
 namespace wingproxy {
 namespace {
 
-constexpr double kChangedPart = 0.3;       // of what was sent: a smaller change is not sent
-constexpr double kChangedRequests = 0.75;  // of a mean request: likewise
+constexpr double kMinRelativeChange = 0.3;   // of the value last sent; smaller changes are not sent
+constexpr double kMinChangeRequests = 0.75;  // likewise, in mean requests per kUsageTimeConstant
 constexpr Micros kReportInterval = 200'000;
-constexpr Micros kOutstandingReportInterval = kReportInterval / 4;  // where the outstanding attempts changed
-constexpr Micros kUsageMemory = 2'000'000;
-constexpr Micros kAggregateRefresh = 3'000'000;   // an aggregate that is steady is sent again
-constexpr Micros kPeerUsageLifetime = 8'000'000;  // two refreshes in a row may be lost
-constexpr Micros kSlowStartLifetime = 4'000'000;  // none may be lost where a node could be overloaded
+constexpr Micros kOutstandingReportInterval = kReportInterval / 4;  // if the outstanding attempts changed
+constexpr Micros kUsageTimeConstant = 2'000'000;  // in which a sample of a usage rate decays to 1/e
+constexpr Micros kAggregateRefresh = 3'000'000;   // an unchanged aggregate is sent again
+constexpr Micros kPeerUsageLifetime = 8'000'000;  // survives the loss of one refresh
+constexpr Micros kSlowStartLifetime = 4'000'000;  // survives none: stale figures could overload a node
 constexpr Micros kUntilComplete = 1'000'000;      // the first reports do not cover all hosts yet
-// Parts of a mean request a second: less is no change of an aggregate, and a host with less is forgotten.
-constexpr double kChangedAggregateRequests = 0.25;
-constexpr double kIdlePart = 0.125;
-// Weight of a report in the time that each outstanding attempt adds to a wait: over about fifty reports, so
-// that a pause of a node does not pass for its usual latency. From 0, so that the first few count for little.
+// In mean requests per second; smaller changes of an aggregate's rate are not sent.
+constexpr double kMinAggregateChangeRequests = 0.25;
+constexpr double kIdleFraction = 0.125;  // of that rate; a host with less is dropped from the aggregate
+// Weight of a report in the mean wait per outstanding attempt. It averages over about 50 reports, so that a
+// single pause of a node is not taken for its usual latency. The mean starts at 0, so that the first few
+// reports count for little.
 constexpr double kWaitSmoothing = 0.02;
-constexpr double kWaitDrainRate = 1;  // a queue is worked off by its own length in as much time
+constexpr double kWaitDrainRate = 1;  // seconds of a reported wait that drain per second
 
-// How much a figure must differ from the one last sent to be sent again; `least` is the least such change.
-double changeThreshold(double sent, double least) { return std::max(kChangedPart * sent, least); }
+// The least change from the value last sent that is sent: relative to it, but never below `minChange`.
+double changeThreshold(double sent, double minChange) {
+    return std::max(kMinRelativeChange * sent, minChange);
+}
 
 }  // namespace
 
 UsageLifetimes Gossip::usageMemory() {
-    return {kUsageMemory, kPeerUsageLifetime, kSlowStartLifetime, kUntilComplete};
+    return {kUsageTimeConstant, kPeerUsageLifetime, kSlowStartLifetime, kUntilComplete};
 }
 Micros Gossip::reportInterval() { return kReportInterval; }
 double Gossip::significantWait() const { return kLongLatencyFraction * context_.latencyObjective; }
-double Gossip::significantRate() const { return context_.settings.meanUnits * kChangedAggregateRequests; }
+double Gossip::significantRate() const { return context_.settings.meanUnits * kMinAggregateChangeRequests; }
 
 bool Gossip::isDue(const KeyUsage& usage, const Observation& observation) const {
     const Micros age = context_.now - usage.reported().at;
     if (observation.outstanding != usage.reportedOutstanding()) return age >= kOutstandingReportInterval;
     if (age < kReportInterval) return false;
-    const double reported = usage.reported().rate(context_.now, kUsageMemory);
-    const double step = kChangedRequests * context_.settings.meanUnits * 1e6 / double(kUsageMemory);
+    const double reported = usage.reported().rate(context_.now, kUsageTimeConstant);
+    const double step = kMinChangeRequests * context_.settings.meanUnits * 1e6 / double(kUsageTimeConstant);
     return std::abs(usage_.ownRate(usage) - reported) >= changeThreshold(reported, step) ||
            observation.waitUs > significantWait();
 }
@@ -50,8 +53,8 @@
     usage.onReported(usage_.ownRate(usage), observation.outstanding, context_.now);
     const auto rate = peer::FixedPoint::of(usage.reported().value);
     const auto wait = peer::EncodedWait::of(observation.waitUs);
-    const auto slowStartUnits = peer::byteOf(usage.takeSlowStartUnits());
-    const auto outstanding = peer::byteOf(observation.outstanding);
+    const auto slowStartUnits = peer::saturateToByte(usage.takeSlowStartUnits());
+    const auto outstanding = peer::saturateToByte(observation.outstanding);
     const auto rendezvous = HostIndex::ofPosition(key % std::uint32_t(context_.settings.hostCount));
     send(rendezvous, peer::UsageReport{key, observation.joins, rate, wait, outstanding, slowStartUnits});
 }
@@ -68,7 +71,7 @@
 
 void Gossip::sendAggregate(std::uint32_t key, const KeyAggregate& aggregate, const UsageTotals& totals,
                            HostIndex to) {
-    const double others = totals.rate - aggregate.rateOf(to, context_.now, kUsageMemory);
+    const double others = totals.rate - aggregate.rateOf(to, context_.now, kUsageTimeConstant);
     send(to, peer::UsageAggregate{key, peer::FixedPoint::of(others), peer::EncodedWait::of(totals.wait),
                                   peer::EncodedRate::of(totals.slowStartRate)});
 }
@@ -81,12 +84,12 @@
     if (slowStartChange > changeThreshold(aggregate.sentSlowStartRate(), significantRate())) return true;
     const double wait = std::max(totals.wait, significantWait());
     const double sentWait = std::max(aggregate.sentWaitLeft(context_.now, kWaitDrainRate), significantWait());
-    return std::abs(wait / sentWait - 1) >= kChangedPart;
+    return std::abs(wait / sentWait - 1) >= kMinRelativeChange;
 }
 
 void Gossip::sendChangedAggregates() {
     for (auto& [key, aggregate] : aggregates_) {
-        aggregate.dropIdle(significantRate() * kIdlePart, context_.now, kUsageMemory);
+        aggregate.dropIdle(significantRate() * kIdleFraction, context_.now, kUsageTimeConstant);
         const UsageTotals totals = totalsOf(aggregate);
         if (!isDue(aggregate, totals)) continue;
         aggregate.onSent(totals, context_.now);
--- a/src/policy/gossip.h
+++ b/src/policy/gossip.h
@@ -1,9 +1,9 @@
 /// \file
-/// Reports to each host what the others are asked for, through one rendezvous host for each key.
+/// Exchanges the demand for volumes and cells between hosts, through one rendezvous host for each key.
 ///
-/// Hosts do not broadcast. What a volume or a cell is asked for through a host goes to the rendezvous host of
-/// its key, when it has changed. That host sums it up and reports to each host what the others are asked
-/// for, how long requests wait there, and what starting nodes completed.
+/// Hosts do not broadcast. Each host reports its own demand for a volume or a cell to the rendezvous host of
+/// that key, when the demand has changed. The rendezvous host adds the reports up and sends each host the
+/// demand of the others, how long requests wait in the cell, and what nodes in slow start completed.
 #pragma once
 
 #include <map>
@@ -14,39 +14,40 @@
 
 namespace wingproxy {
 
-/// The aggregates that one host keeps, by the key of a volume or a cell.
+/// The aggregates that one rendezvous host keeps, by the key of a volume or a cell.
 using AggregateByKey = std::map<std::uint32_t, KeyAggregate>;
 
 /// Owns the aggregates of the keys whose rendezvous host this is.
 class Gossip {
 public:
-    /// \param usage gets what the others report of this host's own keys
-    /// \param cluster gets the waits that are reported for cells
+    /// \param usage receives the other hosts' demand for the keys that this host uses
+    /// \param cluster receives the waits that are reported for cells
     Gossip(const Context& context, UsageTable& usage, ClusterView& cluster, PeerOutbox& outbox)
         : context_(context), usage_(usage), cluster_(cluster), outbox_(outbox) {}
 
-    /// How long what is known of a key's use counts.
+    /// For how long the reported use of a key counts.
     static UsageLifetimes usageMemory();
 
-    /// What is new about a key, besides its rate.
+    /// What this host reports of a key besides its rate.
     struct Observation {
         bool joins = false;   ///< this host wants to know the other hosts of the key
-        double waitUs = 0;    ///< of an answer; 0: none
-        int outstanding = 0;  ///< attempts
+        double waitUs = 0;    ///< how long a response waited; 0: no response
+        int outstanding = 0;  ///< outstanding attempts
     };
-    /// Reports the use of a key to its rendezvous host, where it has changed enough.
+    /// Reports the use of a key to its rendezvous host, if it has changed enough since the last report.
     void reportUsage(std::uint32_t key, KeyUsage& usage, const Observation& observation);
     /// Reports the use of a cell.
-    /// \param waitUs of an answer; 0: none
+    /// \param waitUs how long a response waited, in microseconds; 0: no response
     void reportCell(const Cell& cell, double waitUs = 0) {
         reportUsage(cell.key, *cell.usage, {false, waitUs, cluster_.outstandingIn(cell)});
     }
-    /// As the rendezvous host: sends the aggregates that changed, and repeats the others from time to time.
+    /// As the rendezvous host: sends the aggregates that changed, and the others again at a longer interval.
     void sendChangedAggregates();
 
-    /// \param from the host that sent it
+    /// As the rendezvous host: updates the aggregate of a key. \param from the host that sent the report
     void handle(HostIndex from, const peer::UsageReport& report);
-    /// The rendezvous host of a key reported what the others are asked for and how long requests wait there.
+    /// The rendezvous host of a key sent the demand of the other hosts and how long requests wait in the
+    /// cell.
     void handle(HostIndex /*from*/, const peer::UsageAggregate& aggregate) {
         KeyUsage* const usage = usage_.find(aggregate.key);
         if (!usage) return;
@@ -55,7 +56,7 @@
         if (usage->cell().isSet() && aggregate.wait.code > 0)
             cluster_.onWaitReported(usage->cell(), aggregate.wait.us());
     }
-    /// The rendezvous host of a key named another host that uses it. Numbers that are no peer are ignored.
+    /// The rendezvous host of a key named another host that uses it. Numbers of no peer are ignored.
     void handle(HostIndex /*from*/, const peer::MembershipNotice& notice) {
         KeyUsage* const usage = usage_.find(notice.key);
         const Settings& settings = context_.settings;
@@ -63,7 +64,8 @@
         if (usage && isPeer) usage->addPeer(notice.host);
     }
 
-    /// A new process of a node in this cell: what its predecessor completed says nothing of it.
+    /// A node of this cell has a new process. The count of units completed in slow start begins anew, as
+    /// those of the earlier process say nothing about the new one.
     void onNodeStarted(const Cell& cell, Micros startedUs) {
         aggregates_[cell.key].restartSlowStart(startedUs + context_.settings.slowStartDurationUs);
         cell.usage->restartSlowStart();
@@ -73,7 +75,7 @@
         std::erase_if(aggregates_, [](const auto& entry) { return entry.second.hosts().empty(); });
     }
 
-    /// Least time between two reports of a key that changed, in microseconds.
+    /// Minimum interval between two reports of a key whose rate changed, in microseconds.
     static Micros reportInterval();
 
     /// Number of aggregates, for `Policy::tableEntries`.
--- a/src/policy/peer_inbox.h
+++ b/src/policy/peer_inbox.h
@@ -1,5 +1,5 @@
 /// \file
-/// Reads the datagrams of peers.
+/// Decodes the datagrams of peers.
 #pragma once
 
 #include <vector>
@@ -9,22 +9,22 @@
 
 namespace wingproxy {
 
-/// What a datagram holds, and whether its sender runs anew.
+/// The contents of a datagram, and whether its sender has restarted.
 struct PeerDatagram {
-    bool isAccepted = false;       ///< false: malformed, or of an incarnation that is over
-    bool senderRestarted = false;  ///< the sender knows nothing of what its earlier process did
+    bool isAccepted = false;  ///< false: malformed, not from a peer, or from an earlier incarnation
+    bool senderRestarted =
+        false;  ///< first datagram of a new incarnation, which does not know the earlier state
     std::vector<peer::Record> records;
 };
 
-/// Tells the datagrams of lease recovery, which it hands to `fleet::RestartRecovery`, from those of the
-/// policy.
+/// Passes the datagrams of lease recovery to `fleet::RestartRecovery` and decodes those of the policy.
 class PeerInbox {
 public:
-    /// Replies of lease recovery become actions of the batch; both must outlive the object.
+    /// \param context gets the replies of lease recovery as actions; both must outlive the object
     PeerInbox(Context& context, fleet::RestartRecovery& recovery) : context_(context), recovery_(recovery) {}
 
-    /// Reads a datagram, and answers it where it belongs to lease recovery. One from this host itself, or
-    /// from no host, is not accepted.
+    /// Decodes a datagram, or answers it if it belongs to lease recovery. Datagrams from this host itself or
+    /// from an unknown host index are not accepted.
     PeerDatagram receive(const PeerMessageReceived& event) {
         using fleet::IncarnationStatus;
         PeerDatagram datagram;
--- a/src/policy/peer_message.h
+++ b/src/policy/peer_message.h
@@ -1,8 +1,9 @@
 /// \file
-/// The bytes of a message between hosts: a header (format, incarnation of the sender) and typed records.
+/// The encoding of messages between hosts: a header (format, incarnation of the sender) and typed records.
+/// Numbers are little-endian.
 ///
-/// Layout only. Which record is sent, and what is believed of one that came, is decided by `Gossip` and
-/// `LeaseAllocator`. Numbers are little-endian.
+/// This file defines the layout only. `Gossip` and `LeaseAllocator` decide which records to send and whether
+/// to trust those received.
 #pragma once
 
 #include <algorithm>
@@ -25,13 +26,13 @@
     return hash;
 }
 
-/// A number from 0 to 1 that is the same for the same text.
+/// The hash of a text, mapped to the range from 0 to 1 (exclusive).
 inline double hashToFraction(const std::string& text) { return double(hashOf(text) % 1024) / 1024; }
-/// The same for a number, by its decimal digits.
+/// As above, for the decimal digits of a number.
 inline double hashToFraction(std::uint64_t number) { return hashToFraction(std::to_string(number)); }
 
-/// A duration in one byte, in logarithmic steps: code = steps * log2(1 + milliseconds), which covers up to
-/// about 45 days with an error of at most 9 %.
+/// A duration in one byte, in logarithmic steps: code = kStepsPerDoubling * log2(1 + milliseconds). It covers
+/// up to about 45 days and rounds down by less than 9 % of the duration plus 1 ms.
 struct EncodedWait {
     static constexpr double kStepsPerDoubling = 8;
     std::uint8_t code = 0;
@@ -41,108 +42,110 @@
         const double steps = kStepsPerDoubling * std::log2(1 + us / 1000);
         return {static_cast<std::uint8_t>(std::clamp(steps, 0.0, 255.0))};
     }
-    /// Microseconds; never more than what was encoded.
+    /// Microseconds; never more than the encoded duration.
     [[nodiscard]] double us() const { return 1000 * (std::exp2(double(code) / kStepsPerDoubling) - 1); }
 };
 
-/// A rate in units a second, in one byte, with the same steps as a wait.
+/// A rate in units per second, in one byte, with the same logarithmic steps as `EncodedWait`.
 struct EncodedRate {
     EncodedWait steps;
 
-    /// \param rate units a second
+    /// \param rate units per second
     static EncodedRate of(double rate) { return {EncodedWait::of(rate * 1000)}; }
-    /// Units a second.
+    /// Units per second.
     [[nodiscard]] double rate() const { return steps.us() / 1000; }
 };
 
-/// Units, or units a second, in sixteenths: 16 bits.
+/// Units, or units per second, in sixteenths: an unsigned fixed-point number of 16 bits.
 struct FixedPoint {
     std::uint16_t sixteenths = 0;
 
-    /// Rounds down; values beyond 4095 15/16 are cut off.
+    /// Rounds down; clamps to the range from 0 to 4095 15/16.
     static FixedPoint of(double value) {
         return {static_cast<std::uint16_t>(std::clamp(value * 16, 0.0, 65535.0))};
     }
-    /// Units, or units a second.
+    /// Units, or units per second.
     [[nodiscard]] double value() const { return double(sixteenths) / 16; }
 };
 
-/// A count in one byte; larger ones are cut off.
-inline std::uint8_t byteOf(double count) { return static_cast<std::uint8_t>(std::min(count, 255.0)); }
+/// A count in one byte; larger ones saturate at 255.
+inline std::uint8_t saturateToByte(double count) { return static_cast<std::uint8_t>(std::min(count, 255.0)); }
 
-/// To the rendezvous host of a key: what the sender is asked for there.
+/// Sent to the rendezvous host of a key: the demand for the key through the sender.
 struct UsageReport {
     std::uint32_t key = 0;
-    bool joins = false;               ///< the sender wants to know the other hosts of the key
-    FixedPoint rate;                  ///< units a second
-    EncodedWait wait;                 ///< of the last answer beyond what its size takes; 0: no answer
-    std::uint8_t outstanding = 0;     ///< attempts
-    std::uint8_t slowStartUnits = 0;  ///< completed by starting nodes since the last report
+    bool joins = false;            ///< the sender wants to know the other hosts of the key
+    FixedPoint rate;               ///< units per second
+    EncodedWait wait;              ///< of the last response, without the time its size takes; 0: no response
+    std::uint8_t outstanding = 0;  ///< outstanding attempts
+    std::uint8_t slowStartUnits = 0;  ///< completed by nodes in slow start since the last report
 };
-/// From the rendezvous host: what all other hosts are asked for.
+/// Sent by the rendezvous host: the demand for the key through all other hosts.
 struct UsageAggregate {
     std::uint32_t key = 0;
-    FixedPoint rate;
-    EncodedWait wait;
-    EncodedRate slowStartRate;  ///< completed by starting nodes for all hosts
+    FixedPoint rate;            ///< units per second, without the recipient's own
+    EncodedWait wait;           ///< expected from the outstanding attempts of all hosts; 0: none
+    EncodedRate slowStartRate;  ///< units per second completed by nodes in slow start, for all hosts
 };
-/// From the rendezvous host: another host uses the key too.
+/// Sent by the rendezvous host: another host also uses the key.
 struct MembershipNotice {
     std::uint32_t key = 0;
-    HostIndex host;  ///< in 16 bits
+    HostIndex host;  ///< encoded in 16 bits
 };
-/// To a peer: the sender wants to hold so many of its chunks, those that it holds already included.
+/// Sent to a peer: the sender wants to hold `chunks` of the recipient's chunks in total, those that it
+/// already holds included.
 struct LeaseRequest {
     static constexpr std::size_t kEncodedBytes = 14;
     std::uint64_t volume = 0;  ///< hash of its name
     std::uint8_t chunks = 0;
-    std::uint32_t stamp = 0;  ///< names the request in the answer and in returns
+    std::uint32_t stamp = 0;  ///< identifies the request in grants and returns
 };
-/// The answer: so many chunks, and the tokens that they had saved.
+/// The answer to a `LeaseRequest`.
 struct LeaseGrant {
-    std::uint64_t volume = 0;
-    std::uint8_t chunks = 0;
-    FixedPoint tokens;
-    std::uint32_t stamp = 0;
+    std::uint64_t volume = 0;  ///< hash of its name
+    std::uint8_t chunks = 0;   ///< granted in total
+    FixedPoint tokens;         ///< accumulated by the newly granted chunks
+    std::uint32_t stamp = 0;   ///< of the request
 };
-/// The sender keeps only so many of the chunks granted up to the request `stamp`.
+/// Sent to the owner of chunks: the sender gives back all but `chunks` of those granted up to a request.
 struct LeaseReturn {
-    std::uint64_t volume = 0;
-    std::uint8_t chunks = 0;
-    std::uint32_t stamp = 0;
+    std::uint64_t volume = 0;  ///< hash of its name
+    std::uint8_t chunks = 0;   ///< kept
+    std::uint32_t stamp = 0;   ///< of that request
 };
 /// Any record of a message.
 using Record =
     std::variant<UsageReport, UsageAggregate, MembershipNotice, LeaseRequest, LeaseGrant, LeaseReturn>;
 
-/// The first byte of a record. Numbers are part of the protocol and never change.
+/// The first byte of a record. The values are part of the protocol and never change.
 enum class Tag : std::uint8_t {
     Usage = 1,
     LeaseRequest,
     LeaseGrant,
     LeaseReturn,
-    OldHello,    ///< of hosts before `fleet::RestartRecovery`, which may still run during an upgrade: skipped
+    OldHello,    ///< sent by versions without `fleet::RestartRecovery`, which may run during an upgrade:
+                 ///< skipped
     OldWelcome,  ///< likewise
     Join,
     UsageAggregate,
     Membership,
 };
-inline constexpr std::uint8_t kFormat = 0xA9;
-inline constexpr int kOldRecordBytes = 4;  ///< of the two skipped kinds, after the tag
+inline constexpr std::uint8_t kFormat = 0xA9;  ///< first byte of a message
+inline constexpr int kOldRecordBytes = 4;      ///< length of the two skipped kinds after the tag
 
 /// Appends numbers to a message.
 class Writer {
 public:
     /// \param to must outlive the writer
     explicit Writer(std::string& to) : to_(to) {}
-    /// Appends the low bytes of a number, the lowest first.
+    /// Appends the `bytes` low-order bytes of a number, little-endian.
     void put(std::uint64_t value, int bytes) {
         for (int i = 0; i < bytes; ++i)
             to_ += static_cast<char>(value >> (8 * i) & 255);
     }
     /// Begins a record.
     void put(Tag tag) { put(static_cast<std::uint8_t>(tag), 1); }
-    /// Begins a record about a lease, which all have the same head.
+    /// Begins a lease record; all kinds start with the same fields.
     void putLease(Tag tag, std::uint64_t volume, std::uint8_t chunks) {
         put(tag);
         put(volume, 8);
@@ -153,12 +156,12 @@
     std::string& to_;
 };
 
-/// Reads numbers from a message; beyond its end they are 0 and `ok()` is false.
+/// Reads numbers from a message. Reads past its end return 0, and `ok()` is false from then on.
 class Reader {
 public:
     /// \param from must outlive the reader
     explicit Reader(const std::string& from) : from_(from) {}
-    /// The next number of so many bytes, at most 8.
+    /// The next number of `bytes` bytes, at most 8.
     std::uint64_t get(int bytes) {
         std::uint64_t value = 0;
         if (from_.size() - at_ < static_cast<std::size_t>(bytes)) {
@@ -175,9 +178,9 @@
     T next() {
         return static_cast<T>(get(sizeof(T)));
     }
-    /// Whether all that was read was there.
+    /// Whether no read went past the end.
     [[nodiscard]] bool ok() const { return ok_; }
-    /// Whether nothing is left.
+    /// Whether all bytes have been read.
     [[nodiscard]] bool atEnd() const { return at_ >= from_.size(); }
 
 private:
@@ -186,7 +189,7 @@
     bool ok_ = true;
 };
 
-/// Begins a message.
+/// The header, with which a message begins.
 /// \param incarnation of the sending process
 inline std::string header(std::uint64_t incarnation) {
     std::string message;
@@ -196,7 +199,7 @@
     return message;
 }
 
-/// Appends a record: `Tag::Join` or `Tag::Usage`, 10 bytes.
+/// Appends a record of 10 bytes, with `Tag::Join` if the sender joins and `Tag::Usage` if not.
 inline void append(std::string& message, const UsageReport& report) {
     Writer writer(message);
     writer.put(report.joins ? Tag::Join : Tag::Usage);
@@ -241,25 +244,25 @@
     writer.putLease(Tag::LeaseReturn, returned.volume, returned.chunks);
     writer.put(returned.stamp, 4);
 }
-/// Appends any record to a message that `header()` began.
+/// Appends a record of any kind to a message that begins with `header()`.
 inline void append(std::string& message, const Record& record) {
     std::visit([&](const auto& typed) { append(message, typed); }, record);
 }
 
-/// A message as it was read.
+/// A decoded message.
 struct Message {
     std::uint64_t incarnation = 0;
     std::vector<Record> records;
 };
 
-/// Reads one record of the kind `tag`, without the tag itself.
+/// Reads the fields of a record of kind `tag`; the tag itself was read before.
 inline Record decodeRecord(Tag tag, Reader& reader) {
     using Byte = std::uint8_t;
     const auto key = [&] { return reader.next<std::uint32_t>(); };
     const auto hash = [&] { return reader.next<std::uint64_t>(); };
     const auto fixed = [&] { return FixedPoint{reader.next<std::uint16_t>()}; };
     const auto wait = [&] { return EncodedWait{reader.next<Byte>()}; };
-    // The order of the fields is that of the bytes: braces evaluate from left to right.
+    // Braced initialisers are evaluated from left to right, so fields are read in the order of the bytes.
     switch (tag) {
         case Tag::UsageAggregate:
             return UsageAggregate{key(), fixed(), wait(), EncodedRate{wait()}};
@@ -277,8 +280,8 @@
     }
 }
 
-/// The complete message, or nothing if it is malformed, cut short or of another format. A record of an
-/// unknown kind makes it malformed, as its length is not known.
+/// The whole message, or nothing if it is malformed, truncated or of another format. A record of an unknown
+/// kind makes the message malformed, as the length of the record is not known.
 inline std::optional<Message> decode(const std::string& bytes) {
     Reader reader(bytes);
     Message message;
--- a/src/policy/peer_outbox.h
+++ b/src/policy/peer_outbox.h
@@ -1,5 +1,5 @@
 /// \file
-/// Collects the records for each peer, so that those of one batch share a datagram.
+/// Collects the records for each peer, so that those of one batch share datagrams.
 #pragma once
 
 #include <map>
@@ -10,15 +10,16 @@
 
 namespace wingproxy {
 
-/// Messages to peers that are being written. They leave when the batch ends, or sooner when one is full.
+/// The messages to peers that are being assembled. A message is sent when it is full, or at the end of the
+/// batch.
 class PeerOutbox {
 public:
-    /// \param recovery names this process's incarnation in the header of each message
-    /// \param maxBytes of one message
+    /// \param recovery gives this process's incarnation, which is in the header of each message
+    /// \param maxBytes size limit of a message; all references must outlive the object
     PeerOutbox(Context& context, const fleet::RestartRecovery& recovery, std::size_t maxBytes)
         : context_(context), recovery_(recovery), maxBytes_(maxBytes) {}
 
-    /// Adds a record to the message for a peer; does nothing where hosts may not send each other messages.
+    /// Adds a record to the message for a peer. Does nothing if gossip is disabled or there are no peers.
     void send(HostIndex to, const peer::Record& record) {
         if (!context_.settings.mayGossip || context_.settings.hostCount <= 1) return;
         std::string encoded;
@@ -29,7 +30,7 @@
         if (message.empty()) message = peer::header(recovery_.incarnation());
         message += encoded;
     }
-    /// Sends what was collected, in the order of host numbers.
+    /// Sends the collected messages, in the order of host indices.
     void flush() {
         for (auto& [to, bytes] : messages_)
             context_.emit(SendPeerMessage{to, std::move(bytes)});
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -6,20 +6,22 @@
 
 namespace wingproxy {
 
-const Micros kRateTimeConstant = 1'000'000;  // the bucket of the guaranteed rate holds a second too
-const Micros kTickInterval = 10'000;         // far below any objective, far above a batch
+const Micros kRateTimeConstant = 1'000'000;  // as the buckets of guaranteed rates hold one second
+const Micros kTickInterval = 10'000;         // far below any latency objective, far above a batch's duration
 
 namespace {
 
-constexpr std::uint64_t kTickToken = 1;          // of the one timer there is
-constexpr std::size_t kMaxMessageBytes = 256;    // what the wire carries
-constexpr Micros kDefaultObjective = 1'000'000;  // stands in where no class has one
-// What was not needed or listed for so long is forgotten: beyond any lease, any slow start and any report of
-// its use that a peer still counts.
+constexpr std::uint64_t kTickToken = 1;          // the policy has a single timer
+constexpr std::size_t kMaxMessageBytes = 256;    // size limit of a datagram between hosts
+constexpr Micros kDefaultObjective = 1'000'000;  // used if no class has a latency objective
+// Nodes that were not listed and volumes that were not needed for this long are forgotten. It exceeds the
+// duration of any lease and slow start, and the time for which peers count a usage report.
 constexpr Micros kForgetAfter = 30'000'000;
 constexpr Micros kForgetInterval = 1'000'000;
-constexpr Micros kMinRetryAfter = 50'000;      // coming back sooner meets the same backlog
-constexpr Micros kMinRetryAfterMoved = 1'000;  // an attempt that names its object's shard meets none
+constexpr Micros kMinRetryAfter = 50'000;  // a sooner retry would meet the same backlog
+// After a node declined because another cell holds the object: the retry names that shard and meets no
+// backlog.
+constexpr Micros kMinRetryAfterWrongCell = 1'000;
 
 }  // namespace
 
@@ -87,18 +89,19 @@
     if (event.requestClosed || event.outcome == Outcome::Ok)
         finish(*request);
     else if (event.requestSpent)
-        rejectOrFail(*request, {0, event.outcome == Outcome::Rejected ? kMinRetryAfterMoved : kMinRetryAfter},
+        rejectOrFail(*request,
+                     {0, event.outcome == Outcome::Rejected ? kMinRetryAfterWrongCell : kMinRetryAfter},
                      AnswerReason::RequestSpent);
     else
         retryOrFail(*request);
 }
 
-// Another attempt where the class, the budget and the time left allow one; else the final answer, now.
+// Queues another attempt if the class, the number of attempts and the time left allow one; otherwise answers.
 void Policy::Impl::retryOrFail(PendingRequest& request) {
     if (!retries_.mayRetry(request))
         return rejectOrFail(request, {0, kMinRetryAfter}, AnswerReason::NotRepeatable);
-    const bool mayMove =
-        request.info().cell.isNone() && !request.mayHaveRun();  // a new object that never ran
+    const bool mayMove = request.info().cell.isNone() &&
+                         !request.mayHaveRun();  // a new object, of which no attempt may have run
     if (mayMove) request.setCell(CellIndex());
     dispatcher_.enqueue(request);
 }
@@ -121,7 +124,7 @@
 
 void Policy::Impl::shedLoad(CellIndex cell) {
     const RequestQueue& queue = dispatcher_.queues().of(cell);
-    // In the batch in which they came: a client's last attempt may have only a few milliseconds left.
+    // Also in the batch in which they arrived: a client's last retry may have only a few milliseconds left.
     for (PendingRequest* const request : queue.withDeadlineBefore(context_.now + 2 * kTickInterval))
         rejectOrFail(*request, {0, kMinRetryAfter}, dispatcher_.holdReason(*request));
     if (queue.empty()) return;
@@ -143,7 +146,8 @@
     dispatcher_.queues().markNonEmptyChanged();
 }
 
-// What an open request needs stays: one with an idempotency key may be sent again only near its first node.
+// Keeps what open requests need: their volumes, and the nodes of their first attempts, which decide where a
+// request with an idempotency key may be repeated.
 void Policy::Impl::forgetUnused() {
     lastForgetAt_ = context_.now;
     cluster_.forgetUnlisted(kForgetAfter, requests_.pinnedNodes());
--- a/src/policy/policy_events.cpp
+++ b/src/policy/policy_events.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The events of which the policy only keeps account, or which it passes on to its parts. What is decided on
-/// the other events stands in policy.cpp.
+/// Handlers of events that only update state or are passed on to one of the parts. The handlers that take
+/// decisions are in policy.cpp.
 #include "policy/policy_impl.h"
 
 namespace wingproxy {
@@ -37,7 +37,7 @@
     attempts_.onBodyCompleted(*request);
 }
 
-// The request may be gone afterwards.
+// May erase `request`.
 void Policy::Impl::finish(PendingRequest& request) {
     if (request.isFinished()) return;
     dispatcher_.dequeue(request);
--- a/src/policy/policy_impl.h
+++ b/src/policy/policy_impl.h
@@ -1,5 +1,5 @@
 /// \file
-/// The parts of a `Policy` and how they are joined.
+/// The parts of a `Policy` and how they are connected.
 #pragma once
 
 #include <string>
@@ -12,9 +12,10 @@
 
 namespace wingproxy {
 
-/// Handles events with the parts, in an order that is the same for the same events. Not thread-safe.
+/// Owns the parts and handles events with them, deterministically. Not thread-safe.
 struct Policy::Impl {
-    /// Joins the parts and begins the first batch: the tick, the watch of the endpoint list, lease recovery.
+    /// Connects the parts and begins the first batch: starts the tick, the watch of the endpoint list and the
+    /// recovery of leases.
     Impl(const Settings& settings, Micros now);
     Impl(const Impl&) = delete;
     Impl& operator=(const Impl&) = delete;
@@ -22,40 +23,42 @@
     /// Sets the time that all parts see; to be called before each event and before the end of the batch.
     void setTime(Micros now) { context_.now = now; }
     // -- events; see wingproxy/policy.h
-    /// Nodes appear, change and go; requests of any cell may have become possible.
+    /// Updates the nodes. Requests of any cell may be sendable afterwards.
     void handle(const EndpointListReceived& event);
-    /// Classifies the request, queues it and sends it at once if it may be sent.
+    /// Classifies the request, queues it, and sends it at once if that is allowed.
     void handle(const RequestReceived& event);
-    /// The request's attempts hold slots at their nodes from now on, and its own time runs.
+    /// From now on the request's attempts hold slots at their nodes, and its latency objective counts.
     void handle(const RequestBodyCompleted& event);
-    /// Learns from the outcome, then ends the request, retries it or answers it. Outcomes of attempts that
-    /// are not outstanding are ignored.
+    /// Updates the node's statistics, then finishes the request, retries it or answers it. Outcomes of
+    /// attempts that are not outstanding are ignored.
     void handle(const AttemptOutcome& event);
-    /// The attempt's slot is free once its node has done its work.
+    /// Frees the attempt's slot once the node has done its work.
     void handle(const ResponseStarted& event);
-    /// Ends the request without an answer.
+    /// Finishes the request without an answer.
     void handle(const RequestCancelled& event) {
         if (PendingRequest* const request = requests_.find(event.id)) finish(*request);
     }
-    /// From now on leases end before the shutdown does, and the notice holders are notified.
+    /// From now on no lease is granted that would outlast the shutdown, and the notice holders are notified;
+    /// see `fleet::RestartRecovery::startShutdown`.
     void handle(const ShutdownStarted& event) { recovery_.startShutdown(event.servesUntilUs, context_.now); }
-    /// Answers the least valuable of the requests that wait.
+    /// Rejects or fails one queued request, the least valuable one, for each connection needed.
     void handle(const CapacityNeeded& event);
-    /// The tick: looks at what is due and at what waits. Other tokens are ignored.
+    /// The tick: periodic work, and all queues are examined again. Other tokens are ignored.
     void handle(const TimerFired& event);
-    /// Takes gossip, leases and lease recovery. Malformed and stale messages are counted and ignored.
+    /// Handles messages of gossip, leases and lease recovery. Malformed and stale ones are counted and
+    /// ignored.
     void handle(const PeerMessageReceived& event);
-    /// A check that was answered shows that earlier requests without an answer are lost.
+    /// A check that succeeded shows that requests sent before it and not yet answered are lost.
     void handle(const HealthCheckCompleted& event) {
         Node* const node = cluster_.findNode(event.node);
         if (node && event.outcome == Outcome::Ok)
             node->outliers().onHealthCheckAnswered(context_.now - event.elapsedUs);
     }
-    /// Sends what may leave, sheds load, and returns the batch's actions.
+    /// Sends the requests that may be sent, sheds load, and returns the batch's actions.
     std::vector<Action> finishBatch();
 
     /// See `Policy::takeSnapshot`.
-    std::string handOver();
+    std::string takeSnapshot();
     /// See `Policy::restore`.
     bool restore(const std::string& snapshot);
 
@@ -67,15 +70,15 @@
     [[nodiscard]] const fleet::RestartRecovery& recovery() const { return recovery_; }
 
 private:
-    /// Stands in where no class has a latency objective, in microseconds.
+    /// Used where a class has no latency objective, in microseconds.
     [[nodiscard]] static Micros defaultLatencyObjective();
     [[nodiscard]] Volume& volumeOf(const Request& request);
     void admit(PendingRequest& request);
     void retryOrFail(PendingRequest& request);
-    /// How long an answered client is told to stay away, in microseconds.
+    /// The delay that a rejected client is told to wait before it retries, in microseconds.
     struct RetryAdvice {
         Micros wanted = 0;
-        Micros atLeast = 0;
+        Micros atLeast = 0;  ///< lower bound of `wanted`
     };
     void rejectOrFail(PendingRequest& request, RetryAdvice advice, AnswerReason reason);
     void finish(PendingRequest& request);
--- a/src/policy/policy_interface.cpp
+++ b/src/policy/policy_interface.cpp
@@ -26,7 +26,7 @@
 
 std::string Policy::takeSnapshot(Micros now) {
     impl_->setTime(now);
-    return impl_->handOver();
+    return impl_->takeSnapshot();
 }
 
 bool Policy::restore(const std::string& snapshot) { return impl_->restore(snapshot); }
--- a/src/policy/policy_snapshot.cpp
+++ b/src/policy/policy_snapshot.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Hands the state of all parts over to a successor process of the same host, and takes it over there. The
-/// bytes are those of snapshot_archive.h; here is only which part each field comes from and goes to.
+/// Takes a snapshot of all parts for a successor process of the same host, and restores it there. This file
+/// maps the fields of `PolicyState` to the parts; snapshot_archive.h defines the bytes.
 #include "policy/policy_impl.h"
 
 namespace wingproxy {
@@ -30,7 +30,7 @@
     return state;
 }
 
-std::string Policy::Impl::handOver() {
+std::string Policy::Impl::takeSnapshot() {
     const auto reserved = leases_.reserveForOpenRequests();
     std::string bytes = encodeSnapshot(context_.settings, exportState());
     LeaseAllocator::keepOnly(reserved);
--- a/src/policy/snapshot_archive.cpp
+++ b/src/policy/snapshot_archive.cpp
@@ -13,7 +13,7 @@
 
 namespace wingproxy {
 
-// One function for each type writes and reads it; cereal calls them by their name.
+// One function per type both writes and reads it; cereal finds these functions by their name.
 
 template <typename Archive>
 void serialize(Archive& archive, DecayingRate& rate) {
@@ -83,7 +83,7 @@
     OutlierDetector::State& outliers = state.outliers;
     SlowStartLimiter::State& slowStart = state.slowStart;
     LatencyEstimate& estimate = concurrency.estimate;
-    double unusedCredit = 0;  // versions before wrote a credit here
+    double unusedCredit = 0;  // a field of earlier versions, kept for the layout
     archive(state.listed, state.info, concurrency.limit, estimate.latency, estimate.units, estimate.perUnit,
             outliers.errorShare, estimate.floor.current, estimate.floor.previous, estimate.floor.spanStart,
             outliers.progressAt, concurrency.loweredAt, outliers.lastTrialAt, estimate.updatedAt,
@@ -106,21 +106,22 @@
 
 namespace {
 
-// Of what is written above: to be raised with every change there, as a process of the version before hands
-// over too.
-constexpr double kLayout = 2;
+// Must be incremented with every change of the fields above: the snapshot may come from a process of the
+// previous version.
+constexpr double kLayoutVersion = 2;
 
-// Both processes must mean the same by an index of a plan, a class, a cell or a host, and write the same
-// fields.
+// Equal if both processes write the same fields and an index of a plan, a class, a cell or a host means the
+// same in both.
 std::vector<double> fingerprint(const Settings& settings) {
-    std::vector<double> numbers{kLayout, double(settings.hostIndex.value()), double(settings.hostCount),
-                                double(settings.cellCount), double(settings.classes.size())};
+    std::vector<double> numbers{kLayoutVersion, double(settings.hostIndex.value()),
+                                double(settings.hostCount), double(settings.cellCount),
+                                double(settings.classes.size())};
     for (const PlanInfo& plan : settings.plans)
         numbers.insert(numbers.end(), {plan.baseRate, plan.guaranteedRate, plan.limit, plan.limitBurst});
     return numbers;
 }
 
-// Whether every index lies inside what it points into.
+// Whether every index is within the bounds of its table.
 bool isConsistent(const Settings& settings, const PolicyState& state) {
     const auto isNode = [&](NodeIndex index) { return index.position() < state.nodes.size(); };
     const auto areNodes = [&](const std::vector<NodeIndex>& indices) {
@@ -144,7 +145,8 @@
 std::string encodeSnapshot(const Settings& settings, const PolicyState& state) {
     std::ostringstream out;
     cereal::PortableBinaryOutputArchive archive(out);
-    archive(fingerprint(settings), const_cast<PolicyState&>(state));  // one function writes and reads
+    archive(fingerprint(settings),
+            const_cast<PolicyState&>(state));  // `serialize` takes a non-const reference, as it also reads
     return out.str();
 }
 
@@ -153,11 +155,11 @@
     try {
         std::istringstream in(bytes);
         cereal::PortableBinaryInputArchive archive(in);
-        std::vector<double> theirs;
-        archive(theirs);
-        if (theirs != fingerprint(settings)) return std::nullopt;
+        std::vector<double> savedFingerprint;
+        archive(savedFingerprint);
+        if (savedFingerprint != fingerprint(settings)) return std::nullopt;
         archive(state);
-    } catch (const std::exception&) {  // cut short, or sizes that cannot be
+    } catch (const std::exception&) {  // truncated, or with impossible sizes
         return std::nullopt;
     }
     if (!isConsistent(settings, state)) return std::nullopt;
--- a/src/policy/snapshot_archive.h
+++ b/src/policy/snapshot_archive.h
@@ -1,9 +1,8 @@
 /// \file
-/// What a policy knows, as bytes and back, for a successor process of the same host.
+/// Serializes and deserializes the state of a policy for a successor process of the same host.
 ///
-/// What is bound to this process's open requests is left out. The order of the fields is that of the first
-/// version, and not that of the parts which own them: a process of another version may have written the
-/// bytes.
+/// State of open requests is left out, as these stay with this process. The order of the fields is fixed by
+/// the first version and differs from that of their owners: another version may have written the bytes.
 #pragma once
 
 #include <deque>
@@ -41,13 +40,14 @@
     AggregateByKey aggregates;
     double requestBudget = 0;
     std::deque<Micros> requestTimes;  ///< of the retry budget
-    std::deque<Micros> retryTimes;
+    std::deque<Micros> retryTimes;    ///< likewise
 };
 
-/// \param settings of this host: both processes must mean the same by an index
+/// The snapshot of a state, with a fingerprint of the settings: an index must mean the same in both
+/// processes.
 std::string encodeSnapshot(const Settings& settings, const PolicyState& state);
-/// The state, or nothing where the bytes are damaged or belong to a host with other settings. References
-/// between its parts are not set.
+/// The state, or nothing if the bytes are damaged, have another layout version or were written with other
+/// settings. Pointers between the parts are not restored.
 std::optional<PolicyState> decodeSnapshot(const Settings& settings, const std::string& bytes);
 
 }  // namespace wingproxy
--- a/tests/policy/peer_message_test.cpp
+++ b/tests/policy/peer_message_test.cpp
@@ -79,7 +79,7 @@
     EXPECT_NEAR(EncodedRate::of(20).rate(), 20, 2);
     EXPECT_EQ(FixedPoint::of(-1).sixteenths, 0);
     EXPECT_EQ(FixedPoint::of(1e9).sixteenths, 65535);
-    EXPECT_EQ(byteOf(1e9), 255);
+    EXPECT_EQ(saturateToByte(1e9), 255);
 }
 
 }  // namespace
