--- a/adapter/base64.cpp
+++ b/adapter/base64.cpp
@@ -6,27 +6,27 @@
 namespace wingproxy::wire {
 namespace {
 
-constexpr std::string_view kDigits = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
-constexpr std::string_view kNoBytes = "-";
+constexpr std::string_view kAlphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+constexpr std::string_view kEmptyText = "-";
 constexpr char kPadding = '=';
-/// Three bytes are a group of four digits of 6 bits each.
+/// A group of three bytes is written as four digits of 6 bits each.
 constexpr std::size_t kGroupBytes = 3;
 constexpr std::size_t kGroupDigits = 4;
 
-/// \param bytes one to three of them
+/// \param bytes one to three bytes
 void encodeGroup(std::string_view bytes, std::string& text) {
     std::uint32_t bits = 0;
     for (std::size_t i = 0; i < kGroupBytes; ++i)
         bits = bits << 8 | (i < bytes.size() ? static_cast<unsigned char>(bytes[i]) : 0U);
     for (std::size_t i = 0; i < kGroupDigits; ++i)
-        text += i > bytes.size() ? kPadding : kDigits[bits >> (18 - 6 * i) & 63];
+        text += i > bytes.size() ? kPadding : kAlphabet[bits >> (18 - 6 * i) & 63];
 }
 
-/// \param digits two to four of them, without padding
+/// \param digits two to four digits, without padding
 bool decodeGroup(std::string_view digits, std::string& bytes) {
     std::uint32_t bits = 0;
     for (std::size_t i = 0; i < kGroupDigits; ++i) {
-        const auto value = i < digits.size() ? kDigits.find(digits[i]) : 0;
+        const auto value = i < digits.size() ? kAlphabet.find(digits[i]) : 0;
         if (value == std::string_view::npos) return false;
         bits = bits << 6 | static_cast<std::uint32_t>(value);
     }
@@ -45,7 +45,7 @@
 }  // namespace
 
 std::string encodeBase64(std::string_view bytes) {
-    if (bytes.empty()) return std::string(kNoBytes);
+    if (bytes.empty()) return std::string(kEmptyText);
     std::string text;
     for (std::size_t at = 0; at < bytes.size(); at += kGroupBytes)
         encodeGroup(bytes.substr(at, kGroupBytes), text);
@@ -54,7 +54,7 @@
 
 bool decodeBase64(std::string_view text, std::string& bytes) {
     bytes.clear();
-    if (text == kNoBytes) return true;
+    if (text == kEmptyText) return true;
     if (text.size() % kGroupDigits != 0) return false;
     for (std::size_t at = 0; at < text.size(); at += kGroupDigits) {
         const bool last = at + kGroupDigits == text.size();
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// A program that serves the simulator's wire on standard input and output (see docs/design.md, "The
-/// adapter"). Exit codes: 0 at the end of the input, 1 if the output is closed, 2 on malformed input.
+/// Runs the policies of a simulation: reads the simulator's messages from standard input and writes the
+/// actions to standard output (see docs/design.md, "The adapter"). Exit codes: 0 at the end of the input, 1
+/// if the output is closed, 2 on malformed input.
 #include <cstdio>
 #include <iostream>
 
--- a/adapter/simulated_hosts.cpp
+++ b/adapter/simulated_hosts.cpp
@@ -52,11 +52,11 @@
 
 void SimulatedHosts::handleMessage(const WireLine& line, Micros now) {
     const auto kind = messageKind(line.name());
-    if (!kind) return;  // from a newer simulator, which expects that it is ignored
+    if (!kind) return;  // from a newer simulator, which expects unknown messages to be ignored
     auto& host = hostOf(line);
     if (kind == MessageKind::HostStarted) return start(host, line, now);
     if (kind == MessageKind::HostStopped) return stop(host);
-    if (!host.settings) line.fail("who", "instance has not started");
+    if (!host.settings) line.fail("who", "host " + host.name + " has not started");
     const auto event = parseEvent(*kind, line, *host.settings, endpointLists_);
     catchExceptions(host, [&] { host.policy->on(now, event); });
 }
@@ -65,10 +65,10 @@
     const auto listNumber = line.integer("setId");
     const auto entryCount = line.integer("rowsIn", 0);
     auto& nodes = endpointLists_.at(listNumber, line);
-    if (entryCount < 0) line.fail("rowsIn", "below 0");
+    if (entryCount < 0) line.fail("rowsIn", "negative: " + std::to_string(entryCount));
     nodes.clear();
     for (std::int64_t i = 0; i < entryCount; ++i) {
-        if (!readLine(in)) header.fail("batch", "input ends inside a list");
+        if (!readLine(in)) header.fail("batch", "input ends inside an endpoint list");
         nodes.push_back(parseNode(WireLine(line_, lineNumber_)));
     }
 }
@@ -108,7 +108,7 @@
     const WireLine header(headerText, lineNumber_);
     if (header.name() != "BEGIN_BATCH") header.fail("name", "BEGIN_BATCH expected");
     const Micros now = header.integer("tsUs");
-    const auto batchNumber = header.natural("batch");
+    const auto batchNumber = header.unsignedInteger("batch");
     readMessages(in, header, now);
     for (auto* const host : hostsInBatch_)
         appendActions(*host, now, out);
--- a/adapter/simulated_hosts.h
+++ b/adapter/simulated_hosts.h
@@ -1,7 +1,7 @@
 /// \file
 /// The hosts of a simulation, each with its own policy, and the batches of messages that the simulator
-/// exchanges with them. It translates only: no decision is taken here, and hosts share nothing but the
-/// input's lists.
+/// exchanges with them. This is translation only: no decisions are taken here, and hosts share nothing but
+/// the endpoint lists of the input.
 #pragma once
 
 #include <cstddef>
@@ -19,14 +19,14 @@
 
 namespace wingproxy::wire {
 
-/// All hosts that the input names; they share one thread. A host comes into being with its first message and
-/// is kept until this object is destroyed, also while it is stopped.
+/// All hosts that the input names, on one thread. A host is created by its first message and is kept until
+/// this object is destroyed, even while it is stopped.
 class SimulatedHosts {
 public:
-    /// Reads one batch and appends the response to it: the actions of each host that got a message, in the
+    /// Reads one batch and appends the response to `out`: the actions of each host that got a message, in the
     /// order of their first messages, and the line that ends the batch.
     ///
-    /// Where a policy has thrown, its host's actions are replaced by one EXCEPTION line a batch, until the
+    /// After a policy has thrown, one EXCEPTION line per batch replaces the actions of its host, until the
     /// host is started again.
     ///
     /// \return false at the end of the input
@@ -34,13 +34,13 @@
     bool serveBatch(std::istream& in, std::string& out);
 
 private:
-    /// One host. It has settings and a policy from its start to its stop.
+    /// One host. It has settings and a policy from its start until it is stopped.
     struct Host {
         std::string name;
         std::optional<Settings> settings;
         std::optional<Policy> policy;
-        std::string exception;      ///< text of one that the policy threw; it gets no further events
-        std::size_t lastBatch = 0;  ///< the number of the last batch with a message for it
+        std::string exception;      ///< text of an exception of the policy, which then gets no further events
+        std::size_t lastBatch = 0;  ///< number of the last batch with a message for it
     };
 
     bool readLine(std::istream& in);
@@ -54,9 +54,9 @@
     Host& hostOf(const WireLine& line);
 
     std::map<std::string, Host, std::less<>> hosts_;
-    std::vector<Host*> hostsInBatch_;  ///< those with a message in this batch
+    std::vector<Host*> hostsInBatch_;  ///< hosts with a message in this batch
     EndpointListTable endpointLists_;
-    std::string line_;  ///< the one that was read last
+    std::string line_;  ///< the line that was read last
     std::size_t lineNumber_ = 0;
     std::size_t batchCount_ = 0;
 };
--- a/adapter/wire_actions.cpp
+++ b/adapter/wire_actions.cpp
@@ -8,7 +8,7 @@
 namespace wingproxy::wire {
 namespace {
 
-/// Writes each type of action. A type that is missing here does not compile.
+/// Writes each type of action. A missing overload is a compile error.
 class ActionWriter {
 public:
     ActionWriter(std::string_view host, std::string& out) : host_(host), out_(out) {}
--- a/adapter/wire_actions.h
+++ b/adapter/wire_actions.h
@@ -1,5 +1,5 @@
 /// \file
-/// The policy's actions as messages of the simulator's wire.
+/// Writes the policy's actions as messages of the simulator's wire.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 
 namespace wingproxy::wire {
 
-/// Appends the action's line, with its line break.
-/// \param host the simulator's name of the host whose policy ordered it
+/// Appends the line of an action, with a line break.
+/// \param host the simulator's name of the host whose policy returned the action
 void appendAction(const Action& action, std::string_view host, std::string& out);
 
 }  // namespace wingproxy::wire
--- a/adapter/wire_events.cpp
+++ b/adapter/wire_events.cpp
@@ -43,7 +43,8 @@
                                                             {"warm_copy", EndpointListKind::Cached},
                                                             {"lost", EndpointListKind::Unavailable}}}};
 
-/// The index of the last class or plan of this name, as an "UP" line may repeat one; none if there is none.
+/// The index of the last class or plan with this name, as an "UP" line may repeat a name; none if the name is
+/// unknown.
 template <typename IndexType, typename List>
 IndexType lastIndexOf(const List& list, std::string_view name) {
     for (std::size_t i = list.size(); i > 0; --i)
@@ -51,12 +52,12 @@
     return {};
 }
 
-/// A list of numbers, one for each of Settings::reportColumns; empty if it is missing.
+/// Reads the load report: one number for each of `Settings::reportColumns`, none if the field is missing.
 std::vector<double> parseLoadReport(const WireLine& line) {
     std::vector<double> report;
     for (const auto column : splitList(line.text("metrics", ""))) {
         const auto value = config::parseNumber<double>(column);
-        if (!value) line.fail("metrics", "not a number");
+        if (!value) line.fail("metrics", "not a number: " + quote(column));
         report.push_back(*value);
     }
     return report;
@@ -73,7 +74,7 @@
 
 RequestReceived parseRequest(const WireLine& line, const Settings& settings) {
     Request request;
-    request.id = line.natural("corr");
+    request.id = line.unsignedInteger("corr");
     request.key = line.text("item", "");
     request.volume = line.text("disk", "");
     request.deadlineUs = line.integer("validUntilUs");
@@ -88,7 +89,7 @@
 
 AttemptOutcome parseAttemptOutcome(const WireLine& line) {
     AttemptOutcome attempt;
-    attempt.id = line.natural("corr");
+    attempt.id = line.unsignedInteger("corr");
     attempt.attempt = AttemptIndex(static_cast<int>(line.integer("shot", 0)));
     attempt.node = line.text("shelf", "");
     attempt.outcome = line.choice("code", kOutcomeNames);
@@ -102,7 +103,7 @@
 
 ResponseStarted parseResponseStarted(const WireLine& line) {
     ResponseStarted response;
-    response.id = line.natural("corr");
+    response.id = line.unsignedInteger("corr");
     response.attempt = AttemptIndex(static_cast<int>(line.integer("shot", 0)));
     response.node = line.text("shelf", "");
     response.elapsedUs = line.integer("waitTimeUs", 0);
@@ -131,7 +132,7 @@
 
 std::size_t EndpointListTable::indexOf(std::int64_t listNumber, const WireLine& line) const {
     if (listNumber < 0 || listNumber >= static_cast<std::int64_t>(lists_.size()))
-        line.fail("setId", "not 0 to 15");
+        line.fail("setId", std::to_string(listNumber) + " is not in the range 0 to 15");
     return static_cast<std::size_t>(listNumber);
 }
 
@@ -167,9 +168,9 @@
         case MessageKind::ResponseStarted:
             return parseResponseStarted(line);
         case MessageKind::RequestCancelled:
-            return RequestCancelled{line.natural("corr")};
+            return RequestCancelled{line.unsignedInteger("corr")};
         case MessageKind::TimerFired:
-            return TimerFired{line.natural("label")};
+            return TimerFired{line.unsignedInteger("label")};
         case MessageKind::PeerMessageReceived:
             return parsePeerMessage(line);
         case MessageKind::HealthCheckCompleted:
--- a/adapter/wire_line.cpp
+++ b/adapter/wire_line.cpp
@@ -26,7 +26,7 @@
         const auto part = text.substr(0, text.find(' '));
         if (part.empty()) continue;
         const auto equals = part.find('=');
-        if (equals == std::string_view::npos || equals == 0) fail(part, "not name=value");
+        if (equals == std::string_view::npos || equals == 0) fail(part, "not of the form key=value");
         fields_.push_back({part.substr(0, equals), part.substr(equals + 1)});
     }
 }
@@ -49,40 +49,42 @@
     return *value;
 }
 
-std::string_view WireLine::text(std::string_view key, std::string_view absent) const {
+std::string_view WireLine::text(std::string_view key, std::string_view defaultValue) const {
     const auto* const value = find(key);
-    return value ? *value : absent;
+    return value ? *value : defaultValue;
 }
 
 std::int64_t WireLine::integer(std::string_view key) const {
     const auto value = parseNumber<std::int64_t>(text(key));
-    if (!value) fail(key, "not a whole number");
+    if (!value) fail(key, "not an integer: " + quote(text(key)));
     return *value;
 }
 
-std::int64_t WireLine::integer(std::string_view key, std::int64_t absent) const {
-    return has(key) ? integer(key) : absent;
+std::int64_t WireLine::integer(std::string_view key, std::int64_t defaultValue) const {
+    return has(key) ? integer(key) : defaultValue;
 }
 
-std::uint64_t WireLine::natural(std::string_view key) const {
+std::uint64_t WireLine::unsignedInteger(std::string_view key) const {
     const auto value = parseNumber<std::uint64_t>(text(key));
-    if (!value) fail(key, "not a whole number of 0 or more");
+    if (!value) fail(key, "not a non-negative integer: " + quote(text(key)));
     return *value;
 }
 
-double WireLine::number(std::string_view key, double absent) const {
-    if (!has(key)) return absent;
+double WireLine::number(std::string_view key, double defaultValue) const {
+    if (!has(key)) return defaultValue;
     const auto value = parseNumber<double>(text(key));
-    if (!value) fail(key, "not a number");
+    if (!value) fail(key, "not a number: " + quote(text(key)));
     return *value;
 }
 
 bool WireLine::flag(std::string_view key) const {
     const auto value = text(key, "0");
-    if (value != "0" && value != "1") fail(key, "not 0 or 1");
+    if (value != "0" && value != "1") fail(key, "not 0 or 1: " + quote(value));
     return value == "1";
 }
 
+std::string quote(std::string_view text) { return '"' + std::string(text) + '"'; }
+
 std::vector<std::string_view> splitList(std::string_view list) {
     std::vector<std::string_view> items;
     while (!list.empty()) {
--- a/adapter/wire_settings.cpp
+++ b/adapter/wire_settings.cpp
@@ -11,7 +11,7 @@
 namespace wingproxy::wire {
 namespace {
 
-/// The fields of a line by their path. Where a path is repeated its last field counts.
+/// The fields of a line by their path. If a path is repeated, its last field is used.
 class FieldsByPath {
 public:
     explicit FieldsByPath(const WireLine& line) : line_(line) {
@@ -29,7 +29,7 @@
     std::map<std::string, std::string_view> values_;
 };
 
-/// The fields below one path: a reader as config/settings_fields.h describes it.
+/// Reads the fields below one path: a `Reader` as described in config/settings_fields.h.
 class FieldReader {
 public:
     /// \param fields must outlive the reader
@@ -44,7 +44,7 @@
         const auto* const value = find(key);
         if (!value) return;
         const auto parsed = config::parseNumber<double>(*value);
-        if (!parsed) fail(key, "not a number");
+        if (!parsed) fail(key, "not a number: " + quote(*value));
         into = static_cast<T>(*parsed);
     }
     void text(std::string_view key, std::string& into) const {
@@ -55,7 +55,7 @@
         if (!value) return;
         const bool isTrue = *value == "true" || *value == "1";
         const bool isFalse = *value == "false" || *value == "0";
-        if (!isTrue && !isFalse) fail(key, "not true or false");
+        if (!isTrue && !isFalse) fail(key, "not true or false: " + quote(*value));
         into = isTrue;
     }
     template <typename T, std::size_t Count>
@@ -63,10 +63,10 @@
         const auto* const name = find(key);
         if (!name) return;
         const auto value = values.find(*name);
-        if (!value) fail(key, "unknown " + std::string(values.kind));
+        if (!value) fail(key, "unknown " + std::string(values.kind) + " " + quote(*name));
         into = *value;
     }
-    /// The items of a list; empty if it is missing.
+    /// The items of a list; none if the field is missing.
     std::vector<std::string> list(std::string_view key) const {
         const auto* const value = find(key);
         if (!value) return {};
@@ -75,11 +75,12 @@
     }
     /// Readers of the entries "KEY.0" to "KEY.(n-1)" of a list of objects, where "KEY.count" is n.
     std::vector<FieldReader> objects(const std::string& key) const {
-        constexpr std::size_t kMaxObjects = 10'000;  // a damaged count must not exhaust the memory
+        constexpr std::size_t kMaxObjects = 10'000;  // a malformed count must not exhaust memory
         const auto entries = child(key);
         std::size_t count = 0;
         entries.number("count", count);
-        if (count > kMaxObjects) entries.fail("count", "too many");
+        if (count > kMaxObjects)
+            entries.fail("count", std::to_string(count) + " is more than " + std::to_string(kMaxObjects));
         std::vector<FieldReader> readers;
         for (std::size_t i = 0; i < count; ++i)
             readers.push_back(entries.child(std::to_string(i)));
@@ -112,7 +113,7 @@
     return plan;
 }
 
-/// "extra.changesData" says of each class, by its index, whether its requests write.
+/// "extra.changesData" is a list that says, by class index, whether requests of the class modify data.
 void parseWritingClasses(const FieldReader& extra, std::vector<ClassInfo>& classes) {
     const auto writes = extra.list("changesData");
     for (std::size_t i = 0; i < writes.size() && i < classes.size(); ++i)
@@ -127,7 +128,7 @@
     const auto report = root.child("report");
     const auto extra = root.child("extra");
     Settings settings;
-    settings.seed = line.has("rngSeed") ? line.natural("rngSeed") : 0;
+    settings.seed = line.has("rngSeed") ? line.unsignedInteger("rngSeed") : 0;
     config::readHostFields(root, settings);
     for (const auto& entry : root.objects("classes"))
         settings.classes.push_back(parseClass(entry));
--- a/adapter/wire_settings.h
+++ b/adapter/wire_settings.h
@@ -1,6 +1,6 @@
 /// \file
-/// The policy's settings as an "UP" line of the simulator's wire has them: each field under its path, e.g.
-/// "classes.0.aimUs=300000", and lists separated by commas.
+/// Reads the policy's settings from an "UP" line of the simulator's wire: each field under its path, e.g.
+/// "classes.0.aimUs=300000", and comma-separated lists.
 #pragma once
 
 #include "wingproxy/policy.h"
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -19,8 +19,8 @@
 constexpr Micros kForgetAfter = 30'000'000;
 constexpr Micros kForgetInterval = 1'000'000;
 constexpr Micros kMinRetryAfter = 50'000;  // a sooner retry would meet the same backlog
-// After a node declined because another cell holds the object: the retry names that shard and meets no
-// backlog.
+// After a node rejected a request that cannot be sent again, usually because another cell holds the object:
+// the retry names that shard and meets no backlog.
 constexpr Micros kMinRetryAfterWrongCell = 1'000;
 
 }  // namespace
--- a/tests/adapter/base64_test.cpp
+++ b/tests/adapter/base64_test.cpp
@@ -1,4 +1,4 @@
-// Base64 as the wire has it.
+// Tests the Base64 encoding of peer messages on the simulator's wire.
 #include "base64.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
     }
 }
 
-TEST(Base64, AllByteValuesSurvive) {
+TEST(Base64, AllByteValuesAreDecodedAsEncoded) {
     std::string bytes;
     for (int value = 0; value < 256; ++value)
         bytes += static_cast<char>(value);
--- a/tests/adapter/simulated_hosts_test.cpp
+++ b/tests/adapter/simulated_hosts_test.cpp
@@ -1,4 +1,4 @@
-// The adapter as the simulator sees it: batches of messages in, batches of messages out.
+// Tests the adapter as the simulator uses it: batches of messages in, actions out.
 #include "simulated_hosts.h"
 
 #include <gtest/gtest.h>
@@ -76,7 +76,7 @@
 }
 
 TEST(SimulatedHosts, AnEventOfAHostThatHasNotStartedIsAnError) {
-    EXPECT_EQ(errorOf(batch(1, kRequest)), "line 2 (INCOMING), field who: instance has not started");
+    EXPECT_EQ(errorOf(batch(1, kRequest)), "line 2 (INCOMING), field who: host head/3 has not started");
 }
 
 TEST(SimulatedHosts, AnErrorNamesLineAndField) {
@@ -95,11 +95,11 @@
 
 TEST(SimulatedHosts, AnEndpointListThatIsCutShortIsAnError) {
     EXPECT_EQ(errorOf("BEGIN_BATCH tsUs=1 batch=1\nROSTER setId=0 rowsIn=1\n"),
-              "line 1 (BEGIN_BATCH), field batch: input ends inside a list");
+              "line 1 (BEGIN_BATCH), field batch: input ends inside an endpoint list");
 }
 
-// The seed is fixed, so a failure repeats. Most mutations leave a line malformed, which must be the only
-// effect.
+// Many mutations make a line malformed, which must be reported as a WireError and must have no other effect.
+// The seed is fixed, so that a failure is reproducible.
 TEST(SimulatedHosts, MutatedInputCausesNoOtherFailureThanAnError) {
     std::mt19937_64 random(11);
     const std::string valid = batch(1, kStart + kEndpointList) + batch(2, kRequest);
--- a/tests/adapter/wire_actions_test.cpp
+++ b/tests/adapter/wire_actions_test.cpp
@@ -1,4 +1,4 @@
-// The policy's actions as messages of the wire.
+// Tests the messages that are written for the policy's actions.
 #include "wire_actions.h"
 
 #include <gtest/gtest.h>
--- a/tests/adapter/wire_events_test.cpp
+++ b/tests/adapter/wire_events_test.cpp
@@ -1,4 +1,4 @@
-// Messages of the simulator as the policy's events.
+// Tests the events that are read from the simulator's messages.
 #include "wire_events.h"
 
 #include <gtest/gtest.h>
@@ -68,8 +68,8 @@
     EXPECT_EQ(attempt.outcome, Outcome::Rejected);
     EXPECT_EQ(attempt.loadPercent, 50);
     EXPECT_EQ(attempt.loadReport, (std::vector<double>{1.5, 2}));
-    EXPECT_EQ(errorOf<AttemptOutcome>("ENDED corr=1 code=odd"), "code: unknown outcome");
-    EXPECT_EQ(errorOf<AttemptOutcome>("ENDED corr=1 code=pass metrics=1,x"), "metrics: not a number");
+    EXPECT_EQ(errorOf<AttemptOutcome>("ENDED corr=1 code=odd"), "code: unknown outcome \"odd\"");
+    EXPECT_EQ(errorOf<AttemptOutcome>("ENDED corr=1 code=pass metrics=1,x"), "metrics: not a number: \"x\"");
 }
 
 TEST(WireEvents, AnEndpointListHasTheNodesOfItsNumber) {
@@ -86,7 +86,8 @@
 
 TEST(WireEvents, AnUnavailableEndpointListNeedsNoNumber) {
     EXPECT_EQ(eventOf<EndpointListReceived>("REGISTRY how=lost").list.kind, EndpointListKind::Unavailable);
-    EXPECT_EQ(errorOf<EndpointListReceived>("REGISTRY how=incr setId=16"), "setId: not 0 to 15");
+    EXPECT_EQ(errorOf<EndpointListReceived>("REGISTRY how=incr setId=16"),
+              "setId: 16 is not in the range 0 to 15");
 }
 
 TEST(WireEvents, TheOtherEventsHaveTheirFields) {
--- a/tests/adapter/wire_line_test.cpp
+++ b/tests/adapter/wire_line_test.cpp
@@ -1,4 +1,4 @@
-// Lines of the wire: their fields, and the errors that name them.
+// Tests the parsing of lines of the simulator's wire, and the errors for malformed ones.
 #include "wire_line.h"
 
 #include <gtest/gtest.h>
@@ -39,11 +39,11 @@
 TEST(WireLine, AnErrorNamesLineMessageAndField) {
     const WireLine line("NAME a=x b=-1 c=2", 7);
     EXPECT_EQ(errorOf([&] { (void)line.text("d"); }), "line 7 (NAME), field d: missing");
-    EXPECT_EQ(errorOf([&] { (void)line.integer("a"); }), "line 7 (NAME), field a: not a whole number");
-    EXPECT_EQ(errorOf([&] { (void)line.natural("b"); }),
-              "line 7 (NAME), field b: not a whole number of 0 or more");
-    EXPECT_EQ(errorOf([&] { (void)line.number("a", 0); }), "line 7 (NAME), field a: not a number");
-    EXPECT_EQ(errorOf([&] { (void)line.flag("c"); }), "line 7 (NAME), field c: not 0 or 1");
+    EXPECT_EQ(errorOf([&] { (void)line.integer("a"); }), "line 7 (NAME), field a: not an integer: \"x\"");
+    EXPECT_EQ(errorOf([&] { (void)line.unsignedInteger("b"); }),
+              "line 7 (NAME), field b: not a non-negative integer: \"-1\"");
+    EXPECT_EQ(errorOf([&] { (void)line.number("a", 0); }), "line 7 (NAME), field a: not a number: \"x\"");
+    EXPECT_EQ(errorOf([&] { (void)line.flag("c"); }), "line 7 (NAME), field c: not 0 or 1: \"2\"");
 }
 
 TEST(WireLine, TextWithoutANameOrWithoutFieldsIsRejected) {
--- a/tests/adapter/wire_settings_test.cpp
+++ b/tests/adapter/wire_settings_test.cpp
@@ -1,4 +1,4 @@
-// The settings in an "UP" line.
+// Tests the settings that are read from an "UP" line.
 #include "wire_settings.h"
 
 #include <gtest/gtest.h>
@@ -59,11 +59,11 @@
 }
 
 TEST(WireSettings, AnErrorNamesThePath) {
-    EXPECT_EQ(errorOf("obligations.askEveryUs=x"), "obligations.askEveryUs: not a number");
-    EXPECT_EQ(errorOf("allowed.cancel=maybe"), "allowed.cancel: not true or false");
-    EXPECT_EQ(errorOf("classes.count=1 classes.0.effect=odd"), "classes.0.effect: unknown effect");
-    EXPECT_EQ(errorOf("classes.count=1 classes.0.keyScope=odd"), "classes.0.keyScope: unknown scope");
-    EXPECT_EQ(errorOf("classes.count=10001"), "classes.count: too many");
+    EXPECT_EQ(errorOf("obligations.askEveryUs=x"), "obligations.askEveryUs: not a number: \"x\"");
+    EXPECT_EQ(errorOf("allowed.cancel=maybe"), "allowed.cancel: not true or false: \"maybe\"");
+    EXPECT_EQ(errorOf("classes.count=1 classes.0.effect=odd"), "classes.0.effect: unknown effect \"odd\"");
+    EXPECT_EQ(errorOf("classes.count=1 classes.0.keyScope=odd"), "classes.0.keyScope: unknown scope \"odd\"");
+    EXPECT_EQ(errorOf("classes.count=10001"), "classes.count: 10001 is more than 10000");
 }
 
 }  // namespace
--- a/tests/policy/gossip_test.cpp
+++ b/tests/policy/gossip_test.cpp
@@ -1,5 +1,5 @@
-// Specifies what a hundred hosts that each see little learn of each other: the bytes that it costs, how full
-// a node may get, and how much a starting node is sent. Messages between the hosts arrive after 10 ms.
+// Tests gossip between a hundred hosts that each receive few requests: the bytes that are sent, how many
+// requests a slow node gets, and how many units a node in slow start gets. A message takes 10 ms.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr int kHosts = 100;
-constexpr Micros kDelay = 10 * kMs;
+constexpr Micros kMessageDelay = 10 * kMs;
 
-// A hundred hosts and the messages between them. Answers are given by the test.
+// A hundred hosts and the messages between them. The test plays the nodes.
 struct Fleet {
     explicit Fleet(bool joined = true) : joined(joined) {
         for (int i = 0; i < kHosts; ++i) {
@@ -29,7 +29,7 @@
         for (const auto& message : only<SendPeerMessage>(actions)) {
             bytes += message.bytes.size() * std::size_t(message.to.isEveryPeer() ? kHosts - 1 : 1);
             largest = std::max(largest, message.bytes.size());
-            if (joined) wire.push_back({now + kDelay, i, message});
+            if (joined) wire.push_back({now + kMessageDelay, i, message});
         }
         rejected += only<RejectRequest>(actions).size();
         return only<ForwardRequest>(actions);
@@ -46,7 +46,7 @@
                             give(to, {PeerMessageReceived{HostIndex(m.from), m.message.bytes}}).size();
             for (int i = 0; i < kHosts; ++i)
                 for (const auto& s : take(i, hosts[std::size_t(i)]->runTo(now)))
-                    later.emplace_back(i, s), ++sentLater;
+                    sentInRun.emplace_back(i, s), ++sentLater;
         }
     }
     struct Message {
@@ -60,20 +60,21 @@
     RequestId lastId = 0;
     std::vector<std::unique_ptr<Host>> hosts;
     std::vector<Message> wire;
-    std::vector<std::pair<int, ForwardRequest>> later;  // sent while time passed
+    std::vector<std::pair<int, ForwardRequest>> sentInRun;  // by host, sent during runTo()
 };
 
 TEST(Gossip, BytesDependOnRequestsAndNotOnHosts) {
     Fleet f;
-    f.runTo(kStart + 2500 * kMs);  // all have started and none waits for another any more
+    f.runTo(kStart + 2500 * kMs);  // the exchange of messages after the start is over
     const auto atStart = f.bytes;
-    EXPECT_LE(atStart, std::size_t(kHosts * kHosts * 40));  // once around for a start, not again and again
+    // One exchange per pair of hosts at the start, not repeated.
+    EXPECT_LE(atStart, std::size_t(kHosts * kHosts * 40));
     f.runTo(f.now + kSecond);
-    EXPECT_EQ(f.bytes, atStart);  // idle hosts are silent
+    EXPECT_EQ(f.bytes, atStart);  // idle hosts send nothing
     for (int second = 0; second < 3; ++second) {
         for (int i = 0; i < kHosts; ++i) {
             auto r = request(++f.lastId, 0, i % 2, f.now, 2, i % 2, 5);
-            r.volume = "vol-" + std::to_string(i % 20);  // of five hosts each
+            r.volume = "vol-" + std::to_string(i % 20);  // each volume is used through five hosts
             const auto sends = f.give(i, {r});
             f.runTo(f.now + 10 * kMs);
             for (const auto& s : sends)
@@ -85,8 +86,9 @@
     EXPECT_LE(f.largest, 256u);
 }
 
-// Ten hosts with one request out at a node each and late answers: an eleventh learns of it before it sends.
-std::size_t sentInto(bool joined) {
+// In four rounds, forty hosts have one request each for a node that responds in 450 ms.
+// \return how many of another forty requests, one per host, are then sent to the node at once
+std::size_t sentToSlowNode(bool joined) {
     Fleet f(joined);
     f.runTo(kStart + 100 * kMs);
     std::vector<std::pair<int, ForwardRequest>> out;
@@ -100,23 +102,23 @@
             f.give(i, {ended(s.id, 0, s.node, Outcome::Ok, 450 * kMs)});
         f.runTo(f.now + 50 * kMs);
     }
-    // Hosts that have asked for the node once, long ago in their own eyes, and have no answer of their own.
     std::size_t sent = 0;
     for (int i = 0; i < 40; ++i)
         sent += f.give(i, {request(++f.lastId, 0, 1, f.now)}).size();
     return sent;
 }
 
-TEST(Gossip, WaitsAreSharedSoThatAHundredHostsDoNotFillOneNode) {
-    EXPECT_GT(sentInto(false), 20u);  // without messages each one sends: the test can fail
-    EXPECT_LT(sentInto(true), 20u);
+TEST(Gossip, SharedWaitsKeepAHundredHostsFromOverloadingASlowNode) {
+    EXPECT_GT(sentToSlowNode(false), 20u);  // without gossip most hosts send, so the test can fail
+    EXPECT_LT(sentToSlowNode(true), 20u);
 }
 
-// Units that a hundred hosts, all but one with little to send, push to a silent node in 4 s after its start.
+// Units that a hundred hosts send to a node in the 4 s after its start, during which it does not respond.
+// Host 0 has as many requests as all the others together.
 double unitsToSilentStartingNode(bool joined) {
     Fleet f(joined);
     f.runTo(kStart + 100 * kMs);
-    for (int k = 0; k < 2 * kHosts; ++k) {  // before it died they had all used it, a little each
+    for (int k = 0; k < 2 * kHosts; ++k) {  // before the restart, every host uses the node a little
         const int i = k % kHosts;
         for (const auto& s : f.give(i, {request(++f.lastId, 2, 1, f.now)}))
             f.give(i, {ended(s.id, 0, s.node, Outcome::Ok, 10 * kMs)});
@@ -127,7 +129,7 @@
     std::size_t sent = 0;
     for (int step = 0; step < 2 * kHosts; ++step) {
         const auto before = f.sentLater;
-        const int host = step % 2 ? step / 2 : 0;  // one has as much as all others together
+        const int host = step % 2 ? step / 2 : 0;  // every other request comes through host 0
         sent += f.give(host, {request(++f.lastId, 2, 1, f.now)}).size();
         f.runTo(f.now + 20 * kMs);
         sent += f.sentLater - before;
@@ -135,16 +137,16 @@
     return double(sent) * 2;
 }
 
-TEST(Gossip, AStartingNodeIsNeitherOverloadedNorIdle) {
+TEST(Gossip, ANodeInSlowStartIsNeitherOverloadedNorIdle) {
     const auto s = settings(0, kHosts);
-    const double pushed = unitsToSilentStartingNode(true);
-    EXPECT_LE(pushed, 2 * s.slowStartUnits * s.slowStartOverloadFactor);  // two spans
-    EXPECT_GT(pushed, 0);
+    const double sent = unitsToSilentStartingNode(true);
+    EXPECT_LE(sent, 2 * s.slowStartUnits * s.slowStartOverloadFactor);  // 4 s are two windows
+    EXPECT_GT(sent, 0);
 }
 
-// A node answers in 30 ms; once it pauses and one answer takes 280 ms, with forty more out: is that taken for
-// its pace?
-TEST(Gossip, OnePauseOfANodeIsNotTakenForItsPace) {
+// A node responds in 30 ms. During a single pause, with forty attempts outstanding, one response takes 280
+// ms: the hosts must not take that for the node's usual latency.
+TEST(Gossip, ASinglePauseOfANodeIsNotTakenForItsLatency) {
     Fleet f;
     f.runTo(kStart + 100 * kMs);
     for (int round = 0; round < 20; ++round) {
@@ -171,14 +173,15 @@
     EXPECT_GE(sent, 9u);
 }
 
-// A node is restarted; each of a hundred hosts has a request for it every 5 s. It can do slowStartUnits a
-// span at first, or so many times as much, and four times that when it is warm; what it is sent beyond that
-// waits there.
-double unitsToStartingNode(Micros usedFor, double times = 1) {
+// A node is restarted after `usedFor`; each of a hundred hosts has a request for it every 5 s. After the
+// restart it completes `strength` * slowStartUnits per window, growing to four times that by the end of slow
+// start; requests beyond that queue at the node. Checks that no window overloads the node.
+// \return units that it is sent during slow start
+double unitsToStartingNode(Micros usedFor, double strength = 1) {
     Fleet f;
     const auto s = settings(0, kHosts);
-    const auto capacity = [&](Micros age) {  // units in a span
-        return times * s.slowStartUnits *
+    const auto capacity = [&](Micros age) {  // units per window
+        return strength * s.slowStartUnits *
                (1 + 3 * std::min(1.0, double(age) / double(s.slowStartDurationUs)));
     };
     struct Work {
@@ -188,18 +191,19 @@
     };
     std::vector<Work> work;
     std::vector<Micros> sentAt;
-    const Micros begun = f.now, restarted = begun + usedFor;
+    const Micros restarted = f.now + usedFor;
     Micros freeAt = 0;
     for (int step = 0; f.now < restarted + s.slowStartDurationUs; ++step) {
         if (f.now == restarted)
             for (int i = 0; i < kHosts; ++i)
                 f.give(i, {nodes({node("a", 0, NodeState::Ready, restarted)}, EndpointListKind::Delta)});
-        if (step % 5 == 0)  // twenty requests a second, each host in its turn
+        if (step % 5 == 0)  // twenty requests per second, round-robin over the hosts
             for (const auto& send : f.give(step / 5 % kHosts, {request(++f.lastId, 0, 1, f.now)}))
-                f.later.emplace_back(step / 5 % kHosts, send);
-        for (const auto& [host, send] : std::exchange(f.later, {})) {
-            const double pace = f.now < restarted ? 100 : capacity(f.now - restarted) / 2;  // units a second
-            freeAt = std::max(freeAt, f.now) + Micros(2e6 / pace);
+                f.sentInRun.emplace_back(step / 5 % kHosts, send);
+        for (const auto& [host, send] : std::exchange(f.sentInRun, {})) {
+            // Units per second.
+            const double rate = f.now < restarted ? 100 : capacity(f.now - restarted) / 2;
+            freeAt = std::max(freeAt, f.now) + Micros(2e6 / rate);
             work.push_back({f.now, freeAt, host, send});
             if (f.now >= restarted) sentAt.push_back(f.now);
         }
@@ -220,20 +224,20 @@
     return 2.0 * double(sentAt.size());
 }
 
-TEST(Gossip, AStartingNodeIsUsedBySparseHostsAsItsCapacityGrows) {
+TEST(Gossip, HostsWithFewRequestsUseANodeInSlowStartAsItsCapacityGrows) {
     EXPECT_GE(unitsToStartingNode(6 * kSecond),
-              100);  // it can do 150 in that time; by turns that did not grow it got none
+              100);  // of 150 that it can complete; hosts taking turns on a fixed budget sent none
 }
 
-// slowStartUnits is what the weakest node bears: a stronger one shows it in what it answers all hosts, of
-// which each alone sees next to nothing. It is asked for 400 in that time and can do nearly all; by what each
-// host saw it got 232.
-TEST(Gossip, AStrongStartingNodeIsUsedByWhatItCompletesForAllHosts) {
+// slowStartUnits is the capacity of the weakest node. A stronger one shows only in the units that it
+// completes for all hosts together, of which each host sees almost none. It is asked for 400 units and can
+// complete nearly all; when each host counted only its own completed units, it was sent 232.
+TEST(Gossip, AStrongNodeInSlowStartIsUsedByWhatItCompletesForAllHosts) {
     EXPECT_GE(unitsToStartingNode(6 * kSecond, 4), 265);
 }
 
-// What the node before it still answers while it drains says nothing of a successor in the same cell.
-TEST(Gossip, AStartingSuccessorIsNotJudgedByWhatTheDrainingNodeCompletes) {
+// What a draining node still completes must not raise the budget of its successor in the same cell.
+TEST(Gossip, UnitsOfADrainingNodeDoNotCountForItsSuccessorInSlowStart) {
     Fleet f;
     const auto s = settings(0, kHosts);
     f.runTo(kStart + 100 * kMs);
@@ -250,7 +254,7 @@
         f.give(i, {ended(send.id, 0, "a", Outcome::Ok, 150 * kMs)});
     EXPECT_GE(out.size(), 50u);
     std::size_t sent = 0;
-    for (int step = 0; step < 2 * kHosts; ++step) {  // c is silent
+    for (int step = 0; step < 2 * kHosts; ++step) {  // c does not respond
         const auto before = f.sentLater;
         sent += f.give(step % kHosts, {request(++f.lastId, 2, 1, f.now)}).size();
         f.runTo(f.now + 10 * kMs);
@@ -259,18 +263,18 @@
     const double grown =
         1 + (1 / s.slowStartCapacity - 1) * double(s.slowStartWindowUs) / double(s.slowStartDurationUs);
     EXPECT_LE(2.0 * double(sent),
-              s.slowStartUnits * s.slowStartOverloadFactor * grown);  // of the weakest node, over one span
+              s.slowStartUnits * s.slowStartOverloadFactor * grown);  // of the weakest node, over one window
 }
 
-TEST(Gossip, AHostThatKnowsNoOthersLeavesThemCapacityOfAStartingNode) {
-    EXPECT_GE(unitsToStartingNode(kSecond), 50);  // most hosts first ask for the node when it is starting
+TEST(Gossip, AHostThatKnowsNoPeersLeavesThemCapacityOfANodeInSlowStart) {
+    EXPECT_GE(unitsToStartingNode(kSecond), 50);  // most hosts first use the node during its slow start
 }
 
-TEST(Gossip, AnyHostCellAndKeyInAMessageIsHarmless) {
+TEST(Gossip, WellFormedMessagesWithRandomFieldsAreHarmless) {
     Fleet f;
     f.runTo(kStart + 50 * kMs);
     std::mt19937_64 random(11);
-    for (int n = 0; n < 4000; ++n) {  // well formed, with absurd contents
+    for (int n = 0; n < 4000; ++n) {  // well formed, with random fields and sender
         std::string m(1, char(0xA9));
         for (int i = 0; i < 4; ++i)
             m += char(random());
--- a/tests/policy/index_test.cpp
+++ b/tests/policy/index_test.cpp
@@ -1,4 +1,4 @@
-// The index types of the interface: what names nothing, comparison, positions, and the stored bytes.
+// Tests the index types of the interface: the value for nothing, comparison, positions, and the stored bytes.
 #include "wingproxy/index.h"
 
 #include <gtest/gtest.h>
@@ -84,8 +84,8 @@
     EXPECT_EQ(AttemptIndex(4).next(), AttemptIndex(5));
 }
 
-// Snapshots were written with plain numbers, and processes of both versions read each other's.
-TEST(Index, IsStoredAsThePlainNumberWas) {
+// Earlier versions store plain integers, and both versions read each other's snapshots.
+TEST(Index, IsStoredAsAPlainInteger) {
     EXPECT_EQ(stored(HostIndex(7)), stored(7));
     EXPECT_EQ(stored(HostIndex()), stored(-1));
     EXPECT_EQ(stored(std::vector<HostIndex>{HostIndex(1), HostIndex()}), stored(std::vector<int>{1, -1}));
--- a/tests/policy/peer_message_test.cpp
+++ b/tests/policy/peer_message_test.cpp
@@ -1,4 +1,4 @@
-// Specifies the bytes of messages between hosts, and which messages are not read.
+// Tests the encoding of messages between hosts, and which messages are rejected.
 #include "policy/peer_message.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
     return std::get<T>(message->records.at(0));
 }
 
-TEST(PeerMessage, EveryKindOfRecordIsReadAsItWasWritten) {
+TEST(PeerMessage, EveryKindOfRecordIsDecodedAsEncoded) {
     const auto report = decoded(UsageReport{7, true, {160}, {30}, 3, 10});
     EXPECT_EQ(report.key, 7u);
     EXPECT_TRUE(report.joins);
@@ -47,7 +47,7 @@
     EXPECT_EQ(decoded(LeaseReturn{5, 2, 3}).chunks, 2);
 }
 
-TEST(PeerMessage, AMessageThatIsCutForeignOrOfAnUnknownKindIsNotRead) {
+TEST(PeerMessage, TruncatedForeignAndUnknownMessagesAreRejected) {
     const std::string message = messageOf(LeaseRequest{5, 7, 1});
     EXPECT_EQ(message.size(), header(kIncarnation).size() + LeaseRequest::kEncodedBytes);
     for (std::size_t size = 0; size < message.size(); ++size)
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -1,4 +1,4 @@
-// Specifies what holds for all events: late ones are ignored, and the same events give the same actions.
+// Tests properties of all events: late ones are ignored, and the same events produce the same actions.
 #include <gtest/gtest.h>
 
 #include "policy/policy_test_support.h"
