--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -43,8 +43,9 @@
     if (observation.outstanding != usage.reportedOutstanding()) return age >= kOutstandingReportInterval;
     if (age < kReportInterval) return false;
     const double reported = usage.reported().rate(context_.now, kUsageTimeConstant);
-    const double step = kMinChangeRequests * context_.settings.meanUnits * 1e6 / double(kUsageTimeConstant);
-    return std::abs(usage_.ownRate(usage) - reported) >= changeThreshold(reported, step) ||
+    const double minChange =
+        kMinChangeRequests * context_.settings.meanUnits * 1e6 / double(kUsageTimeConstant);
+    return std::abs(usage_.ownRate(usage) - reported) >= changeThreshold(reported, minChange) ||
            observation.waitUs > significantWait();
 }
 
@@ -63,7 +64,7 @@
     KeyAggregate& aggregate = aggregates_[report.key];
     const bool isNew = aggregate.record(from, report.rate.value(), report.outstanding, context_.now);
     aggregate.recordSlowStart(report.slowStartUnits, context_.now, kRateTimeConstant);
-    if (report.joins && aggregate.join(from)) introduce(report.key, aggregate, from);
+    if (report.joins && aggregate.join(from)) announceMember(report.key, aggregate, from);
     if (report.wait.code > 0)
         aggregate.recordWait(report.wait.us(), totalsOf(aggregate).outstanding, kWaitSmoothing);
     if (isNew) sendAggregate(report.key, aggregate, totalsOf(aggregate), from);
--- a/src/policy/gossip.h
+++ b/src/policy/gossip.h
@@ -44,10 +44,10 @@
     /// As the rendezvous host: sends the aggregates that changed, and the others again at a longer interval.
     void sendChangedAggregates();
 
-    /// As the rendezvous host: updates the aggregate of a key. \param from the host that sent the report
+    /// As the rendezvous host: updates the aggregate of a key.
+    /// \param from the host that sent the report
     void handle(HostIndex from, const peer::UsageReport& report);
-    /// The rendezvous host of a key sent the demand of the other hosts and how long requests wait in the
-    /// cell.
+    /// The rendezvous host of a key sent the demand of the other hosts and the wait in the cell.
     void handle(HostIndex /*from*/, const peer::UsageAggregate& aggregate) {
         KeyUsage* const usage = usage_.find(aggregate.key);
         if (!usage) return;
@@ -93,10 +93,10 @@
         else
             outbox_.send(to, message);
     }
-    void introduce(std::uint32_t key, const KeyAggregate& aggregate, HostIndex newcomer) {
+    void announceMember(std::uint32_t key, const KeyAggregate& aggregate, HostIndex newMember) {
         for (const HostIndex other : aggregate.joined()) {
-            send(newcomer, peer::MembershipNotice{key, other});
-            send(other, peer::MembershipNotice{key, newcomer});
+            send(newMember, peer::MembershipNotice{key, other});
+            send(other, peer::MembershipNotice{key, newMember});
         }
     }
     void sendAggregate(std::uint32_t key, const KeyAggregate& aggregate, const UsageTotals& totals,
