--- a/src/policy/gossip.h
+++ b/src/policy/gossip.h
@@ -56,7 +56,7 @@
         if (usage->cell().isSet() && aggregate.wait.code > 0)
             cluster_.onWaitReported(usage->cell(), aggregate.wait.us());
     }
-    /// The rendezvous host of a key named another host that uses it. Numbers of no peer are ignored.
+    /// The rendezvous host of a key named another host that uses it. Host indices of no peer are ignored.
     void handle(HostIndex /*from*/, const peer::MembershipNotice& notice) {
         KeyUsage* const usage = usage_.find(notice.key);
         const Settings& settings = context_.settings;
--- a/src/policy/peer_message.h
+++ b/src/policy/peer_message.h
@@ -74,10 +74,10 @@
 /// Sent to the rendezvous host of a key: the demand for the key through the sender.
 struct UsageReport {
     std::uint32_t key = 0;
-    bool joins = false;            ///< the sender wants to know the other hosts of the key
-    FixedPoint rate;               ///< units per second
-    EncodedWait wait;              ///< of the last response, without the time its size takes; 0: no response
-    std::uint8_t outstanding = 0;  ///< outstanding attempts
+    bool joins = false;               ///< the sender wants to know the other hosts of the key
+    FixedPoint rate;                  ///< units per second
+    EncodedWait wait;                 ///< of the last response, beyond the time for its size; 0: no response
+    std::uint8_t outstanding = 0;     ///< outstanding attempts
     std::uint8_t slowStartUnits = 0;  ///< completed by nodes in slow start since the last report
 };
 /// Sent by the rendezvous host: the demand for the key through all other hosts.
@@ -123,8 +123,7 @@
     LeaseRequest,
     LeaseGrant,
     LeaseReturn,
-    OldHello,    ///< sent by versions without `fleet::RestartRecovery`, which may run during an upgrade:
-                 ///< skipped
+    OldHello,    ///< of versions without `fleet::RestartRecovery`, which may run in an upgrade: skipped
     OldWelcome,  ///< likewise
     Join,
     UsageAggregate,
--- a/src/policy/policy_impl.h
+++ b/src/policy/policy_impl.h
@@ -25,7 +25,7 @@
     // -- events; see wingproxy/policy.h
     /// Updates the nodes. Requests of any cell may be sendable afterwards.
     void handle(const EndpointListReceived& event);
-    /// Classifies the request, queues it, and sends it at once if that is allowed.
+    /// Classifies the request, queues it, and sends it at once if it may be sent.
     void handle(const RequestReceived& event);
     /// From now on the request's attempts hold slots at their nodes, and its latency objective counts.
     void handle(const RequestBodyCompleted& event);
