--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::string_view kContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 
-// Empty lines behind a body are a habit of old clients, and no request.
+// Some old clients send an empty line after a body (RFC 9112, 2.2): it is not a pipelined request.
 bool hasOnlyLineEnds(const net::RingBuffer& in) {
     const auto parts = in.newest(in.size());
     return std::all_of(parts.begin(), parts.end(), [](std::string_view part) {
@@ -58,7 +58,7 @@
     }
     if (readDrainedSocket_) responseDeadline_.onSocketDrained(context_.engine().now());
     if (phase_ == Phase::SendingResponse) {
-        in_.clear();  // the response did not wait for the rest of the body
+        in_.clear();  // the response was sent before the body was complete: the rest is discarded
     } else if (onBody_) {
         const auto onBody = std::exchange(onBody_, nullptr);
         onBody();
@@ -75,7 +75,7 @@
 }
 
 void ClientConnection::onOutputSent() {
-    if (phase_ != Phase::SendingResponse || isStreaming()) return;  // that was "100 Continue", or a piece
+    if (phase_ != Phase::SendingResponse || isStreaming()) return;  // "100 Continue" or a part was sent
     if (!keepAlive_) {
         if (bodyIncomplete_) return startLingeringClose(kUnreadBodyLinger);
         return startLingeringClose();
@@ -101,13 +101,13 @@
         case RequestProgress::Complete:
             return dispatch(std::nullopt);
         case RequestProgress::Streaming:
-            return dispatch(reader_.streamed());
+            return dispatch(reader_.streamedFraming());
         case RequestProgress::Invalid:
             return reject(rejectUnreadable(error));
     }
 }
 
-// The checks that need no complete body; false: the request was rejected.
+// Runs the checks that do not need the body. Returns false if the request was rejected.
 bool ClientConnection::acceptHead() {
     const auto& head = reader_.head();
     isHttp10_ = head.version() < 11;
@@ -117,12 +117,12 @@
     }
     const bool isLong = reader_.announcesLongBody();
     if (!isLong && !reader_.reserveBody(context_.engine().bodyBudget())) {
-        reject(rejectForMemory(context_.engine().settings()));
+        reject(rejectBeyondMemoryBudget(context_.engine().settings()));
         return false;
     }
     expectsContinue_ =
         !reader_.isComplete() && beast::iequals(head[beast::http::field::expect], "100-continue");
-    // The client sends a long body only when a node is ready to take it.
+    // For a long body, 100 Continue is sent only when a node connection is ready to receive it.
     if (!isLong) sendContinue();
     return true;
 }
@@ -131,7 +131,7 @@
     if (std::exchange(expectsContinue_, false)) send(std::string(kContinueResponse));
 }
 
-// The request is complete, or it is streamed from here on.
+// Called when the request is complete, or when its body has to be streamed.
 void ClientConnection::dispatch(std::optional<BodyFraming> streamed) {
     auto message = std::make_shared<RequestMessage>(RequestHead(reader_.head()));
     hasSentRequest_ = true;
@@ -177,9 +177,9 @@
     boost::system::error_code error;
     const auto count = reader_.consumeBody(to, capacity, error);
     if (wasBuffered) return count;
-    const bool stuck = count == 0 && in_.freeSpace() == 0 && !reader_.isComplete();
-    if (error || stuck) {
-        // Not from within: the attempt that consumes the body ends with the request.
+    const bool isChunkHeaderTooLong = count == 0 && in_.freeSpace() == 0 && !reader_.isComplete();
+    if (error || isChunkHeaderTooLong) {
+        // Posted, as rejecting the request ends the attempt that is calling this function.
         boost::asio::post(sessionManager_.io(), [self = net::sharedFrom(this)] { self->onBodyUnreadable(); });
         return 0;
     }
@@ -200,12 +200,12 @@
     reject(rejectUnreadableBody());
 }
 
-// Pipelining is not served: a client that sends more may be gone before its turn comes, and a full receive
-// buffer would hide that. What comes is dropped, and the response closes the connection.
+// Pipelining is not supported: a full receive buffer would hide that a client has disconnected while its
+// later requests wait. Pipelined bytes are discarded, and the current response closes the connection.
 void ClientConnection::discardPipelined() {
-    const bool isHarmless = hasOnlyLineEnds(in_);
+    const bool onlyLineEnds = hasOnlyLineEnds(in_);
     in_.clear();
-    if (isHarmless || hasPipelined_) return;
+    if (onlyLineEnds || hasPipelined_) return;
     hasPipelined_ = true;
     ++context_.counters().pipelined;
     keepAlive_ = false;
@@ -270,11 +270,11 @@
     stream_->end();
     ++context_.counters().ok;
     clearOutputSource();
-    if (!stream_->trailer().empty()) send(std::string(stream_->trailer()));
+    if (!stream_->terminator().empty()) send(std::string(stream_->terminator()));
 }
 
-// The client has to see that the response is truncated: by its length, by the missing last chunk, or by a
-// reset.
+// Lets the client detect that the response is truncated: by its length, by the missing last chunk, or, where
+// the body ends with the connection, by a reset.
 void ClientConnection::abortStreaming() {
     stream_->end();
     ++context_.counters().failed;
@@ -328,12 +328,14 @@
             reject(rejectOverdueRequest());
         return;
     }
-    if (unreadBytes() > 0 || activity_.phaseAge() <= idleTimeout(hasSentRequest_, isCrowded())) return;
+    if (unreadBytes() > 0 || activity_.phaseAge() <= idleTimeout(hasSentRequest_, isKeepAliveShortened()))
+        return;
     ++context_.counters().silent;
     startLingeringClose();
 }
 
-// The request is the engine's to end, but for a client that stopped sending its body.
+// The engine enforces the deadline of a submitted request; here only a client that stopped sending its body
+// times out. While the receive buffer is full, the client is not the one that stalls.
 void ClientConnection::enforceBodyTimeout() {
     if (!bodyIncomplete_ || in_.freeSpace() == 0 || activity_.sinceLastByte() < kStalledClientTimeout) return;
     context_.engine().clientDisconnected(requestId_);
@@ -347,16 +349,16 @@
     close();
 }
 
-// While the program stops no new connection could be opened, so that none is closed for being one of many.
-bool ClientConnection::isCrowded() const {
+// During a shutdown a client cannot open a new connection, so none is closed to save connections.
+bool ClientConnection::isKeepAliveShortened() const {
     return !context_.hasResponseDeadline() &&
-           http::isCrowded(sessionManager_.activeConnections(), sessionManager_.capacity());
+           http::isKeepAliveShortened(sessionManager_.activeConnections(), sessionManager_.capacity());
 }
 
 bool ClientConnection::closesAfterResponse() const {
     if (context_.isDraining()) return true;
     return !context_.hasResponseDeadline() &&
-           isHalfFull(sessionManager_.activeConnections(), sessionManager_.capacity());
+           isKeepAliveDisabled(sessionManager_.activeConnections(), sessionManager_.capacity());
 }
 
 }  // namespace wingproxy::http
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -26,8 +26,8 @@
 /// | phase | entered by | ends with |
 /// | --- | --- | --- |
 /// | ReceivingRequest | connecting, or a sent response | a complete head, or an error |
-/// | AwaitingResponse | a valid request | a response, or the client's leaving |
-/// | SendingResponse | the first byte of a response | its last byte: the next request, or the close |
+/// | AwaitingResponse | a valid request | a response, or the client's disconnect |
+/// | SendingResponse | the first byte of a response | its last byte, then the next request or the close |
 class ClientConnection : public net::Session, public ClientStream {
 public:
     /// \param context has to outlive the connection
@@ -35,11 +35,11 @@
                      boost::asio::ip::tcp::socket socket);
 
     bool isIdle() const override;
-    /// First a connection that never sent a request, unless it is new; then one that did; then one with a
-    /// partial request.
+    /// Evicted first: connections that never sent a request and are older than `kPartialRequestIdle`; then
+    /// those that sent one; then those with a partial request; last, new connections without a request.
     int evictionPriority() const override;
     void enforceTimeouts() override;
-    /// A request of which a part has arrived is rejected, as its rest would be lost.
+    /// Rejects a partly received request, as its remainder would be lost.
     void closeGracefully() override;
     void evict() override;
 
@@ -81,11 +81,11 @@
     bool isStreaming() const { return stream_ && stream_->isActive(); }
     void abortStreaming();
 
-    // Limits of time and connections.
+    // Timeouts and connection limits.
     void enforceBodyTimeout();
     void enforceSendTimeout();
     void enforceRequestTimeouts();
-    bool isCrowded() const;
+    bool isKeepAliveShortened() const;
     bool closesAfterResponse() const;
 
     FrontContext& context_;
@@ -94,13 +94,13 @@
     RequestId requestId_ = 0;
     bool keepAlive_ = true;
     bool isHttp10_ = false;
-    bool hasSentRequest_ = false;   // any, complete with its head
-    bool hasPipelined_ = false;     // a second request came before the first one's response
-    bool expectsContinue_ = false;  // the client sends the body after "100 Continue"
-    bool bodyIncomplete_ = false;   // the engine has the request, and its body is still being received
-    std::optional<StreamedResponse> stream_;  // from its beginning to the next request
+    bool hasSentRequest_ = false;   // the client has sent at least one complete head
+    bool hasPipelined_ = false;     // a request arrived before the response to the previous one
+    bool expectsContinue_ = false;  // the client waits for "100 Continue" before it sends the body
+    bool bodyIncomplete_ = false;   // the request is submitted, and its body is still being received
+    std::optional<StreamedResponse> stream_;  // set from the response head until the next request
     ConnectionActivity activity_;
-    ResponseDeadline responseDeadline_;  // of the request that awaits its response
+    ResponseDeadline responseDeadline_;  // of the request in phase AwaitingResponse
     std::function<void()> onBody_;
     net::ByteBudget::Reservation responseReservation_;
 };
--- a/src/http/client_limits.cpp
+++ b/src/http/client_limits.cpp
@@ -9,13 +9,13 @@
 constexpr std::chrono::seconds kKeepAliveTimeout{60};
 constexpr std::chrono::milliseconds kHeadTimeout{2'700};
 constexpr std::size_t kMinBodyBytesPerSecond = std::size_t{16} * 1024;
-constexpr std::size_t kReservedDivisor = 3;
-constexpr std::size_t kMinReserved = 4;
+constexpr std::size_t kReservedConnectionsDivisor = 3;
+constexpr std::size_t kMinReservedConnections = 4;
 
 }  // namespace
 
-std::chrono::seconds idleTimeout(bool hasSentRequest, bool crowded) {
-    return hasSentRequest && !crowded ? kKeepAliveTimeout : kFirstRequestTimeout;
+std::chrono::seconds idleTimeout(bool hasSentRequest, bool shortened) {
+    return hasSentRequest && !shortened ? kKeepAliveTimeout : kFirstRequestTimeout;
 }
 
 bool isRequestOverdue(std::chrono::steady_clock::duration age,
@@ -25,7 +25,7 @@
 }
 
 std::size_t reservedConnections(std::size_t connections) {
-    return std::max(connections / kReservedDivisor, kMinReserved);
+    return std::max(connections / kReservedConnectionsDivisor, kMinReservedConnections);
 }
 
 }  // namespace wingproxy::http
--- a/src/http/connection_activity.h
+++ b/src/http/connection_activity.h
@@ -1,33 +1,33 @@
 /// \file
-/// How long a client connection has been in its phase, and how long its client has sent nothing.
+/// Tracks the age of a client connection's phase and the time since the client's last byte.
 #pragma once
 
 #include <chrono>
 
 namespace wingproxy::http {
 
-/// Two timestamps of the steady clock, from which the timeouts of a connection are derived. A value without a
-/// timer.
+/// Two timestamps of the steady clock, from which the timeouts of a connection are derived. A plain value: it
+/// starts no timer.
 class ConnectionActivity {
 public:
-    /// Steady, as the timeouts must not follow changes of the system's time.
+    /// Steady, so that changes of the system time do not affect the timeouts.
     using Clock = std::chrono::steady_clock;
 
-    /// A phase begins now, or was extended by progress in it.
+    /// Restarts the phase's age: a phase begins, or progress in it extends its timeout.
     void startPhase() { phaseStartedAt_ = Clock::now(); }
-    /// The connection waits for a request from now on.
+    /// Called when the connection starts to wait for a request.
     void startAwaitingRequest() {
         startPhase();
         lastReceivedAt_ = phaseStartedAt_;
     }
-    /// Bytes came from the client.
+    /// Called when bytes arrive from the client.
     void onReceived() { lastReceivedAt_ = Clock::now(); }
-    /// The bytes that came last are the first ones of a request, with which its timeout begins.
+    /// Called when the latest bytes are the first of a request: its timeout starts with them.
     void startRequest() { phaseStartedAt_ = lastReceivedAt_; }
 
     /// Time since the phase began.
     Clock::duration phaseAge() const { return Clock::now() - phaseStartedAt_; }
-    /// Time since the client's last byte, or since the connection waits for a request.
+    /// Time since the client's last byte, or since the connection started to wait for a request.
     Clock::duration sinceLastByte() const { return Clock::now() - lastReceivedAt_; }
 
 private:
--- a/src/http/field_values.h
+++ b/src/http/field_values.h
@@ -1,5 +1,5 @@
 /// \file
-/// Parsing of header field values, the same for requests and node responses. Stateless.
+/// Parses header field values of requests and node responses. Stateless.
 #pragma once
 
 #include <charconv>
@@ -11,16 +11,16 @@
 
 namespace wingproxy::http {
 
-/// A view of `text`, which is any string view type (Boost's is not the standard's).
+/// Converts any string view type to the standard's, such as Boost's, which is a type of its own.
 template <typename View>
 std::string_view toStringView(const View& text) {
     return {text.data(), text.size()};
 }
 
-/// `text` without leading and trailing spaces and tabs.
+/// Removes leading and trailing spaces and tabs.
 std::string_view trimWhitespace(std::string_view text);
 
-/// A finite decimal number that spans the whole of `text`, otherwise nothing.
+/// Parses `text` as a finite decimal number; nothing if any part of it is not one.
 template <typename Number>
 std::optional<Number> parseNumber(std::string_view text) {
     Number value{};
@@ -35,7 +35,7 @@
 /// Whether `text` is an identifier of 16 hexadecimal digits.
 bool isHex16(std::string_view text);
 
-/// The value of the first parameter `name` in a list "name=value<separator>name=value", if it is there.
+/// Finds the value of the first parameter `name` in a list "name=value<separator>name=value".
 std::optional<std::string_view> findParameter(std::string_view list, char separator, std::string_view name);
 
 }  // namespace wingproxy::http
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -1,5 +1,5 @@
 /// \file
-/// The platform's HTTP/1.1 listener: accepts client connections, each with one request at a time.
+/// The platform's HTTP/1.1 listener: accepts client connections, which serve one request at a time.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 
 namespace wingproxy::http {
 
-/// Owns the session manager of the listener and what its connections share.
+/// Owns the listener's session manager and the state that its connections share.
 class Front {
 public:
     /// The counters of this front, for the metrics report.
@@ -19,22 +19,25 @@
 
     /// \param engine, pool have to outlive the front
     /// \param maxClients budget of client connections
-    /// \param ringBytes buffer size of each direction of a connection
+    /// \param ringBytes size of a connection's receive buffer and of its send buffer
     /// \param inheritedListener file descriptor of a listener from another process, or -1 to open one
     Front(net::Engine& engine, net::NodePool& pool, const config::Endpoint& listen, std::size_t maxClients,
           std::size_t ringBytes = net::kMaxRingBytes, int inheritedListener = -1);
 
-    /// From now on every response closes its connection.
+    /// Makes every later response close its connection.
     void startDraining() { context_.startDraining(); }
-    /// No response is later than this, whatever a client allows.
+    /// Limits the deadline of each request that is submitted from now on, or whose streamed body completes
+    /// from now on, to this time, even where the client's own is later.
     /// \param deadline on the engine's clock, in microseconds
     void setResponseDeadline(Micros deadline) { context_.setResponseDeadline(deadline); }
-    /// From now on clients have only the connections that are open: some are kept free for other requests.
+    /// Called when clients can no longer open connections: waiting requests are shed to keep some of the open
+    /// connections free.
     void expectNoNewConnections() { context_.expectNoNewConnections(); }
 
-    /// The Req-Ids that have no response yet, in no order.
+    /// The Req-Ids of open requests, in no particular order.
     std::vector<std::string> openRequestIds() const { return context_.requestIds().list(); }
-    /// Rejects requests with these Req-Ids until then: another process still serves them.
+    /// Rejects requests with these Req-Ids until `until`: another process still serves them.
+    /// \param until on the engine's clock, in microseconds
     void setRequestsOpenElsewhere(const std::vector<std::string>& ids, Micros until);
 
     /// The listener and its connections, for shutdown and metrics. Lives as long as the front.
--- a/src/http/front_context.h
+++ b/src/http/front_context.h
@@ -1,5 +1,5 @@
 /// \file
-/// What all client connections of one front share: its counters, its shutdown state and its open requests.
+/// State shared by all client connections of one front: counters, shutdown state and open requests.
 #pragma once
 
 #include <cstddef>
@@ -12,65 +12,68 @@
 
 namespace wingproxy::http {
 
-/// Counted since the start. The names are those of the counters in the log.
+/// Totals since the start. The field names are those of the counters in the log.
 struct FrontCounters {
-    std::uint64_t requests = 0;     ///< complete heads, without the readiness path
+    std::uint64_t requests = 0;     ///< complete heads, except for the readiness path
     std::uint64_t malformed = 0;    ///< rejected with 400 or 405
     std::uint64_t tooLarge = 0;     ///< rejected with 413 or 431
     std::uint64_t unsupported = 0;  ///< rejected with 501
     std::uint64_t silent = 0;       ///< idle connections that were closed
-    std::uint64_t slow = 0;         ///< requests that were received too slowly: 408
+    std::uint64_t slow = 0;         ///< requests that arrived too slowly: 408
     std::uint64_t unread = 0;       ///< connections whose client did not read its response
-    std::uint64_t repeated = 0;     ///< Req-Ids of open requests: 409
-    std::uint64_t noMemory = 0;     ///< bodies beyond the memory budget: 503
-    std::uint64_t crowded = 0;      ///< times that a waiting request was shed for a free connection
-    std::uint64_t pipelined = 0;    ///< connections with a request behind one that had no response yet
+    std::uint64_t repeated = 0;     ///< requests with the Req-Id of an open one: 409
+    std::uint64_t noMemory = 0;     ///< request bodies beyond the memory budget: 503
+    std::uint64_t crowded = 0;      ///< requests to the engine to shed load, as too few connections were free
+    std::uint64_t pipelined = 0;    ///< connections that sent a request while another was open
     std::uint64_t ok = 0;           ///< responses with 200
     std::uint64_t rejected = 0;     ///< responses with 503
-    std::uint64_t failed = 0;       ///< every other response, and those that were aborted
+    std::uint64_t failed = 0;       ///< all other responses, and aborted ones
 };
 
-/// Shared by the connections of a front, which owns it. It outlives them.
+/// Owned by the front; outlives the connections.
 class FrontContext {
 public:
     /// \param engine, pool have to outlive the context
     FrontContext(net::Engine& engine, net::NodePool& pool) : engine_(engine), pool_(pool) {}
 
-    /// Where requests are submitted.
+    /// The engine to which requests are submitted.
     net::Engine& engine() { return engine_; }
-    /// The connections to nodes, which all attempts share.
+    /// The pool of node connections that all attempts share.
     net::NodePool& pool() { return pool_; }
-    /// The counters, to be raised by the connections.
+    /// The counters, which the connections increment.
     FrontCounters& counters() { return counters_; }
-    /// The counters, to be reported.
+    /// The counters, for reports.
     const FrontCounters& counters() const { return counters_; }
-    /// The ids of open requests, to be kept up to date by the requests.
+    /// The Req-Ids of open requests, which each request adds and removes itself.
     OpenRequestIds& requestIds() { return requestIds_; }
-    /// The ids of open requests.
+    /// The Req-Ids of open requests.
     const OpenRequestIds& requestIds() const { return requestIds_; }
 
-    /// From now on every response closes its connection.
+    /// Makes every later response close its connection.
     void startDraining() { draining_ = true; }
     /// Whether every response closes its connection.
     bool isDraining() const { return draining_; }
 
-    /// No response is later than this, whatever a client allows; set when the program stops.
+    /// Limits the deadline of each request that is submitted from now on, or whose streamed body completes
+    /// from now on, to this time, even where the client's own is later. Set during a shutdown.
     /// \param deadline on the engine's clock, in microseconds
     void setResponseDeadline(Micros deadline) { responseDeadline_ = deadline; }
-    /// The latest time of any response, on the engine's clock; a time that never comes if none is set.
+    /// The time that setResponseDeadline() set, on the engine's clock; the maximum value if none is set.
     Micros responseDeadline() const { return responseDeadline_; }
-    /// Whether the program stops, and with it every connection at that deadline.
+    /// Whether that time has been set, which means that the program is shutting down.
     bool hasResponseDeadline() const { return responseDeadline_ != kNoDeadline; }
 
-    /// From now on clients have only the connections that are open: some are kept free for other requests.
+    /// Called when clients can no longer open connections: waiting requests are shed to keep some of the open
+    /// connections free.
     void expectNoNewConnections() { noNewConnections_ = true; }
 
-    /// A request waits for its response from now on.
+    /// Called when a request starts to wait for its response.
     void onRequestWaiting() { ++waitingRequests_; }
-    /// Its response has begun, or its client is gone.
+    /// Called when its response begins, or when its client disconnects.
     void onRequestNoLongerWaiting() { --waitingRequests_; }
 
-    /// Sheds a waiting request if too few connections are free and no new ones can be opened.
+    /// Asks the engine to shed a waiting request if too few connections are free and clients can open no new
+    /// ones.
     void keepConnectionsFree(std::size_t openConnections);
 
 private:
@@ -82,7 +85,7 @@
     OpenRequestIds requestIds_;
     bool draining_ = false;
     bool noNewConnections_ = false;
-    std::size_t waitingRequests_ = 0;  // one a connection at the most
+    std::size_t waitingRequests_ = 0;  // at most one on each connection
     Micros responseDeadline_ = kNoDeadline;
 };
 
--- a/src/http/health_check.cpp
+++ b/src/http/health_check.cpp
@@ -14,10 +14,10 @@
 namespace wingproxy::http {
 namespace {
 
-// The policy uses only checks that were answered, so this bounds nothing but the resources of one.
+// Limits only how long a check holds a connection: the policy ignores checks that fail.
 constexpr std::chrono::milliseconds kHealthCheckTimeout{250};
 
-// Keeps itself alive by its handlers until it has completed.
+// Kept alive by its pending handlers until it has completed.
 class HealthCheck : public std::enable_shared_from_this<HealthCheck> {
 public:
     HealthCheck(net::Engine& engine, net::NodePool& pool, std::string node, config::Endpoint address)
--- a/src/http/health_check.h
+++ b/src/http/health_check.h
@@ -1,5 +1,5 @@
 /// \file
-/// Health checks of nodes: one request for the node's load report.
+/// Health checks of nodes: each requests the node's load report.
 #pragma once
 
 #include <string>
@@ -10,11 +10,11 @@
 
 namespace wingproxy::http {
 
-/// Sends GET /metrics/load and gives the outcome to the engine as HealthCheckCompleted, exactly once.
+/// Sends GET /metrics/load and reports the outcome to the engine as HealthCheckCompleted, exactly once.
 ///
 /// \param engine, pool have to outlive the check
-/// \param node the id on the endpoint list
-/// \param address where it listens
+/// \param node the node's id in the endpoint list
+/// \param address where the node listens
 void startHealthCheck(net::Engine& engine, net::NodePool& pool, const std::string& node,
                       const config::Endpoint& address);
 
--- a/src/http/message_writer.cpp
+++ b/src/http/message_writer.cpp
@@ -13,7 +13,7 @@
 namespace beast = boost::beast;
 using beast::http::field;
 
-// Hop-by-hop fields (RFC 9110, 7.6.1), and those that are written anew: they belong to one connection.
+// Whether a field is hop-by-hop (RFC 9110, 7.6.1), or is replaced when the request is forwarded.
 bool isHopByHop(const beast::http::fields::value_type& entry, const RequestMessage& message) {
     switch (entry.name()) {
         case field::connection:
--- a/src/http/messages.h
+++ b/src/http/messages.h
@@ -1,5 +1,5 @@
 /// \file
-/// Types of HTTP messages, and the limits of their bodies, that the units of this folder share.
+/// HTTP message types and body size limits shared by the files of this folder.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
@@ -11,21 +11,22 @@
 
 /// The request line and the header fields.
 using RequestHead = boost::beast::http::request_header<>;
-/// A request with a body that is buffered; empty if the body is streamed.
+/// A request with its buffered body, which is empty if the body is streamed.
 using RequestMessage = boost::beast::http::request<boost::beast::http::string_body>;
 /// The status line and the header fields.
 using ResponseHead = boost::beast::http::response_header<>;
-/// A response with a body that is buffered.
+/// A response with its buffered body.
 using ResponseMessage = boost::beast::http::response<boost::beast::http::string_body>;
 
-/// Bodies of up to so many bytes are buffered completely; longer ones are streamed through the ring buffers.
+/// Bodies up to this size in bytes are buffered completely; longer ones are streamed through the ring
+/// buffers.
 constexpr std::size_t kMaxBufferedBody = std::size_t{64} * 1024;
 
-/// Longer bodies are rejected with 413: more than any client of the platform sends, and far below the range
-/// of the counters.
+/// The maximum body size in bytes; a longer request is rejected with 413, and a longer response is a reset.
+/// It is more than any client of the platform sends, and far below the range of the counters.
 constexpr std::size_t kMaxBody = std::size_t{64} * 1024 * 1024;
 
-/// How a request body that is streamed to a node is delimited.
+/// How the end of a streamed request body is marked on the connection to the node.
 struct BodyFraming {
     bool chunked = false;
     std::uint64_t length = 0;  ///< bytes; meaningless if chunked
--- a/src/http/node_request_writer.cpp
+++ b/src/http/node_request_writer.cpp
@@ -23,7 +23,7 @@
     return Progress::BufferFull;
 }
 
-// Returns whether all of it is in the buffer.
+// Returns whether the whole text has been written to the buffer.
 bool NodeRequestWriter::queueText(net::RingBuffer& out) {
     textQueued_ += out.append(std::string_view(text_).substr(textQueued_));
     if (textQueued_ < text_.size()) return false;
@@ -32,7 +32,7 @@
     return true;
 }
 
-// Returns nothing if the next piece may follow at once.
+// Returns nothing if the next piece can be queued immediately.
 std::optional<NodeRequestWriter::Progress> NodeRequestWriter::queueBodyPiece(ClientStream& client,
                                                                              net::RingBuffer& out) {
     char piece[16 * 1024];
--- a/src/http/node_request_writer.h
+++ b/src/http/node_request_writer.h
@@ -1,6 +1,6 @@
 /// \file
-/// Puts one request into the send buffer of a connection to a node: its text, then the pieces of a body that
-/// the client streams. Owns the text; the buffer is the connection's.
+/// Writes one request to the send buffer of a node connection: the serialized text, then the pieces of a body
+/// that the client streams. Owns the text, but not the buffer.
 #pragma once
 
 #include <cstddef>
@@ -14,13 +14,13 @@
 
 namespace wingproxy::http {
 
-/// Fills a send buffer as it drains. Single-threaded; does no I/O.
+/// Refills a send buffer each time it has drained. Single-threaded; does no I/O.
 class NodeRequestWriter {
 public:
-    /// What ended a call of `fill()`.
+    /// Why a call of `fill()` returned.
     enum class Progress {
-        BufferFull,    ///< more follows when a part of the buffer is written
-        AwaitingBody,  ///< the client has to send more of the body first, or is gone
+        BufferFull,    ///< call again once a part of the buffer has been sent
+        AwaitingBody,  ///< the client has to send more of the body first, or has disconnected
         Complete,      ///< the last byte of the request is in the buffer
         Stopped,       ///< `stop()` was called
     };
@@ -30,14 +30,14 @@
     NodeRequestWriter(std::string text, std::optional<BodyFraming> streamed,
                       std::weak_ptr<ClientStream> client);
 
-    /// Moves as much as fits to `out`. Takes the client's body bytes, which may end the attempt, and with it
-    /// call `stop()`, before this returns.
+    /// Moves as much as fits to `out`. Consuming the client's body bytes may end the attempt, which calls
+    /// `stop()` before this returns.
     Progress fill(net::RingBuffer& out);
 
-    /// Whether a part of the streamed body was taken from the client: no other attempt can send it.
+    /// Whether a part of the streamed body has been consumed, so that no other attempt can send it.
     bool hasConsumedBody() const { return bodyConsumed_; }
 
-    /// The attempt is over: no more is taken from the client.
+    /// Called when the attempt ends: no more of the body is consumed.
     void stop() { stopped_ = true; }
 
 private:
@@ -46,7 +46,7 @@
     Progress queueBodyEnd(net::RingBuffer& out);
 
     std::string text_;
-    std::size_t textQueued_ = 0;  // bytes of the text that are in the buffer, or were
+    std::size_t textQueued_ = 0;  // bytes of the text that have been written to the buffer
     std::optional<BodyFraming> streamed_;
     std::weak_ptr<ClientStream> client_;
     bool complete_ = false;
--- a/src/http/node_response.cpp
+++ b/src/http/node_response.cpp
@@ -8,7 +8,7 @@
 namespace wingproxy::http {
 namespace {
 
-// The header uses the simulator's column names; the settings may name a column by either.
+// The header uses the simulator's column names; the settings may use either name of a column.
 struct ColumnAlias {
     std::string_view setting;
     std::string_view header;
@@ -33,8 +33,8 @@
     return Outcome::Error;
 }
 
-// A field with a number that is not negative.
-std::optional<double> loadField(const ResponseHead& head, const char* name) {
+// Parses a header field as a number; nothing if it is missing, invalid or negative.
+std::optional<double> parseLoadField(const ResponseHead& head, const char* name) {
     const auto value = parseNumber<double>(trimWhitespace(toStringView(head[name])));
     return value && *value >= 0 ? value : std::nullopt;
 }
@@ -58,9 +58,9 @@
     core::AttemptFinished result;
     result.outcome = outcomeOf(status, declined);
     result.requestSpent = status == 504 && declined;
-    // The policy's figure is one more than the field's, as 0 stands for a field that is missing.
-    if (const auto percent = loadField(head, "Volume-Load")) result.loadPercent = *percent + 1;
-    if (const auto others = loadField(head, "Other-Hosts")) result.loadElsewhere = *others;
+    // The policy's value is the field's plus 1, as 0 means that the field is missing.
+    if (const auto percent = parseLoadField(head, "Volume-Load")) result.loadPercent = *percent + 1;
+    if (const auto others = parseLoadField(head, "Other-Hosts")) result.loadElsewhere = *others;
     result.loadReport = parseLoadReport(toStringView(head["Srv-Load"]), settings);
     return result;
 }
--- a/src/http/node_response.h
+++ b/src/http/node_response.h
@@ -1,5 +1,5 @@
 /// \file
-/// Translates the header fields of a node's response into the policy's terms. Stateless.
+/// Translates the header fields of a node's response into the policy's types. Stateless.
 #pragma once
 
 #include <string_view>
@@ -10,13 +10,13 @@
 
 namespace wingproxy::http {
 
-/// What a complete response with this head means for its attempt.
+/// Determines the result of an attempt from the head of its complete response.
 ///
 /// A 503 or 504 with `Srv-Declined: 1` is a rejection: the node did not run the request. After such a 504 the
-/// request is spent, as every other node would answer the same.
+/// request is spent, as every other node would respond the same.
 core::AttemptFinished interpretNodeResponse(const ResponseHead& head, const Settings& settings);
 
-/// The load report of a node: the columns that the settings name, in their order.
+/// Parses a node's load report: the columns of `Settings::reportColumns`, in their order.
 ///
 /// \param report "name=value, name=value", as in the field Srv-Load and in the body of a health check
 /// \return empty if any column is missing or not a number, since a gap would shift the columns after it
--- a/src/http/open_request_ids.h
+++ b/src/http/open_request_ids.h
@@ -1,5 +1,5 @@
 /// \file
-/// The Req-Ids of requests that have no response yet, here or in another process of this host.
+/// The Req-Ids of open requests of this process or of another process of this host.
 #pragma once
 
 #include <string>
@@ -10,22 +10,24 @@
 
 namespace wingproxy::http {
 
-/// Detects a request whose Req-Id belongs to an open one: a node would take it for a hedged copy of that one.
+/// Detects a request that reuses the Req-Id of an open one: a node would take it for a hedged copy of that
+/// one.
 class OpenRequestIds {
 public:
-    /// A request of this process is open from now on.
+    /// Called when a request of this process is submitted.
     void add(const std::string& id) { open_.insert(id); }
-    /// Its last attempt has ended, after which no node can take another request for a copy of it.
+    /// Called when its last attempt has ended: from then on no node can take another request for a copy of
+    /// it.
     void remove(const std::string& id) { open_.erase(id); }
 
-    /// Those that were added here, in no order.
+    /// The ids of this process's open requests, in no particular order.
     std::vector<std::string> list() const { return {open_.begin(), open_.end()}; }
 
-    /// Replaces the ids that are open in another process, as after a hot restart.
-    /// \param until on the engine's clock; after it none of them counts as open
+    /// Replaces the ids of requests that are open in another process, as after a hot restart.
+    /// \param until on the engine's clock; from then on none of them counts as open
     void setOpenElsewhere(const std::vector<std::string>& ids, Micros until);
 
-    /// Whether the id belongs to an open request here or in the other process.
+    /// Whether the id belongs to an open request of this process or of the other one.
     /// \param now on the engine's clock
     bool isOpen(const std::string& id, Micros now) const;
 
--- a/src/http/pending_request.cpp
+++ b/src/http/pending_request.cpp
@@ -24,7 +24,7 @@
 PendingRequest::~PendingRequest() { context_.requestIds().remove(requestId()); }
 
 std::shared_ptr<net::Attempt> PendingRequest::startAttempt(const net::AttemptParams& params) {
-    // The engine drops the attempts of a request before the request itself, so `this` outlives the callback.
+    // The engine destroys a request's attempts before the request, so `this` outlives the callback.
     auto onResponse = [this](AttemptIndex attempt, ResponseMessage response,
                              net::ByteBudget::Reservation reservation) {
         keepResponse(attempt, std::move(response), std::move(reservation));
@@ -42,12 +42,12 @@
 
 void PendingRequest::deliverResponse(AttemptIndex attempt) {
     const auto found = responses_.find(attempt);
-    if (found == responses_.end()) {  // it was streamed
+    if (found == responses_.end()) {  // the response was streamed
         if (const auto client = client_.lock()) client->completeStreaming();
         return;
     }
     auto& response = found->second;
-    const auto body = std::move(response.message.body());  // freed once it is in the client's send buffer
+    const auto body = std::move(response.message.body());  // freed once copied to the send buffer
     const auto type = toStringView(response.message[boost::beast::http::field::content_type]);
     const auto fields = type.empty() ? std::string() : fmt::format("Content-Type: {}\r\n", type);
     respond(200, fields, body, std::move(response.reservation));
--- a/src/http/pending_request.h
+++ b/src/http/pending_request.h
@@ -1,5 +1,5 @@
 /// \file
-/// A request while the engine serves it: starts its attempts and gives the chosen response to its client.
+/// A request while the engine serves it: starts its attempts and sends the chosen response to the client.
 #pragma once
 
 #include <map>
@@ -14,12 +14,12 @@
 
 namespace wingproxy::http {
 
-/// Owned by the engine until the request and all of its attempts have ended. Its client may be gone before.
+/// Owned by the engine until the request and all its attempts have ended. The client may disconnect earlier.
 class PendingRequest : public net::RequestHandler {
 public:
     /// \param context has to outlive the request
     /// \param streamed the framing of a body that is not part of `message`
-    /// \param reservation the memory budget's share of the body in `message`
+    /// \param reservation of the body in `message`, in the memory budget
     PendingRequest(FrontContext& context, std::weak_ptr<ClientStream> client,
                    std::shared_ptr<const RequestMessage> message, std::optional<BodyFraming> streamed,
                    net::ByteBudget::Reservation reservation);
@@ -30,8 +30,8 @@
     void sendRejection(Micros retryAfterUs) override;
     void sendFailure() override;
 
-    /// Keeps the complete response of an attempt until the engine delivers one. Streamed responses are not
-    /// kept.
+    /// Stores the complete buffered response of an attempt until the engine chooses which one to deliver.
+    /// Streamed responses are not stored.
     void keepResponse(AttemptIndex attempt, ResponseMessage response,
                       net::ByteBudget::Reservation reservation);
 
--- a/src/http/rejection.cpp
+++ b/src/http/rejection.cpp
@@ -45,7 +45,7 @@
     return {503, retryAfterField(settings, net::toMicros(kOverloadRetryAfter)), "", nullptr, true};
 }
 
-Rejection rejectForMemory(const Settings& settings) {
+Rejection rejectBeyondMemoryBudget(const Settings& settings) {
     auto rejection = rejectPartialRequest(settings);
     rejection.counter = &FrontCounters::noMemory;
     return rejection;
@@ -62,7 +62,7 @@
                                                        const OpenRequestIds& openIds, Micros now) {
     const auto method = message.method();
     if (method != verb::get && method != verb::put) {
-        // The response to HEAD would have to be without a body.
+        // A response to HEAD must not have a body, but this one does: the connection cannot be reused.
         const bool closes = isStreamed || method == verb::head;
         return Rejection{405, "Allow: GET, PUT\r\n", "method: a read is a GET, a write a PUT\n",
                          &FrontCounters::malformed, closes};
--- a/src/http/rejection.h
+++ b/src/http/rejection.h
@@ -1,5 +1,5 @@
 /// \file
-/// The responses of requests that the front rejects itself, without asking the policy. Stateless.
+/// Responses to requests that the front rejects itself, without a decision of the policy. Stateless.
 #pragma once
 
 #include <boost/system/error_code.hpp>
@@ -14,36 +14,37 @@
 
 namespace wingproxy::http {
 
-/// A rejected request's response, and what it means for its connection.
+/// The response to a rejected request, and its effect on the connection and the counters.
 struct Rejection {
     int status;
     std::string fields;  ///< header lines, each with its line end
     std::string body;
-    /// Where it is counted, besides the counters of responses; null if only there.
+    /// A counter to increment besides those of the response statuses, or null.
     std::uint64_t FrontCounters::*counter;
-    /// Whether no further request can be read from the connection.
+    /// Whether the connection is closed, as no further request can be read from it.
     bool closesConnection;
 };
 
-/// The message cannot be parsed: 431 or 413 for one that is too long, otherwise 400.
+/// Rejects a message that cannot be parsed: 431 if the head is too long, 413 if the body is, otherwise 400.
 Rejection rejectUnreadable(const boost::system::error_code& error);
-/// Its body cannot be read.
+/// Rejects a request whose body framing is ambiguous (400) or unsupported (501).
 Rejection rejectFraming(FramingError error);
-/// A streamed body turned out to be unreadable after the request was submitted.
+/// Rejects a submitted request whose streamed body cannot be parsed.
 Rejection rejectUnreadableBody();
-/// The body does not fit into the memory budget.
-Rejection rejectForMemory(const Settings& settings);
-/// The connection is evicted, or closed by a shutdown, with a partial request.
+/// Rejects a request whose body does not fit into the memory budget.
+Rejection rejectBeyondMemoryBudget(const Settings& settings);
+/// Rejects a partly received request whose connection is evicted, or closed by a shutdown.
 Rejection rejectPartialRequest(const Settings& settings);
-/// The request was not complete in time.
+/// Rejects a request that was not completely received in time.
 Rejection rejectOverdueRequest();
-/// A streamed body stopped.
+/// Rejects a request whose client stopped sending its streamed body.
 Rejection rejectStalledBody();
 
 /// Checks a request whose head is complete.
 ///
-/// \param isStreamed its body is not part of `message`, and is not read if the request is rejected
-/// \param openIds of which none may be used again
+/// \param isStreamed whether the body is streamed, so that `message` has none; a rejection then closes the
+/// connection, as the body is not read
+/// \param openIds the Req-Ids of open requests, which the request must not reuse
 /// \param now on the engine's clock
 std::variant<ParsedRequest, Rejection> validateRequest(const RequestMessage& message, bool isStreamed,
                                                        const Settings& settings,
--- a/src/http/request_attempt.cpp
+++ b/src/http/request_attempt.cpp
@@ -14,12 +14,12 @@
 namespace wingproxy::http {
 namespace {
 
-// A streamed response of which nothing arrives for so long is broken: working nodes pause for seconds at the
+// A streamed response that brings no byte for this long is a reset: working nodes pause for a few seconds at
 // most.
 constexpr std::chrono::seconds kStreamStallTimeout{30};
-// A buffered response that has begun has to go on within this part of the shortest latency objective, so that
-// another attempt may still be in time.
-constexpr double kStallShareOfObjective = 0.2;
+// The stall timeout of a buffered response that has begun, as a share of the shortest latency objective, so
+// that a retry can still meet the objective.
+constexpr double kStallTimeoutShareOfObjective = 0.2;
 
 }  // namespace
 
@@ -47,7 +47,8 @@
     requestWriter_.emplace(std::move(text), streamed_, client_);
     reader_.emplace(connection_->in, kMaxBody);
     write();
-    // The response to a buffered request is read once it is sent; a streamed one may be answered before.
+    // The response to a buffered request is read once the request is sent; a streamed request may get its
+    // response earlier.
     if (streamed_ && !ended_) read();
 }
 
@@ -59,9 +60,9 @@
     if (progress == NodeRequestWriter::Progress::AwaitingBody) awaitBody();
     if (out.size() == 0) {
         if (progress == NodeRequestWriter::Progress::Complete) onRequestSent();
-        return;  // otherwise the client has to send more of the body
+        return;  // AwaitingBody: write() is called again when more of the body arrives
     }
-    if (engine_.now() > params_.lastByteBy) return fail();  // the rest would be past the idempotency window
+    if (engine_.now() > params_.lastByteBy) return fail();  // the rest would miss the idempotency window
     writing_ = true;
     connection_->socket.async_write_some(
         out.data(),
@@ -115,7 +116,7 @@
     if (const auto client = client_.lock()) client->resumeStreaming();
 }
 
-// Chooses between streaming and buffering by the announced length.
+// Streams the response if its announced length exceeds the limit; otherwise reserves memory to buffer it.
 void RequestAttempt::processHead() {
     headReceived_ = true;
     const auto length = reader_->parser().content_length();
@@ -141,7 +142,8 @@
     read();
 }
 
-// Tells the engine once that the node has done its work: how slowly the body arrives says nothing about that.
+// Reports once to the engine that the node has processed the request: the time that the body takes to arrive
+// is not part of its response time.
 void RequestAttempt::reportHead() {
     if (headReported_ || !headReceived_ || !requestSent_ || !isStatusOk()) return;
     headReported_ = true;
@@ -152,14 +154,14 @@
     const std::chrono::microseconds longest = net::HttpExchange::kStallTimeout;
     const auto objective = engine_.settings().shortestLatencyObjective();
     if (objective <= 0) return longest;
-    return std::min(longest, net::toDuration(Micros(kStallShareOfObjective * double(objective))));
+    return std::min(longest, net::toDuration(Micros(kStallTimeoutShareOfObjective * double(objective))));
 }
 
 void RequestAttempt::startStallTimer(std::chrono::microseconds timeout) {
     stallTimer_.start(timeout, connection_->socket, [self = net::sharedFrom(this)] { self->fail(); });
 }
 
-// From now on the response is the client's: no other attempt can replace it.
+// Starts to forward the response to the client. From then on no other attempt can replace it.
 void RequestAttempt::startStreaming() {
     const auto client = client_.lock();
     if (!client) return fail();
@@ -193,8 +195,8 @@
     const bool isTruncated = hasNodeClosed() && consumed == 0;
     const bool isChunkHeaderTooLong = connection_->in.freeSpace() == 0 && consumed == 0;
     if (isTruncated || isChunkHeaderTooLong) return fail();
-    // No read while bytes are left that a later turn takes: one under way at the end would cost the
-    // connection.
+    // Reads only when the buffer is empty or needs more bytes to parse on: a read that is still pending when
+    // the response is complete would keep the connection from being reused.
     if (consumed == 0) startStallTimer(kStreamStallTimeout);
     if (consumed == 0 || isBufferEmpty) read();
 }
@@ -202,8 +204,8 @@
 void RequestAttempt::finish() {
     const auto& head = reader_->parser().get();
     core::AttemptFinished result = interpretNodeResponse(head, engine_.settings());
-    // A response before the complete request was sent: the request was not served, whatever the node says,
-    // unless it says that it failed.
+    // A response of 200 before the request was sent completely does not mean that the request was served.
+    // Other statuses are taken as they are.
     if (!requestSent_ && result.outcome == Outcome::Ok) result.outcome = Outcome::Reset;
     result.requestSpent = result.requestSpent || requestWriter_->hasConsumedBody();
     if (result.outcome == Outcome::Ok && !streaming_) {
@@ -220,7 +222,7 @@
     return requestSent_ && isIdle && reader_->keepAlive();
 }
 
-// The connection broke, or what came on it cannot be read.
+// Ends the attempt after a connection error, a timeout, or a response that cannot be read or buffered.
 void RequestAttempt::fail() {
     core::AttemptFinished result;
     result.outcome = requestSent_ ? Outcome::Reset : Outcome::ConnectFailed;
@@ -233,7 +235,7 @@
     socketReader_.stop();
     if (requestWriter_) requestWriter_->stop();
     boost::system::error_code ignored;
-    if (connection_) connection_->socket.close(ignored);  // its buffers stay until the handlers have run
+    if (connection_) connection_->socket.close(ignored);  // the pending handlers keep its buffers alive
 }
 
 }  // namespace wingproxy::http
--- a/src/http/request_attempt.h
+++ b/src/http/request_attempt.h
@@ -1,5 +1,5 @@
 /// \file
-/// One attempt of a request over HTTP/1.1, on a connection of the pool: sends the request, receives the
+/// One attempt of a request over HTTP/1.1, on a pooled connection: sends the request and receives the
 /// response. It never retries; the engine starts another attempt.
 #pragma once
 
@@ -19,11 +19,13 @@
 
 namespace wingproxy::http {
 
-/// Responses of up to `kMaxBufferedBody` are buffered and can still be discarded for another attempt's;
-/// longer ones are streamed to the client, which ends the choice.
+/// Responses of up to `kMaxBufferedBody` are buffered, so that another attempt's response can still be
+/// chosen. Longer ones with status 200 are streamed to the client, after which no other can be chosen. A
+/// longer response with another status, or one that exceeds the limit before the request is completely sent,
+/// fails the attempt.
 class RequestAttempt : public net::NodeAttempt {
 public:
-    /// Takes a complete buffered response. Called before the engine learns of its outcome Ok.
+    /// Takes a complete buffered response. Called before the outcome Ok is reported to the engine.
     using OnResponse = std::function<void(AttemptIndex attempt, ResponseMessage response,
                                           net::ByteBudget::Reservation reservation)>;
 
@@ -55,7 +57,7 @@
     std::chrono::microseconds stallTimeout() const;
     void startStallTimer(std::chrono::microseconds timeout);
 
-    // Streaming it to the client.
+    // Streaming the response to the client.
     void startStreaming();
     std::size_t consumeResponse(char* to, std::size_t capacity);
     void continueStreaming(std::size_t consumed, boost::system::error_code error);
@@ -70,16 +72,16 @@
     std::weak_ptr<ClientStream> client_;
     OnResponse onResponse_;
     std::shared_ptr<net::Connection> connection_;
-    std::optional<NodeRequestWriter> requestWriter_;  // these two from the connection on
+    std::optional<NodeRequestWriter> requestWriter_;  // this and reader_ are set once connected
     std::optional<net::ResponseReader> reader_;
     net::SocketReader socketReader_;
     net::StallTimer stallTimer_;
     BufferedBody responseBody_;
-    bool requestSent_ = false;  // written to the socket, complete
+    bool requestSent_ = false;  // completely written to the socket
     bool writing_ = false;
     bool headReceived_ = false;
     bool headReported_ = false;  // to the engine
-    bool streaming_ = false;     // the response goes to the client as it comes
+    bool streaming_ = false;     // the response is forwarded to the client while it arrives
 };
 
 }  // namespace wingproxy::http
--- a/src/http/request_parser.cpp
+++ b/src/http/request_parser.cpp
@@ -8,7 +8,7 @@
 namespace wingproxy::http {
 namespace {
 
-// Bounds of plausible values, so that no later sum overflows: the platform sends nothing near them.
+// Upper bounds that keep later sums from overflowing: the platform sends nothing near them.
 constexpr std::int64_t kMaxDeadlineMs = 3'600'000;
 constexpr double kMaxUnits = 1e6;
 constexpr int kMaxVolumeHosts = 100'000;
@@ -17,7 +17,7 @@
     return trimWhitespace(toStringView(message[name]));
 }
 
-// Req-Id, Req-Kind, Tier, Req-Deadline-Ms and Cookie.
+// Parses Req-Id, Req-Kind, Tier, Req-Deadline-Ms, Cookie and Req-Retry.
 std::optional<RequestError> parseFields(const RequestMessage& message, const Settings& settings,
                                         ParsedRequest& parsed) {
     Request& request = parsed.request;
@@ -36,7 +36,7 @@
     return std::nullopt;
 }
 
-bool isShard(int shard, const Settings& settings) {
+bool isValidShard(int shard, const Settings& settings) {
     return shard >= -1 && (settings.cellCount <= 0 || shard < settings.cellCount);  // -1: any shard
 }
 
@@ -48,7 +48,7 @@
     if (!units || *units <= 0 || *units > kMaxUnits) return RequestError::InvalidUnits;
     request.units = *units;
     const auto shard = parseNumber<int>(findParameter(info, ',', "shard").value_or(""));
-    if (!shard || !isShard(*shard, settings)) return RequestError::InvalidShard;
+    if (!shard || !isValidShard(*shard, settings)) return RequestError::InvalidShard;
     request.cell = CellIndex(*shard);
     const auto hosts = parseNumber<int>(findParameter(info, ',', "hosts").value_or(""));
     if (!hosts || *hosts < 1 || *hosts > kMaxVolumeHosts) return RequestError::InvalidHostCount;
@@ -56,8 +56,8 @@
     return std::nullopt;
 }
 
-std::optional<RequestError> checkMethodRules(const RequestMessage& message, const Settings& settings,
-                                             const Request& request) {
+std::optional<RequestError> checkKeyAndBody(const RequestMessage& message, const Settings& settings,
+                                            const Request& request) {
     const auto safety = settings.classes[request.classIndex.position()].retrySafety;
     if (safety == RetrySafety::IdempotentWithKey && fieldValue(message, "Idempotency-Key").empty())
         return RequestError::MissingIdempotencyKey;
@@ -102,7 +102,7 @@
     if (const auto error = parseFields(message, settings, parsed)) return *error;
     const auto ioInfo = fieldValue(message, "IO-Info");
     if (const auto error = parseIoInfo(ioInfo, settings, parsed.request)) return *error;
-    if (const auto error = checkMethodRules(message, settings, parsed.request)) return *error;
+    if (const auto error = checkKeyAndBody(message, settings, parsed.request)) return *error;
     return parsed;
 }
 
--- a/src/http/request_parser.h
+++ b/src/http/request_parser.h
@@ -1,5 +1,5 @@
 /// \file
-/// Translates the header fields of a platform request into the policy's terms. Stateless.
+/// Translates the header fields of a platform request into the policy's types. Stateless.
 #pragma once
 
 #include <string_view>
@@ -10,7 +10,7 @@
 
 namespace wingproxy::http {
 
-/// Why a request that is well-formed HTTP is no valid platform request.
+/// Why a well-formed HTTP request is not a valid platform request.
 enum class RequestError {
     MissingRequestId,
     UnknownClass,
@@ -25,17 +25,19 @@
     BodyOnRead,
 };
 
-/// The text for the client: the field's name, a colon, and what is wrong with it.
+/// Returns the message for the client: the field's name, a colon, and what is wrong with it.
 std::string_view describe(RequestError error);
 
 /// A valid platform request.
 struct ParsedRequest {
-    Request request;       ///< without a deadline: its clock is the caller's
-    Micros timeoutUs = 0;  ///< how long the client waits, from its sending
+    Request request;       ///< without `deadlineUs`, which the caller computes from its clock
+    Micros timeoutUs = 0;  ///< how long the client waits, from when it has sent the request
 };
 
-/// \param message the head, and the body where it was buffered
-/// \return the first error in the order of `RequestError`, otherwise the request
+/// Parses and checks the platform's header fields.
+///
+/// \param message the head, and the body if it is buffered
+/// \return the request, or the first error in the order of `RequestError`
 std::variant<ParsedRequest, RequestError> parseRequest(const RequestMessage& message,
                                                        const Settings& settings);
 
--- a/src/http/request_reader.cpp
+++ b/src/http/request_reader.cpp
@@ -50,7 +50,7 @@
     return RequestProgress::Invalid;
 }
 
-BodyFraming RequestReader::streamed() const {
+BodyFraming RequestReader::streamedFraming() const {
     if (announcesLongBody()) return {false, *parser().content_length()};
     return {true, 0};
 }
--- a/src/http/request_reader.h
+++ b/src/http/request_reader.h
@@ -1,6 +1,6 @@
 /// \file
-/// Reads the requests of one client connection from its receive buffer: head, framing rules, and a body that
-/// is buffered or, where it is long, streamed.
+/// Reads the requests of one client connection from its receive buffer: the head, the body's framing, and a
+/// body that is buffered or, if it is long, streamed.
 #pragma once
 
 #include <optional>
@@ -12,54 +12,56 @@
 
 namespace wingproxy::http {
 
-/// Why a head's body cannot be read.
+/// Why a request's body cannot be read.
 enum class FramingError {
-    AmbiguousLength,    ///< a length and chunks, or chunks in HTTP/1.0: the body may hide a second request
+    AmbiguousLength,    ///< Content-Length and chunked coding, or chunked coding in HTTP/1.0: allows request
+                        ///< smuggling
     UnsupportedCoding,  ///< a transfer coding other than chunked
 };
 
-/// Checks the transfer coding of a request (RFC 9112, 6.1).
+/// Checks the transfer coding of a request (RFC 9112, 6.1). Returns nothing if the body can be read.
 std::optional<FramingError> checkFraming(const RequestHead& head);
 
-/// Where the reading of a request stands.
+/// The progress of reading a request.
 enum class RequestProgress {
-    NeedsMore,  ///< no more can be done with what has arrived
-    Complete,   ///< head and body are here
-    Streaming,  ///< the body is longer than is buffered; see `streamed()`
-    Invalid,    ///< it cannot be read; the error says why
+    NeedsMore,  ///< the bytes that have arrived are parsed, and more are needed
+    Complete,   ///< head and body are complete
+    Streaming,  ///< the body exceeds `kMaxBufferedBody`; see `streamedFraming()`
+    Invalid,    ///< the request cannot be parsed; the error says why
 };
 
-/// Reads one request after the other; `reset` begins the next. The receive buffer has to outlive it.
+/// Reads requests one after the other; `reset` begins the next. The receive buffer has to outlive it.
 class RequestReader {
 public:
-    /// Beast's parser of the request that is being read.
+    /// Beast's parser of the current request.
     using Parser = net::MessageReader<true>::Parser;
 
-    /// \param in the receive buffer; its capacity limits the head
+    /// \param in the receive buffer, whose capacity limits the size of the head
     explicit RequestReader(net::RingBuffer& in) : in_(in) { reset(); }
 
-    /// Forgets the request and begins the next one.
+    /// Discards the current request's state and begins the next request.
     void reset();
 
-    /// Reads on in the head. \return whether it is complete and has not been reported before
+    /// Continues reading the head.
+    /// \return true once per request, when the head is complete
     bool readHead(boost::system::error_code& error);
-    /// Whether `readHead` has reported the head of this request.
+    /// Whether `readHead` has returned true for this request.
     bool hasHead() const { return headComplete_; }
 
-    /// Reserves memory for a body that will be buffered. To be called once, with the complete head.
-    /// \return false if the budget has not so much left
+    /// Reserves memory for a body that will be buffered. Call once, after the head is complete.
+    /// \return false if the budget has too little memory left
     bool reserveBody(net::ByteBudget& budget);
 
-    /// Reads on in the body, past the head.
+    /// Continues reading the body, after the head.
     RequestProgress readBody(boost::system::error_code& error);
 
-    /// How a body that is not buffered is framed, where `readBody` returned Streaming.
-    BodyFraming streamed() const;
+    /// The framing of a streamed body, after `readBody` returned Streaming.
+    BodyFraming streamedFraming() const;
 
     /// Moves up to `capacity` bytes of a streamed body to `to`, the buffered part first.
     std::size_t consumeBody(char* to, std::size_t capacity, boost::system::error_code& error);
 
-    /// Whether the announced length alone says that the body will be streamed.
+    /// Whether the Content-Length exceeds `kMaxBufferedBody`, so that the body will be streamed.
     bool announcesLongBody() const;
     /// Whether the last byte of the request has been parsed.
     bool isComplete() const { return reader_->isComplete(); }
@@ -68,13 +70,13 @@
     /// Whether any byte of the request has been parsed.
     bool hasParsedAny() const { return reader_->hasParsedAny(); }
 
-    /// Gives access to what the head says about the message, as its length.
+    /// The parser, for properties of the message such as its length.
     const Parser& parser() const { return reader_->parser(); }
     /// The request line and the header fields; valid once `hasHead`.
     const RequestHead& head() const { return reader_->parser().get().base(); }
-    /// The buffered part of the body, which `consumeBody` takes first.
+    /// The buffered part of the body, which `consumeBody` consumes first.
     BufferedBody& body() { return body_; }
-    /// The buffered part of the body, which `consumeBody` takes first.
+    /// The buffered part of the body, which `consumeBody` consumes first.
     const BufferedBody& body() const { return body_; }
 
 private:
--- a/src/http/response_deadline.h
+++ b/src/http/response_deadline.h
@@ -1,6 +1,6 @@
 /// \file
-/// Until when the response of a request has to be sent. A value without a timer; times are those of the
-/// engine's clock, in microseconds.
+/// The time by which the response to a request has to be sent. A plain value: it starts no timer. Times are
+/// on the engine's clock, in microseconds.
 #pragma once
 
 #include <algorithm>
@@ -10,29 +10,29 @@
 
 namespace wingproxy::http {
 
-/// The deadline of one request, which moves on while its body is received.
+/// The deadline of one request, which is extended while its body is received.
 ///
-/// A client's timeout runs from the last byte of its request, which may wait in the system's buffers before
-/// it is read here. Certain is only that this byte had not been sent when the socket was last read empty, so
-/// the timeout counts from then.
+/// A client's timeout starts when it sends the last byte of its request. That byte may wait in the kernel's
+/// buffers before it is read. It is only certain that it had not arrived when the socket was last read empty,
+/// so the timeout is counted from then.
 class ResponseDeadline {
 public:
     ResponseDeadline() = default;
 
     /// \param now when the request was submitted to the engine
-    /// \param clientTimeoutUs how long the client waits; the time that the response travels is kept free
+    /// \param clientTimeoutUs how long the client waits; `kResponseTransitTime` is subtracted
     ResponseDeadline(Micros now, Micros clientTimeoutUs)
-        : countsFrom_(now),
-          timeoutUs_(std::max<Micros>(0, clientTimeoutUs - net::toMicros(kResponseTravelTime))) {}
+        : startsAt_(now),
+          timeoutUs_(std::max<Micros>(0, clientTimeoutUs - net::toMicros(kResponseTransitTime))) {}
 
-    /// The client's socket was read empty: what comes later was not sent before.
-    void onSocketDrained(Micros now) { countsFrom_ = now; }
+    /// Called when the client's socket was read empty, which restarts the timeout.
+    void onSocketDrained(Micros now) { startsAt_ = now; }
 
-    /// The deadline, if the last byte of the request has been received.
-    Micros time() const { return countsFrom_ + timeoutUs_; }
+    /// The deadline, provided that the last byte of the request has been received.
+    Micros time() const { return startsAt_ + timeoutUs_; }
 
 private:
-    Micros countsFrom_ = 0;
+    Micros startsAt_ = 0;
     Micros timeoutUs_ = 0;
 };
 
--- a/src/http/streamed_response.cpp
+++ b/src/http/streamed_response.cpp
@@ -39,7 +39,7 @@
     }
 }
 
-std::string_view StreamedResponse::trailer() const {
+std::string_view StreamedResponse::terminator() const {
     return framing_ == ResponseFraming::Chunked ? net::kLastChunk : "";
 }
 
--- a/src/http/streamed_response.h
+++ b/src/http/streamed_response.h
@@ -1,5 +1,5 @@
 /// \file
-/// A response that is passed on to the client while it arrives from the node.
+/// A response that is forwarded to the client while it arrives from the node.
 #pragma once
 
 #include <string>
@@ -10,33 +10,34 @@
 
 namespace wingproxy::http {
 
-/// How the client recognizes the end of a streamed response.
+/// How the end of a streamed response is marked for the client.
 enum class ResponseFraming {
     ContentLength,
-    Chunked,     ///< the length is not known
-    UntilClose,  ///< nor does HTTP/1.0 have chunks: the end of the connection is the end of the body
+    Chunked,     ///< the length is unknown
+    UntilClose,  ///< the length is unknown and HTTP/1.0 has no chunked coding: the close ends the body
 };
 
-/// Frames the body pieces of one response. It owns their source until it is replaced.
+/// Serializes one streamed response: its head and the framed pieces of its body. Owns their source.
 class StreamedResponse {
 public:
-    /// \param source gives the body as it comes from the node
-    /// \param isHttp10 the client does not know chunks
+    /// \param source supplies the body bytes as they arrive from the node
+    /// \param isHttp10 whether the client uses HTTP/1.0, which has no chunked coding
     StreamedResponse(ClientStream::StreamedHead head, ClientStream::BodySource source, bool isHttp10);
 
-    /// Chosen by the head and the client's version of HTTP.
+    /// The framing, chosen by the head and the client's HTTP version.
     ResponseFraming framing() const { return framing_; }
-    /// The status line and the header fields.
+    /// Serializes the status line and the header fields.
     std::string serializeHead(bool keepAlive) const;
-    /// Moves pieces from the source to `out` while there is space, the source has more, and it is active.
+    /// Moves pieces from the source to `out` while there is space, the source has bytes, and the response is
+    /// active.
     void fill(net::RingBuffer& out);
     /// Whether the response is neither complete nor aborted.
     bool isActive() const { return active_; }
-    /// To be called once, at the end of the body or when the response is aborted; also from within the
+    /// Call once, at the end of the body or when the response is aborted; may be called from within the
     /// source.
     void end() { active_ = false; }
-    /// What follows the last piece of a complete body.
-    std::string_view trailer() const;
+    /// The bytes that follow the last piece of a complete body: the last chunk, or nothing.
+    std::string_view terminator() const;
 
 private:
     ClientStream::StreamedHead head_;
--- a/tests/http/client_limits_test.cpp
+++ b/tests/http/client_limits_test.cpp
@@ -25,10 +25,10 @@
 }
 
 TEST_CASE("client limits: the connection budget is crowded above a quarter and half full above a half") {
-    CHECK(!http::isCrowded(3, 12));
-    CHECK(http::isCrowded(4, 12));
-    CHECK(!http::isHalfFull(6, 12));
-    CHECK(http::isHalfFull(7, 12));
+    CHECK(!http::isKeepAliveShortened(3, 12));
+    CHECK(http::isKeepAliveShortened(4, 12));
+    CHECK(!http::isKeepAliveDisabled(6, 12));
+    CHECK(http::isKeepAliveDisabled(7, 12));
 }
 
 TEST_CASE("client limits: a third of the connections is reserved, and 4 at the least") {
--- a/tests/http/request_reader_test.cpp
+++ b/tests/http/request_reader_test.cpp
@@ -55,8 +55,8 @@
     REQUIRE(reader.readHead(error));
     CHECK(reader.announcesLongBody());
     REQUIRE(reader.readBody(error) == RequestProgress::Streaming);
-    CHECK(!reader.streamed().chunked);
-    CHECK(reader.streamed().length == 70'000);
+    CHECK(!reader.streamedFraming().chunked);
+    CHECK(reader.streamedFraming().length == 70'000);
 }
 
 TEST_CASE_FIXTURE(Fixture, "request reader: chunks are streamed once they are longer than is buffered") {
@@ -71,7 +71,7 @@
     }
     REQUIRE(progress == RequestProgress::Streaming);
     CHECK(sent == 66'000);
-    CHECK(reader.streamed().chunked);
+    CHECK(reader.streamedFraming().chunked);
     char first[100];
     CHECK(reader.consumeBody(first, sizeof first, error) == sizeof first);
     CHECK(reader.body().size() == sent - sizeof first);
--- a/tests/http/response_deadline_test.cpp
+++ b/tests/http/response_deadline_test.cpp
@@ -9,21 +9,21 @@
 
 constexpr Micros kSubmittedAt = 1'000'000;
 constexpr Micros kClientTimeout = 50'000;
-constexpr Micros kTravelTime = 3'000;
+constexpr Micros kTransitTime = 3'000;
 
 }  // namespace
 
 TEST_CASE("response deadline: the client's timeout without the time that the response travels") {
     const http::ResponseDeadline deadline(kSubmittedAt, kClientTimeout);
-    CHECK(deadline.time() == kSubmittedAt + kClientTimeout - kTravelTime);
+    CHECK(deadline.time() == kSubmittedAt + kClientTimeout - kTransitTime);
 }
 
 TEST_CASE("response deadline: it counts from the last time that the socket was read empty") {
     http::ResponseDeadline deadline(kSubmittedAt, kClientTimeout);
     deadline.onSocketDrained(kSubmittedAt + 400);
-    CHECK(deadline.time() == kSubmittedAt + 400 + kClientTimeout - kTravelTime);
+    CHECK(deadline.time() == kSubmittedAt + 400 + kClientTimeout - kTransitTime);
 }
 
 TEST_CASE("response deadline: a timeout below the travel time is over at once") {
-    CHECK(http::ResponseDeadline(kSubmittedAt, kTravelTime - 1).time() == kSubmittedAt);
+    CHECK(http::ResponseDeadline(kSubmittedAt, kTransitTime - 1).time() == kSubmittedAt);
 }
--- a/tests/http/streamed_response_test.cpp
+++ b/tests/http/streamed_response_test.cpp
@@ -35,7 +35,7 @@
     net::RingBuffer out(net::kMinRingBytes);
     response.fill(out);
     CHECK(contents(out) == "datos");
-    CHECK(response.trailer().empty());
+    CHECK(response.terminator().empty());
 }
 
 TEST_CASE("streamed response: an unknown length is sent in chunks") {
@@ -45,14 +45,14 @@
     net::RingBuffer out(net::kMinRingBytes);
     response.fill(out);
     CHECK(contents(out) == "5\r\ndatos\r\n");
-    CHECK(response.trailer() == "0\r\n\r\n");
+    CHECK(response.terminator() == "0\r\n\r\n");
 }
 
 TEST_CASE("streamed response: to HTTP/1.0 an unknown length ends with the connection") {
     const StreamedResponse response({"", std::nullopt}, once(""), true);
     CHECK(response.framing() == ResponseFraming::UntilClose);
     CHECK(response.serializeHead(false) == "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
-    CHECK(response.trailer().empty());
+    CHECK(response.terminator().empty());
 }
 
 TEST_CASE("streamed response: nothing is taken from the source after its end") {
