--- a/src/http/request_reader.h
+++ b/src/http/request_reader.h
@@ -14,8 +14,7 @@
 
 /// Why a request's body cannot be read.
 enum class FramingError {
-    AmbiguousLength,    ///< Content-Length and chunked coding, or chunked coding in HTTP/1.0: allows request
-                        ///< smuggling
+    AmbiguousLength,    ///< Content-Length and chunks, or chunks in HTTP/1.0: allows request smuggling
     UnsupportedCoding,  ///< a transfer coding other than chunked
 };
 
--- a/tests/http/attempt_deadlines_test.cpp
+++ b/tests/http/attempt_deadlines_test.cpp
@@ -25,25 +25,25 @@
 
 }  // namespace
 
-// The client's time runs from its last byte. Before it has arrived no deadline ends the request; after it,
-// the one that the client named does.
+// A client's timeout starts with the last byte of its request. Until that byte has arrived, no deadline ends
+// the request; afterwards the client's deadline does.
 TEST_CASE("reducer: the deadline of a request with a streamed body runs from the body's end") {
     core::State state(test::settings(), core::Limits{250 * kMs}, kStart);
     Micros now = kStart;
-    const auto put = [&](core::Input input) { return step(state, now, std::move(input)); };
+    const auto apply = [&](core::Input input) { return step(state, now, std::move(input)); };
     const auto count = [](const core::Effects& effects, auto kind) {
         return std::count_if(effects.begin(), effects.end(),
                              [](const auto& e) { return std::holds_alternative<decltype(kind)>(e); });
     };
-    put(EndpointListReceived{nodes({node("n0", 0)})});
+    apply(EndpointListReceived{nodes({node("n0", 0)})});
     auto r = request(1, 1, 1, now);
     r.bodyIncomplete = true;
-    CHECK(count(put(RequestReceived{r}), core::StartAttempt{}) == 1);
+    CHECK(count(apply(RequestReceived{r}), core::StartAttempt{}) == 1);
     int ends = 0;
     const auto run = [&](Micros until) {
         while (state.nextWake() <= until) {
             now = std::max(now, state.nextWake());
-            const auto effects = put(core::TimerExpired{});
+            const auto effects = apply(core::TimerExpired{});
             ends += int(count(effects, core::StopAttempt{}) + count(effects, core::SendFailure{}) +
                         count(effects, core::SendRejection{}));
         }
@@ -51,20 +51,20 @@
     };
     run(kStart + 10 * kSecond);
     CHECK(ends == 0);
-    CHECK(state.avoidedNodes() == 0);  // nothing is expected of the node yet
-    put(RequestBodyCompleted{1, now + kSecond});
+    CHECK(state.avoidedNodes() == 0);  // the node does not have the complete request yet
+    apply(RequestBodyCompleted{1, now + kSecond});
     run(now + 900 * kMs);
     CHECK(ends == 0);
     run(now + 200 * kMs);
-    CHECK(ends == 2);  // the attempt stops and the client has its answer; the bytes are gone
+    CHECK(ends == 2);  // the attempt stops and the client gets its response: no retry can send the body
     CHECK(state.openRequests() == 0);
     CHECK(state.counters().attempts == 1);
 }
 
-// The key is honoured for 1 s, and the first attempt breaks just before that.
+// The idempotency key is valid for 1 s (keyWindowUs), and the first attempt fails 20 ms before its end.
 TEST_CASE("reducer: a retry that is not sent within the idempotency window is stopped") {
     auto settings = test::settings();
-    settings.classes[1].latencyObjectiveUs = 3 * kSecond;  // so that it is still worth a repeat by then
+    settings.classes[1].latencyObjectiveUs = 3 * kSecond;  // so that a retry is still worthwhile at that time
     const Micros window = settings.classes[1].keyWindowUs;
     for (const bool written : {false, true}) {
         core::State state(settings, core::Limits{250 * kMs}, kStart);
@@ -84,7 +84,8 @@
         if (written) step(state, kStart + window - kMs, core::AttemptRequestSent{1, AttemptIndex(1)});
         const auto after = step(state, kStart + window, core::TimerExpired{});
         CHECK(of<core::StopAttempt>(after).size() == (written ? 0 : 1));
-        CHECK(of<core::SendFailure>(after).size() == (written ? 0 : 1));  // it may have run: no refusal
+        // The first attempt may have run, so the client gets a failure and no rejection.
+        CHECK(of<core::SendFailure>(after).size() == (written ? 0 : 1));
         CHECK(state.counters().lastByteTimeouts == (written ? 0 : 1));
     }
 }
@@ -109,7 +110,7 @@
     auto config = testConfig();
     GatewayFixture fixture(std::move(config));
     const auto message = std::make_shared<http::RequestMessage>(boost::beast::http::verb::get, "/api", 11);
-    // Its time is over already when the connection is up: the node may be draining by now.
+    // The time for the first byte is over before the connection is open: the node may be draining by then.
     const auto attempt = std::make_shared<http::RequestAttempt>(
         fixture.engine, fixture.pool,
         net::AttemptParams{9, AttemptIndex(0), fixture.node().address(), fixture.engine.now() - 1,
--- a/tests/http/buffered_body_test.cpp
+++ b/tests/http/buffered_body_test.cpp
@@ -1,4 +1,4 @@
-// Buffered bodies and their reservations.
+// Buffered bodies and their reservations in the memory budget.
 #include "http/buffered_body.h"
 
 #include <doctest/doctest.h>
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-TEST_CASE("buffered body: its reservation is given back with the last consumed byte") {
+TEST_CASE("buffered body: the reservation is released when the last byte is consumed") {
     net::ByteBudget budget(100);
     net::RingBuffer in(net::kMinRingBytes);
     http::RequestReader reader(in);
--- a/tests/http/client_disconnects_test.cpp
+++ b/tests/http/client_disconnects_test.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-// A client that disconnected while its request was queued must be noticed within this time.
+// A client that disconnects while its request is queued must be detected within this time.
 constexpr milliseconds kDisconnectNoticed{100};
 
-// A node with as many requests in flight as the policy allows: further ones are queued here.
+// A node with as many requests in flight as the policy allows, so that the front queues further ones.
 struct SaturatedNode {
     static constexpr int kCapacity = 3;
     SaturatedNode() : fixture(config()) {
@@ -27,7 +27,7 @@
             c.latencyObjectiveUs = 20'000'000;
         return config;
     }
-    // A connection whose request is queued, with more behind it or a part of its body.
+    // Opens a connection whose request is queued; `text` may end with pipelined requests or a part of a body.
     std::shared_ptr<tcp::socket> queue(const std::string& text, std::size_t requests = 1) {
         const auto before = fixture.engine.counters().received;
         const auto socket = std::make_shared<tcp::socket>(fixture.io);
@@ -37,7 +37,8 @@
                           "the request is queued");
         return socket;
     }
-    // The node answers, and another client's request reaches it: by then the queued one would have, too.
+    // The node responds, and a later request of another client reaches it: the queued request, if it had been
+    // kept, would have reached the node before.
     void expectNothingSentOf(int disconnected) {
         for (int i = 0; i < kCapacity; ++i)
             fixture.waitForNodeToReceive(id(i))->send(ok("hecho"));
@@ -59,7 +60,7 @@
     socket.close();
 }
 
-// An address whose connections do not open: its accept queue is full.
+// An address to which connections stay pending, as its accept queue is full.
 struct Unreachable {
     explicit Unreachable(asio::io_context& io) : acceptor(io) {
         acceptor.open(tcp::v4());
@@ -81,13 +82,13 @@
         all += PlatformRequest{.id = id(100 + i), .deadlineMs = 30'000}.text();
     return all;
 }();
-// As much of a long body as fills the receive buffer, and more that stays in the system.
+// A part of a long body that fills the receive buffer, and more that stays in the kernel's buffer.
 const std::string kPartialBody =
     streamedPut("Content-Length: 1000000\r\n", id(100), 30'000) + std::string(3 * net::kMaxRingBytes, 'x');
 
 }  // namespace
 
-TEST_CASE("a queued request is dropped within 100 ms when its client disconnects, however it does") {
+TEST_CASE("a queued request is dropped within 100 ms when its client disconnects by FIN or RST") {
     const struct {
         const char* what;
         std::string text;
@@ -104,12 +105,12 @@
         CAPTURE(c.what);
         SaturatedNode saturated;
         auto& fixture = saturated.fixture;
-        const auto leaver = saturated.queue(c.text);
+        const auto disconnecting = saturated.queue(c.text);
         const auto since = std::chrono::steady_clock::now();
         if (c.reset)
-            resetConnection(*leaver);
+            resetConnection(*disconnecting);
         else
-            leaver->close();
+            disconnecting->close();
         fixture.waitUntil([&] { return fixture.engine.counters().disconnected == 1; }, c.what);
         CHECK(std::chrono::steady_clock::now() - since < kDisconnectNoticed);
         CHECK(fixture.engine.openRequests() == SaturatedNode::kCapacity);
--- a/tests/http/connection_limits_test.cpp
+++ b/tests/http/connection_limits_test.cpp
@@ -1,10 +1,10 @@
-// The budget of client connections: eviction and closes under pressure.
+// The budget of client connections: eviction, and shorter keep-alive as it fills up.
 #include "support/net_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
 
-// Otherwise clients that keep a connection after one request would use up the budget.
+// Otherwise clients that keep a connection open after one request would exhaust the budget.
 TEST_CASE("above 25% of the connection budget idle keep-alive connections are closed after 2 s") {
     GatewayFixture fixture(testConfig(), 1, 12);
     std::vector<TestConnectionPtr> stayed;
@@ -14,7 +14,7 @@
         fixture.waitUntil([&] { return stayed.back()->hasReceived(" 200 "); });
     }
     const auto silent =
-        fixture.client();  // ends after 2 s in any case; one of the four brings the others down to 25% again
+        fixture.client();  // closed after 2 s in any case; the close of one more brings the count back to 25%
     const auto count = [&] {
         return std::count_if(stayed.begin(), stayed.end(), [](auto& w) { return w->ended; });
     };
@@ -38,9 +38,8 @@
     CHECK(!second->hasReceived("Connection: close\r\n"));
 }
 
-// A client that finds all of its connections busy where no new one can be opened takes the front for dead.
-TEST_CASE(
-    "when no new connections come, a queued request is shed to keep connections free, and none in flight") {
+// A client whose connections are all busy, and that cannot open a new one, treats the front as dead.
+TEST_CASE("when no new connections can be opened, a queued request is shed to free one, but none in flight") {
     auto config = testConfig();
     for (auto& c : config.settings.classes)
         c.latencyObjectiveUs = 20'000'000;
--- a/tests/http/discovery_watch_test.cpp
+++ b/tests/http/discovery_watch_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint list: polling, watches and a draining node.
+// The endpoint list: polls, watches and draining nodes.
 #include "http/http_test_support.h"
 #include "support/net_support.h"
 
@@ -29,34 +29,35 @@
     CHECK(fixture.engine.listVersion() == 9);
 }
 
-// What the agent has counts as published: a front that does not learn of it sends to a draining node.
-TEST_CASE("pushed lists: an agent that does not answer is polled again well within the drain grace period") {
+// A front counts as informed of a list as soon as its agent has it: a front that misses the update would go
+// on sending requests to a draining node.
+TEST_CASE("pushed lists: an agent that does not respond is polled again well within the drain grace period") {
     auto config = testConfig();
     config.settings.pollsEndpointList = false;
     config.settings.drainGraceUs = 800'000;
     GatewayFixture fixture(std::move(config));
     const auto since = std::chrono::steady_clock::now();
-    fixture.waitUntil([&] {  // takes the first call and says nothing
+    fixture.waitUntil([&] {  // the agent accepts the first call and does not respond
         return fixture.discoveryServer.connections.size() == 2 &&
                fixture.discoveryServer.connections[1]->hasReceived("\r\n\r\n");
     });
     CHECK(std::chrono::steady_clock::now() - since < milliseconds(500));
+    // A first call does not wait: the agent either has a list or has none.
     for (const auto& connection : fixture.discoveryServer.connections)
-        CHECK(connection->hasReceived("&wait_ms=0 "));  // it has it or not
+        CHECK(connection->hasReceived("&wait_ms=0 "));
     fixture.announceNodeState("s-0", "draining");
     fixture.waitUntil(
         [&] { return fixture.discoveryServer.connections.back()->hasReceived("after=2&wait_ms=60000 "); });
 }
 
-// The only node of a cell is used for a part of the grace period after its drain was read. Where the call
-// before failed, the agent may have had that drain for as long: it then counts as read too late for that.
-TEST_CASE(
-    "pushed lists: after a failed call a drain may be older than its answer, and the node gets no request") {
+// The only node of a cell is used for a part of the grace period after its drain was received. After a failed
+// call the agent may have had that drain since then, so it counts as received too late for that.
+TEST_CASE("pushed lists: after a failed call a received drain may be old, so the node gets no request") {
     for (const bool failed : {true, false}) {
         CAPTURE(failed);
         auto config = testConfig();
         config.settings.pollsEndpointList = false;
-        config.settings.drainGraceUs = 10'000'000;  // nothing of it passes while the test runs
+        config.settings.drainGraceUs = 10'000'000;  // far longer than the test runs
         GatewayFixture fixture(std::move(config));
         fixture.waitUntil([&] {
             return !fixture.discoveryServer.connections.empty() &&
@@ -107,7 +108,7 @@
     }
 }
 
-TEST_CASE("the next watch follows each answer, and invalid lists are counted and dropped") {
+TEST_CASE("the next watch follows each response, and invalid lists are counted and dropped") {
     GatewayFixture fixture;
     fixture.announceNodeState("s-0", "draining");
     fixture.waitUntil(
@@ -115,14 +116,13 @@
     const auto connection = fixture.discoveryServer.connections.back();
     connection->send(ok("{\"generation\":3,\"instances\":7}"));
     fixture.waitUntil([&] { return fixture.discovery.counters().malformed == 1; });
-    CHECK(fixture.discovery.counters().failed == 1);  // which the module hears as a call that was lost
-    fixture.waitUntil([&] { return fixture.discovery.counters().calls == 3; });  // and it polls again
+    CHECK(fixture.discovery.counters().failed == 1);  // the policy is told that the call failed
+    fixture.waitUntil([&] { return fixture.discovery.counters().calls == 3; });  // and polls again
     CHECK(fixture.engine.listVersion() == 2);
 }
 
-// A first call may queue behind those of hundreds of fronts: if it were cancelled early, it would be worked
-// off there all the same and delay the others. A continued watch queues behind nobody, so that it times out
-// sooner.
+// A first call may queue behind those of hundreds of fronts: if it were cancelled early, discovery would
+// process it all the same, which delays the others. A continued watch does not queue, so it times out sooner.
 TEST_CASE("an unanswered watch times out and is repeated, later for a first call than for a continued one") {
     using std::chrono::milliseconds;
     const net::WatchTiming watches{milliseconds(40), milliseconds(40), milliseconds(300)};
@@ -135,13 +135,13 @@
     fixture.waitUntil(
         [&] { return connections.size() == 3 && connections.back()->hasReceived("&wait_ms=40 "); });
     fixture.announceNodeState("s-0", "draining");
-    CHECK(counters.calls == 4);  // it goes on, and is not answered
-    const auto goesOn = std::chrono::steady_clock::now();
+    CHECK(counters.calls == 4);  // the continued watch, which gets no response
+    const auto continuedAt = std::chrono::steady_clock::now();
     fixture.waitUntil([&] { return counters.failed == 3; });
-    CHECK(std::chrono::steady_clock::now() - goesOn < milliseconds(40 + 300));
+    CHECK(std::chrono::steady_clock::now() - continuedAt < milliseconds(40 + 300));
 }
 
-// After SIGHUP the old address gets no more calls.
+// After a reload (SIGHUP) the old address gets no more calls.
 TEST_CASE("a new discovery address is polled for the complete list, while nodes and requests stay") {
     GatewayFixture fixture;
     fixture.waitUntil([&] {
@@ -157,8 +157,8 @@
         [&] { return fixture.discoveryServer.connections[0]->ended && next.connections.size() == 1; });
     fixture.waitUntil([&] { return next.connections[0]->hasReceived("GET /discovery/hosts HTTP/1.1\r\n"); });
     CHECK(fixture.discovery.counters().failed == 0);
-    node->send(ok("de antes")),
-        other->send(PlatformRequest{.id = "00000000000000b2"}.text());  // by the list it has
+    // The other request is dispatched by the list that the front already has.
+    node->send(ok("de antes")), other->send(PlatformRequest{.id = "00000000000000b2"}.text());
     fixture.waitForNodeToReceive("00000000000000b2")->send(ok("con la lista vieja"));
     fixture.waitUntil(
         [&] { return client->hasReceived("de antes") && other->hasReceived("con la lista vieja"); });
@@ -169,7 +169,7 @@
     CHECK(fixture.discoveryServer.connections.size() == 1);
 }
 
-TEST_CASE("pushed lists: the front watches on its own, and again after a failure") {
+TEST_CASE("pushed lists: the front starts a watch by itself, and another one after a failure") {
     auto config = testConfig();
     config.settings.pollsEndpointList = false;
     GatewayFixture fixture(std::move(config));
@@ -181,7 +181,7 @@
     fixture.announceNodeState("s-0", "draining");
 }
 
-TEST_CASE("a draining node gets no new requests, and those in flight may end") {
+TEST_CASE("a draining node gets no new requests, and those in flight may complete") {
     auto config = testConfig();
     config.settings.drainGraceUs = 0;
     GatewayFixture fixture(std::move(config));
--- a/tests/http/graceful_shutdown_test.cpp
+++ b/tests/http/graceful_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// Draining and SIGTERM: what is answered, and how connections are closed.
+// Draining and SIGTERM: which requests are served, and how connections are closed.
 #include "http/http_test_support.h"
 #include "support/process_support.h"
 
@@ -6,15 +6,16 @@
 using namespace wingproxy::test;
 using std::chrono::milliseconds;
 
-TEST_CASE("a request that crosses the graceful close of its connection is not served and meets no reset") {
+TEST_CASE(
+    "a request that arrives during the graceful close of its connection causes no reset, and is not served") {
     GatewayFixture fixture;
     tcp::socket client(fixture.io);
     client.connect(net::tcpEndpoint(fixture.front.sessionManager().address()));
     fixture.waitUntil([&] { return fixture.front.sessionManager().activeConnections() == 1; });
     fixture.front.sessionManager().closeIdleGracefully();
     fixture.waitUntil([&] { return fixture.front.sessionManager().activeConnections() == 0; });
-    asio::write(client, asio::buffer(PlatformRequest{}.text()));  // on its way when the front ended its side
-    boost::system::error_code broken;                             // a reset would meet the next bytes
+    asio::write(client, asio::buffer(PlatformRequest{}.text()));  // in transit when the front sent its FIN
+    boost::system::error_code broken;                             // the next write would fail after a reset
     asio::write(client, asio::buffer("y mas", 5), broken);
     CHECK(!broken);
     fixture.waitUntil([&] { return fixture.front.sessionManager().sessionCount() == 0; });
@@ -37,8 +38,8 @@
         tcp::socket client(fixture.io);
         client.connect(net::tcpEndpoint(fixture.front.sessionManager().address()));
         fixture.waitUntil([&] { return fixture.front.sessionManager().activeConnections() == 1; });
-        asio::write(client,
-                    asio::buffer(PlatformRequest{}.text()));  // in the system, and the loop does not run
+        // The bytes stay in the kernel's buffer, as the event loop does not run.
+        asio::write(client, asio::buffer(PlatformRequest{}.text()));
         close(fixture.front.sessionManager());
         std::string got;
         CHECK(readToEnd(client, got) == asio::error::eof);
@@ -52,8 +53,8 @@
     fixture.waitUntil([&] { return fixture.front.sessionManager().activeConnections() == 1; });
     fixture.front.startDraining();
     fixture.waitUntil([&] {
-        fixture.front.sessionManager()
-            .closeIdleGracefully();  // as the program does, every 20 ms; it is quiet after a while
+        // The program calls this every 20 ms; it takes effect once no byte has arrived for 250 ms.
+        fixture.front.sessionManager().closeIdleGracefully();
         return partial->ended;
     });
     CHECK(partial->hasReceived("HTTP/1.1 503 "));
@@ -68,7 +69,7 @@
     const auto node = fixture.waitForNodeToReceive("Req-Id");
     fixture.waitUntil([&] { return fixture.front.sessionManager().activeConnections() == 2; });
     fixture.front.startDraining();
-    const auto late = fixture.client();  // accepted by the system, not yet by the program
+    const auto late = fixture.client();  // in the accept queue, not accepted by the program yet
     late->send(PlatformRequest{.id = "00000000000000b2"}.text());
     fixture.front.sessionManager().closeListener();
     node->send(ok("hecho"));
@@ -84,10 +85,10 @@
     });
 }
 
-// The program itself: a request in flight, one that arrives on an open connection, and an idle client. All of
-// it is served or closed in order before the platform may kill the process.
+// Runs the program with a request in flight, a request that arrives on an open connection after SIGTERM, and
+// an idle client. All must be served or closed gracefully before the platform may send SIGKILL.
 TEST_CASE(
-    "SIGTERM with requests in flight: each is answered, idle clients see a FIN, and the exit is in time") {
+    "SIGTERM with requests in flight: each gets its response, idle clients a FIN, and the exit is in time") {
     Platform platform;
     auto& fixture = platform.fixture;
     auto& process = platform.startReady();
@@ -100,7 +101,7 @@
     process.signal(SIGTERM);
     platform.waitUntilLogged(process, "stopping: 1 requests open");
     const auto since = std::chrono::steady_clock::now();
-    lateClient->send(PlatformRequest{.id = id(2)}.text());  // after SIGTERM, on a connection that is open
+    lateClient->send(PlatformRequest{.id = id(2)}.text());  // after SIGTERM, on an open connection
     fixture.waitForNodeToReceive(id(2))->send(ok("dos"));
     fixture.waitUntil([&] { return lateClient->hasReceived("dos"); });
     CHECK(process.running());
@@ -108,7 +109,7 @@
     fixture.waitUntil([&] { return busy->hasReceived("uno") && busy->hasReceived(" 200 "); });
     fixture.waitUntil([&] { return !process.running(); }, "the exit");
     CHECK(std::chrono::steady_clock::now() - since <
-          milliseconds(3'000 + 700));  // the longest deadline and 0.7 s
+          milliseconds(3'000 + 700));  // SIGKILL: the longest deadline plus 0.7 s
     CHECK(WIFEXITED(process.status));
     CHECK(WEXITSTATUS(process.status) == 0);
     std::string got;
@@ -116,8 +117,8 @@
     CHECK(got.starts_with("HTTP/1.1 200 "));
 }
 
-// The platform may kill after the longest deadline, of which 3 s count at the most, and 0.7 s. Idle clients
-// do not delay the exit beyond that, and none sees a reset.
+// The platform may send SIGKILL after the longest deadline of the classes (3 s at most) plus 0.7 s. Idle
+// clients do not delay the exit beyond that, and none sees a reset.
 TEST_CASE("SIGTERM with deadlines shorter or longer than the platform waits: the exit is in time") {
     const struct {
         const char* deadline;
@@ -151,27 +152,28 @@
     }
 }
 
-// Guards against the soak's seed 15: a process was held up when SIGTERM came, counted its time from the
-// moment in which it went on, and still owed an answer at the kill after another hold-up.
-TEST_CASE("SIGTERM to a process that is held up: what comes is answered a hold-up's time before the kill") {
+// Soak seed 15: a process was suspended when SIGTERM came and measured its shutdown from when it resumed.
+// After another suspension it had not sent a response when SIGKILL came. The process must measure from the
+// signal, and respond so early that a suspension of 150 ms still fits before SIGKILL.
+TEST_CASE("SIGTERM to a suspended process: later requests get a response at least 150 ms before SIGKILL") {
     constexpr milliseconds kKill{400 + 700};
-    constexpr milliseconds kHoldUp{130};
-    constexpr milliseconds kLongestHoldUp{150};
+    constexpr milliseconds kSuspension{130};
+    constexpr milliseconds kLongestSuspension{150};
     Platform platform(384, {{"\"deadlineUs\":1500000", "\"deadlineUs\":400000"},
                             {"\"deadlineUs\":3000000", "\"deadlineUs\":400000"}});
     auto& fixture = platform.fixture;
-    fixture.node().onConnection = [](TestConnection&) {};  // it answers nothing
+    fixture.node().onConnection = [](TestConnection&) {};  // the node never responds
     auto& process = platform.startReady();
     const auto client = platform.client();
     const auto since = std::chrono::steady_clock::now();
     const auto elapsed = [&] { return std::chrono::steady_clock::now() - since; };
     process.signal(SIGSTOP);
     process.signal(SIGTERM);
-    fixture.waitUntil([&] { return elapsed() >= kHoldUp; }, "the hold-up is over");
+    fixture.waitUntil([&] { return elapsed() >= kSuspension; }, "the suspension is over");
     process.signal(SIGCONT);
     platform.waitUntilLogged(process, "stopping: 0 requests open");
-    fixture.waitUntil([&] { return elapsed() >= kKill / 2; }, "half of the time is over");
+    fixture.waitUntil([&] { return elapsed() >= kKill / 2; }, "half of the time until SIGKILL is over");
     client->send(PlatformRequest{.id = id(1), .deadlineMs = 2'000}.text());
     fixture.waitUntil([&] { return client->hasReceived("\r\n\r\n"); }, "the answer");
-    CHECK(elapsed() < kKill - kLongestHoldUp);
+    CHECK(elapsed() < kKill - kLongestSuspension);
 }
--- a/tests/http/health_endpoints_test.cpp
+++ b/tests/http/health_endpoints_test.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-TEST_CASE("agent check: the front sends its state and closes") {
+TEST_CASE("agent check: the front sends its state and closes the connection") {
     GatewayFixture fixture;
     health::GatewayStatus report{true, false, 0.5};
     const auto agent = health::makeAgentCheckListener(fixture.io, {"127.0.0.1", 0}, [&] { return report; });
@@ -28,7 +28,7 @@
     stop(*agent);
 }
 
-TEST_CASE("HTTP check: the front answers with its readiness and closes") {
+TEST_CASE("HTTP check: the front responds with its readiness and closes the connection") {
     GatewayFixture fixture;
     health::GatewayStatus report{true, false, 0.5};
     const auto http = health::makeHttpCheckListener(fixture.io, {"127.0.0.1", 0}, [&] { return report; });
--- a/tests/http/http_test_support.h
+++ b/tests/http/http_test_support.h
@@ -1,4 +1,4 @@
-// Requests and reads that several tests of this folder share.
+// Helpers shared by the tests of this folder: long requests and blocking reads.
 #pragma once
 
 #include <string>
@@ -7,13 +7,13 @@
 
 namespace wingproxy::test {
 
-// A Req-Id with this number.
+// The Req-Id for a number: 16 hexadecimal digits.
 inline std::string id(int number) { return fmt::format("{:016x}", number); }
 
-// Longer than is buffered: it is streamed.
+// Exceeds kMaxBufferedBody, so it is streamed.
 inline const std::string kLongBody(200'000, 'x');
 
-// The head of a PUT whose body follows.
+// The head of a PUT; the caller sends the body. `framing` is the header line that announces it.
 inline std::string streamedPut(std::string_view framing, const std::string& id = "9b1f03aa5c7e2d41",
                                int deadlineMs = 3000, std::string_view fields = "",
                                std::string_view version = "1.1") {
@@ -24,7 +24,7 @@
         version, id, deadlineMs, fields, framing);
 }
 
-// Reads everything that arrives; the error says whether the connection ended with a FIN (eof) or a reset.
+// Reads until the connection ends; returns eof after a FIN, or the error of a reset.
 inline boost::system::error_code readToEnd(tcp::socket& socket, std::string& got) {
     boost::system::error_code error;
     socket.non_blocking(false);
--- a/tests/http/invalid_responses_test.cpp
+++ b/tests/http/invalid_responses_test.cpp
@@ -1,10 +1,10 @@
-// Node responses that are invalid, stalled, or surrounded by surplus bytes.
+// Node responses that are invalid, stalled, or preceded or followed by other bytes.
 #include "support/net_support.h"
 
 using namespace wingproxy;
 using namespace wingproxy::test;
 
-// Buffering one such response could fill the memory in under a second.
+// Buffering one such response could exhaust the memory in less than a second.
 TEST_CASE("a response that announces 3 GB is a reset as soon as its head is read") {
     GatewayFixture fixture;
     const auto client = fixture.client();
@@ -75,8 +75,8 @@
     fixture.waitUntil([&] { return client->hasReceived("bien"); });
 }
 
-// A busy core must not take its own pause for the node's.
-TEST_CASE("unread bytes in the socket keep a response from being a stalled one") {
+// A front that does not get to read for a while must not treat its own pause as a stall of the node.
+TEST_CASE("a response with unread bytes in the socket is not treated as stalled") {
     GatewayFixture fixture;
     std::shared_ptr<net::Connection> connection;
     const auto acquisition = fixture.pool.acquire(fixture.node().address(), [&](auto c) { connection = c; });
@@ -93,7 +93,7 @@
     asio::write(node, asio::buffer(" O", 2));
     for (const auto since = std::chrono::steady_clock::now();
          std::chrono::steady_clock::now() - since < std::chrono::milliseconds(60);) {
-    }  // the loop stands still
+    }  // blocks the event loop for longer than the stall timeout of 50 ms
     fixture.waitUntil([&] { return result || connection->in.size() == 14; });
     REQUIRE(!result);
     asio::write(node, asio::buffer("K\r\nContent-Length: 0\r\n\r\n", 24));
@@ -101,11 +101,11 @@
     CHECK(*result == net::HttpExchange::Result::Completed);
 }
 
-// What stands before a response, or cannot be read in its head, takes nothing from it; what follows belongs
-// to no request.
+// Interim responses before a response and invalid load fields in its head are ignored; bytes that follow it
+// belong to no request, so the connection is not reused.
 TEST_CASE(
-    "interim responses, unreadable load fields and surplus bytes do not harm a response, and none serve "
-    "another") {
+    "interim responses, invalid load fields and surplus bytes do not affect a response, and serve no other "
+    "request") {
     GatewayFixture fixture;
     const auto client = fixture.client();
     client->send(PlatformRequest{}.text());
@@ -119,7 +119,7 @@
     CHECK(second != node);
     second->send(ok("dos"));
     fixture.waitUntil([&] { return client->hasReceived("dos"); });
-    // Between the choice of an idle connection and the first byte on it something came: another one is used.
+    // Bytes that arrive on an idle connection between its selection and its first use: another one is used.
     std::shared_ptr<net::Connection> got;
     const auto acquisition =
         fixture.pool.acquire(fixture.node().address(), [&](auto connection) { got = connection; });
--- a/tests/http/keep_alive_test.cpp
+++ b/tests/http/keep_alive_test.cpp
@@ -1,4 +1,4 @@
-// Requests that are served, and connections that are reused.
+// Forwarding of requests, and reuse of client and node connections.
 #include "http/http_test_support.h"
 
 using namespace wingproxy;
@@ -18,7 +18,7 @@
     client->clearReceived();
     node->clearReceived();
     client->send(PlatformRequest{.id = "00000000000000b2"}.text());
-    CHECK(fixture.waitForNodeToReceive("00000000000000b2") == node);  // no second connection, on either side
+    CHECK(fixture.waitForNodeToReceive("00000000000000b2") == node);  // no second connection on either side
     node->send(ok("otra"));
     fixture.waitUntil([&] { return client->hasReceived("otra"); });
     CHECK(fixture.front.sessionManager().accepted() == 1);
@@ -37,14 +37,14 @@
         node->send(answer.substr(30));
         fixture.waitUntil([&] { return client->hasReceived(body); });
         client->clearReceived();
-        client->send("GET / HTTP/1.1\r\nX: " + std::string(ring, 'a'));  // a head that never ends
+        client->send("GET / HTTP/1.1\r\nX: " + std::string(ring, 'a'));  // a head that exceeds the buffer
         fixture.waitUntil([&] { return client->hasReceived("HTTP/1.1 431 ") && client->ended; });
     }
 }
 
 TEST_CASE("pipelined requests are not served, and the response closes the connection") {
     GatewayFixture fixture;
-    const auto client = fixture.client(), blank = fixture.client();
+    const auto client = fixture.client(), sendsEmptyLine = fixture.client();
     client->send(PlatformRequest{.id = id(1)}.text() + PlatformRequest{.id = id(2)}.text());
     const auto node = fixture.waitForNodeToReceive(id(1));
     client->send(PlatformRequest{.id = id(3)}.text());
@@ -52,14 +52,15 @@
     fixture.waitUntil([&] { return client->hasReceived("uno") && client->ended; });
     CHECK(fixture.engine.counters().received == 1);
     CHECK(fixture.front.counters().pipelined == 1);
-    blank->send(PlatformRequest{.kind = "alta", .body = "x"}.text() + "\r\n");  // old clients' habit
+    // Some old clients send an empty line after a body.
+    sendsEmptyLine->send(PlatformRequest{.kind = "alta", .body = "x"}.text() + "\r\n");
     fixture.waitForNodeToReceive("Idempotency-Key")->send(ok("dos"));
-    fixture.waitUntil([&] { return blank->hasReceived("dos"); });
-    CHECK(!blank->hasReceived("Connection: close"));
+    fixture.waitUntil([&] { return sendsEmptyLine->hasReceived("dos"); });
+    CHECK(!sendsEmptyLine->hasReceived("Connection: close"));
     CHECK(fixture.front.counters().pipelined == 1);
 }
 
-TEST_CASE("the readiness path is answered for a request that arrives in two parts") {
+TEST_CASE("the readiness path responds to a request that arrives in two parts") {
     GatewayFixture fixture;
     const auto client = fixture.client();
     client->send("GET /up HT");
--- a/tests/http/message_writer_test.cpp
+++ b/tests/http/message_writer_test.cpp
@@ -1,4 +1,4 @@
-// What is sent to nodes and clients.
+// Serialization of requests to nodes and of responses to clients.
 #include "http/message_writer.h"
 
 #include <doctest/doctest.h>
@@ -19,14 +19,14 @@
 
 }  // namespace
 
-TEST_CASE("message writer: a node gets the request as it came, with the remaining time") {
+TEST_CASE("message writer: a node gets the request without hop-by-hop fields and with the remaining time") {
     auto message = request();
     message.body() = "abc";
     const auto text = http::serializeNodeRequest(message, "1.2.3.4:5", 90'500);
     CHECK(text.find("PUT /api?a=b HTTP/1.1\r\n") == 0);
     CHECK(text.find("Req-Deadline-Ms: 90\r\n") != std::string::npos);
     CHECK(text.find("480") == std::string::npos);
-    CHECK(text.find("X-Hop") == std::string::npos);  // hop-by-hop, as the field Connection names it
+    CHECK(text.find("X-Hop") == std::string::npos);  // hop-by-hop, as Connection names it
     CHECK(text.substr(text.size() - 7) == "\r\n\r\nabc");
 }
 
@@ -39,7 +39,8 @@
               .ends_with("Transfer-Encoding: chunked\r\n\r\n"));
 }
 
-TEST_CASE("message writer: a response has its length, and says whether the connection closes") {
+TEST_CASE(
+    "message writer: a response has its Content-Length, and Connection: close if the connection closes") {
     CHECK(http::serializeResponse(200, "A: b\r\n", "up", true) ==
           "HTTP/1.1 200 OK\r\nA: b\r\nContent-Length: 2\r\n\r\nup");
     CHECK(http::serializeResponse(503, "", "", false) ==
@@ -50,7 +51,7 @@
     CHECK(http::formatRetryAfter(150'000) == "0.150");
 }
 
-TEST_CASE("message writer: Retry-After is bounded by the settings, or left out") {
+TEST_CASE("message writer: Retry-After is limited or disabled by the settings") {
     Settings settings;
     settings.sendsRetryAfter = true;
     settings.maxRetryAfterUs = 40'000;
--- a/tests/http/node_request_writer_test.cpp
+++ b/tests/http/node_request_writer_test.cpp
@@ -1,4 +1,4 @@
-// A request on its way into the send buffer of a node's connection.
+// Writing a request to the send buffer of a node connection.
 #include "http/node_request_writer.h"
 
 #include <doctest/doctest.h>
@@ -10,7 +10,7 @@
 
 namespace {
 
-// A client that gives its body as far as it has come.
+// A client whose body can be consumed as far as the test has set `received`.
 struct StreamingClient : http::ClientStream {
     std::size_t consumeBody(char* to, std::size_t capacity) override {
         if (onConsume) onConsume();
@@ -30,7 +30,7 @@
     std::function<void()> onConsume;
 };
 
-// Takes all that the buffer holds, as a write to the socket does.
+// Removes and returns all bytes of the buffer, as a write to the socket does.
 std::string drain(net::RingBuffer& buffer) {
     std::string text;
     for (const auto& part : buffer.newest(buffer.size()))
@@ -49,7 +49,8 @@
 
 }  // namespace
 
-TEST_CASE_FIXTURE(Fixture, "node request writer: a request that is longer than the buffer goes in parts") {
+TEST_CASE_FIXTURE(Fixture,
+                  "node request writer: a request that is longer than the buffer is written in parts") {
     http::NodeRequestWriter writer(std::string(100, 'x'), std::nullopt, client);
     CHECK(writer.fill(out) == Progress::BufferFull);
     CHECK(drain(out) == std::string(64, 'x'));
@@ -60,7 +61,7 @@
     CHECK(!writer.hasConsumedBody());
 }
 
-TEST_CASE_FIXTURE(Fixture, "node request writer: a streamed body follows the head as it comes") {
+TEST_CASE_FIXTURE(Fixture, "node request writer: a streamed body follows the head as it arrives") {
     http::NodeRequestWriter writer("head ", kTenBytes, client);
     CHECK(writer.fill(out) == Progress::AwaitingBody);
     CHECK(drain(out) == "head ");
@@ -83,7 +84,8 @@
     CHECK(drain(out) == "head 5\r\n12345\r\n0\r\n\r\n");
 }
 
-TEST_CASE_FIXTURE(Fixture, "node request writer: a last chunk that does not fit follows in the next call") {
+TEST_CASE_FIXTURE(Fixture,
+                  "node request writer: a last chunk that does not fit is written by the next call") {
     client->received = std::string(40, 'b');
     client->complete = true;
     http::NodeRequestWriter writer("head ", kChunked, client);
@@ -93,7 +95,7 @@
     CHECK(drain(out) == "0\r\n\r\n");
 }
 
-TEST_CASE_FIXTURE(Fixture, "node request writer: without its client a streamed body does not go on") {
+TEST_CASE_FIXTURE(Fixture, "node request writer: a streamed body stops when its client is gone") {
     http::NodeRequestWriter writer("head ", kTenBytes, client);
     client = nullptr;
     CHECK(writer.fill(out) == Progress::AwaitingBody);
@@ -101,7 +103,7 @@
 }
 
 TEST_CASE_FIXTURE(Fixture,
-                  "node request writer: an attempt that ends while the body is taken sends no more") {
+                  "node request writer: an attempt that ends while it consumes the body writes no more") {
     http::NodeRequestWriter writer("head ", kTenBytes, client);
     client->received = "12345";
     client->onConsume = [&writer] { writer.stop(); };
--- a/tests/http/node_response_test.cpp
+++ b/tests/http/node_response_test.cpp
@@ -34,14 +34,14 @@
     CHECK(!http::interpretNodeResponse(response, testSettings()).requestSpent);
 }
 
-TEST_CASE("node response: the load fields are translated to the policy's figures") {
+TEST_CASE("node response: the load fields are translated to the policy's values") {
     http::ResponseMessage response;
     CHECK(http::interpretNodeResponse(response, testSettings()).loadPercent == 0);  // no field
     response.set("Volume-Load", "85");
     response.set("Other-Hosts", "3.5");
     response.set("Srv-Load", "queue=7");
     const auto result = http::interpretNodeResponse(response, testSettings());
-    CHECK(result.loadPercent == 86);  // one more, as 0 stands for no field
+    CHECK(result.loadPercent == 86);  // the field plus 1, as 0 means that the field is missing
     CHECK(result.loadElsewhere == 3.5);
     CHECK(result.loadReport == std::vector<double>{7});
 }
--- a/tests/http/open_request_ids_test.cpp
+++ b/tests/http/open_request_ids_test.cpp
@@ -16,7 +16,7 @@
     CHECK(ids.list().empty());
 }
 
-TEST_CASE("open request ids: ids of another process are open until their time, and are not listed") {
+TEST_CASE("open request ids: ids of another process are open until they expire, and are not listed") {
     http::OpenRequestIds ids;
     ids.setOpenElsewhere({"b"}, 100);
     CHECK(ids.isOpen("b", 99));
--- a/tests/http/peer_transport_test.cpp
+++ b/tests/http/peer_transport_test.cpp
@@ -5,7 +5,7 @@
 using namespace wingproxy;
 using namespace wingproxy::test;
 
-TEST_CASE("datagrams are taken only from peers, and only up to 256 bytes") {
+TEST_CASE("datagrams are accepted only from peers, and only up to 256 bytes") {
     auto config = testConfig();
     asio::io_context probeIo;
     asio::ip::udp::socket peer(probeIo, {asio::ip::make_address_v4("127.0.0.1"), 0});
@@ -19,7 +19,8 @@
     config.settings.mayGossip = true;
     GatewayFixture fixture(std::move(config));
     const asio::ip::udp::endpoint to{asio::ip::make_address_v4("127.0.0.1"), port};
-    peer.send_to(asio::buffer(std::string(200, 'a')), to);  // not a message of the module's: it ignores it
+    // Not a valid message: it is counted as malformed and ignored.
+    peer.send_to(asio::buffer(std::string(200, 'a')), to);
     peer.send_to(asio::buffer(std::string(257, 'a')), to);
     stranger.send_to(asio::buffer(std::string(20, 'a')), to);
     fixture.waitUntil([&] {
@@ -27,8 +28,8 @@
         return c.received == 1 && c.oversize == 1 && c.unknown == 1;
     });
     CHECK(fixture.engine.recovery().counters().malformed == 1);  // the one that was received
-    fixture.waitUntil(
-        [&] { return fixture.peers.counters().sent > 0; });  // the module's own words, from the same address
+    // The policy's own gossip is sent from the same address.
+    fixture.waitUntil([&] { return fixture.peers.counters().sent > 0; });
     std::array<char, 512> bytes{};
     asio::ip::udp::endpoint from;
     CHECK(peer.receive_from(asio::buffer(bytes), from) <= 256);
--- a/tests/http/pending_request_test.cpp
+++ b/tests/http/pending_request_test.cpp
@@ -1,4 +1,4 @@
-// A request at the engine: which response its client gets.
+// Pending requests: which response the client gets.
 #include "http/pending_request.h"
 
 #include "support/net_support.h"
@@ -8,7 +8,7 @@
 
 namespace {
 
-// A client that records what it is sent.
+// A client that records the responses it gets.
 struct RecordingClient : http::ClientStream {
     std::size_t consumeBody(char*, std::size_t) override { return 0; }
     bool isBodyConsumed() const override { return true; }
@@ -24,7 +24,7 @@
     int streamsCompleted = 0;
 };
 
-// A pending request of a recording client, without any socket.
+// Makes a pending request whose client records its responses and has no socket.
 struct Fixture {
     std::unique_ptr<http::PendingRequest> make() {
         auto message = std::make_shared<http::RequestMessage>(boost::beast::http::verb::get, "/api", 11);
@@ -56,7 +56,7 @@
     CHECK(client->streamsCompleted == 0);
 }
 
-TEST_CASE_FIXTURE(Fixture, "pending request: an attempt without a kept response was streamed") {
+TEST_CASE_FIXTURE(Fixture, "pending request: an attempt without a stored response completes the stream") {
     const auto request = make();
     request->deliverResponse(AttemptIndex(0));
     CHECK(client->responses.empty());
@@ -70,7 +70,7 @@
     CHECK(client->responses == std::vector<std::string>{"503|Retry-After: 0.150\r\n|", "500||"});
 }
 
-TEST_CASE_FIXTURE(Fixture, "pending request: nothing is sent to a client that is gone") {
+TEST_CASE_FIXTURE(Fixture, "pending request: nothing is sent to a client that has disconnected") {
     const auto request = make();
     client = nullptr;
     request->keepResponse(AttemptIndex(0), response("uno"), nullptr);
--- a/tests/http/platform_request_support.h
+++ b/tests/http/platform_request_support.h
@@ -8,7 +8,7 @@
 
 namespace wingproxy::test {
 
-/// Those of tests/support/config.json.
+/// The settings of tests/support/config.json.
 inline Settings testSettings() { return testConfig().settings; }
 
 /// A request of the class "alta" that is valid with any method.
--- a/tests/http/rate_limits_test.cpp
+++ b/tests/http/rate_limits_test.cpp
@@ -1,4 +1,4 @@
-// Rate limits of plans through the platform's front.
+// Rate limits of plans, through the HTTP front.
 #include "support/net_support.h"
 
 using namespace wingproxy;
--- a/tests/http/rejection_test.cpp
+++ b/tests/http/rejection_test.cpp
@@ -1,4 +1,4 @@
-// The responses of requests that the front rejects itself.
+// Responses to requests that the front rejects itself.
 #include "http/rejection.h"
 
 #include <doctest/doctest.h>
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-TEST_CASE("rejection: a message over a limit has the status of that limit") {
+TEST_CASE("rejection: a message that exceeds a limit is rejected with the status for that limit") {
     using boost::beast::http::error;
     CHECK(http::rejectUnreadable(error::header_limit).status == 431);
     CHECK(http::rejectUnreadable(error::body_limit).status == 413);
--- a/tests/http/request_parser_test.cpp
+++ b/tests/http/request_parser_test.cpp
@@ -1,4 +1,4 @@
-// Platform requests: the fields of a valid one, and the error of each invalid one.
+// Platform requests: the fields of a valid request, and the error of each invalid field.
 #include "http/request_parser.h"
 
 #include <doctest/doctest.h>
@@ -20,7 +20,7 @@
     CHECK(parsed.request.volumeHosts == 3);
 }
 
-TEST_CASE("request parser: a missing or invalid field is named") {
+TEST_CASE("request parser: the error of a missing or invalid field names it") {
     const struct {
         const char *field, *value;
         http::RequestError error;
--- a/tests/http/request_reader_test.cpp
+++ b/tests/http/request_reader_test.cpp
@@ -1,4 +1,4 @@
-// Reading of requests from a receive buffer.
+// Reading requests from a receive buffer.
 #include "http/request_reader.h"
 
 #include <doctest/doctest.h>
@@ -26,7 +26,8 @@
 
 }  // namespace
 
-TEST_CASE("request framing: a length and chunks, or chunks in HTTP/1.0, are ambiguous") {
+TEST_CASE(
+    "request framing: Content-Length with chunked coding, or chunked coding in HTTP/1.0, is ambiguous") {
     CHECK(http::checkFraming(head(11, "chunked", "4")) == http::FramingError::AmbiguousLength);
     CHECK(http::checkFraming(head(10, "chunked")) == http::FramingError::AmbiguousLength);
 }
@@ -37,7 +38,7 @@
     CHECK(http::checkFraming(head(11, "gzip")) == http::FramingError::UnsupportedCoding);
 }
 
-TEST_CASE_FIXTURE(Fixture, "request reader: a request in parts is complete with its last byte") {
+TEST_CASE_FIXTURE(Fixture, "request reader: a request that arrives in parts is complete with its last byte") {
     receive("PUT / HTTP/1.1\r\nContent-");
     CHECK(!reader.readHead(error));
     CHECK(reader.hasBegun());
@@ -50,7 +51,8 @@
     CHECK(reader.body().releaseBytes() == "abc");
 }
 
-TEST_CASE_FIXTURE(Fixture, "request reader: a long length is streamed before its body arrives") {
+TEST_CASE_FIXTURE(Fixture,
+                  "request reader: a body with a long Content-Length is streamed before it arrives") {
     receive("PUT / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n");
     REQUIRE(reader.readHead(error));
     CHECK(reader.announcesLongBody());
@@ -59,7 +61,7 @@
     CHECK(reader.streamedFraming().length == 70'000);
 }
 
-TEST_CASE_FIXTURE(Fixture, "request reader: chunks are streamed once they are longer than is buffered") {
+TEST_CASE_FIXTURE(Fixture, "request reader: a chunked body is streamed once it exceeds the buffer limit") {
     receive("PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
     REQUIRE(reader.readHead(error));
     const std::string piece(1000, 'x');
@@ -77,7 +79,7 @@
     CHECK(reader.body().size() == sent - sizeof first);
 }
 
-TEST_CASE_FIXTURE(Fixture, "request reader: an unreadable message is invalid, with its error") {
+TEST_CASE_FIXTURE(Fixture, "request reader: a message that cannot be parsed is invalid, and sets the error") {
     receive("PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n");
     REQUIRE(reader.readHead(error));
     CHECK(reader.readBody(error) == RequestProgress::Invalid);
--- a/tests/http/request_rejections_test.cpp
+++ b/tests/http/request_rejections_test.cpp
@@ -15,9 +15,9 @@
         {"GET /api HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", "400", "", true},
         {"GET /api HTTP/1.1\r\nX: " + std::string(9000, 'a') + "\r\n\r\n", "431", "", true},
         {"PUT /api HTTP/1.1\r\nContent-Length: 70000000\r\n\r\n", "413", "", true},
-        // With the first bytes of the body right behind the head: the length alone is enough.
+        // The first bytes of the body follow the head: the announced length alone causes the rejection.
         {"PUT /api HTTP/1.1\r\nContent-Length: 80000000\r\n\r\n" + std::string(1000, 'a'), "413", "", true},
-        // Two lengths, either way round, may hide a second request.
+        // Two framings, in either order, would allow request smuggling.
         {"PUT /api HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" +
              PlatformRequest{}.text(),
          "400", "", true},
@@ -47,8 +47,9 @@
     CHECK(fixture.engine.counters().received == 0);
 }
 
-// A close with unread bytes resets the connection, and what the client has not read yet is lost.
-TEST_CASE("a client that goes on sending a body that is too long receives its 413") {
+// A close with unread bytes would reset the connection, and the client would lose the response it has not
+// read yet.
+TEST_CASE("a client that goes on sending a body that is too long receives the 413 response") {
     GatewayFixture fixture;
     tcp::socket client(fixture.io);
     client.connect(net::tcpEndpoint(fixture.front.sessionManager().address()));
@@ -57,7 +58,8 @@
     asio::steady_timer pace(fixture.io);
     int sent = 0;
     boost::system::error_code broken;
-    const std::function<void()> more = [&] {  // for longer than a quiet connection would linger
+    // 16 pieces 50 ms apart, which is longer than the quiet period of a lingering close (300 ms).
+    const std::function<void()> more = [&] {
         pace.expires_after(std::chrono::milliseconds(50));
         pace.async_wait([&](auto) {
             asio::write(client, asio::buffer(piece), broken);
@@ -76,7 +78,7 @@
     CHECK(answer.find("HTTP/1.1 413 ") == 0);
 }
 
-TEST_CASE("a Req-Id of an open request is rejected with 409, and free again after its response") {
+TEST_CASE("the Req-Id of an open request is rejected with 409, and accepted again after its response") {
     GatewayFixture fixture;
     const auto client = fixture.client(), copy = fixture.client();
     client->send(PlatformRequest{}.text());
@@ -89,13 +91,13 @@
     CHECK(fixture.engine.counters().received == 1);
     copy->clearReceived();
     node->clearReceived();
-    copy->send(PlatformRequest{}.text());  // it is free again
+    copy->send(PlatformRequest{}.text());  // the Req-Id may be used again
     fixture.waitForNodeToReceive("Req-Id")->send(ok("otra"));
     fixture.waitUntil([&] { return copy->hasReceived("otra"); });
 }
 
-// The memory limit holds whatever clients and nodes send at one time.
-TEST_CASE("beyond the memory budget a request is rejected, and a response is a reset") {
+// The memory limit holds however much clients and nodes send at the same time.
+TEST_CASE("beyond the memory budget a request is rejected, and a response fails its attempt") {
     auto config = testConfig();
     config.memoryMb = 16;
     GatewayFixture fixture(std::move(config));
@@ -122,9 +124,9 @@
 }
 
 TEST_CASE("Retry-After of the front's own rejections follows the settings") {
-    for (const bool advice : {true, false}) {
+    for (const bool sendsRetryAfter : {true, false}) {
         auto config = testConfig();
-        config.settings.sendsRetryAfter = advice;
+        config.settings.sendsRetryAfter = sendsRetryAfter;
         config.settings.maxRetryAfterUs = 40'000;
         GatewayFixture fixture(std::move(config), 1, 1);
         const auto partial = fixture.client();
@@ -133,8 +135,8 @@
         const auto next = fixture.client();
         fixture.waitUntil([&] { return partial->ended; });
         CHECK(partial->hasReceived("HTTP/1.1 503 "));
-        CHECK(partial->hasReceived("Retry-After: 0.040\r\n") == advice);
-        CHECK(partial->hasReceived("Retry-After") == advice);
+        CHECK(partial->hasReceived("Retry-After: 0.040\r\n") == sendsRetryAfter);
+        CHECK(partial->hasReceived("Retry-After") == sendsRetryAfter);
     }
 }
 
@@ -147,7 +149,8 @@
 }
 
 TEST_CASE(
-    "a short body that is announced with Expect gets 100 Continue at once, before any node is involved") {
+    "a short body that is announced with Expect gets 100 Continue at once, before a node connection is "
+    "opened") {
     GatewayFixture fixture;
     const auto client = fixture.client();
     auto text = PlatformRequest{.kind = "alta", .body = "datos"}.text();
--- a/tests/http/response_deadline_test.cpp
+++ b/tests/http/response_deadline_test.cpp
@@ -1,4 +1,4 @@
-// Until when a response has to be sent.
+// The time by which a response has to be sent.
 #include "http/response_deadline.h"
 
 #include <doctest/doctest.h>
@@ -13,17 +13,17 @@
 
 }  // namespace
 
-TEST_CASE("response deadline: the client's timeout without the time that the response travels") {
+TEST_CASE("response deadline: the client's timeout minus the response's transit time") {
     const http::ResponseDeadline deadline(kSubmittedAt, kClientTimeout);
     CHECK(deadline.time() == kSubmittedAt + kClientTimeout - kTransitTime);
 }
 
-TEST_CASE("response deadline: it counts from the last time that the socket was read empty") {
+TEST_CASE("response deadline: it is counted from when the socket was last read empty") {
     http::ResponseDeadline deadline(kSubmittedAt, kClientTimeout);
     deadline.onSocketDrained(kSubmittedAt + 400);
     CHECK(deadline.time() == kSubmittedAt + 400 + kClientTimeout - kTransitTime);
 }
 
-TEST_CASE("response deadline: a timeout below the travel time is over at once") {
+TEST_CASE("response deadline: a timeout below the transit time expires at once") {
     CHECK(http::ResponseDeadline(kSubmittedAt, kTransitTime - 1).time() == kSubmittedAt);
 }
--- a/tests/http/retries_test.cpp
+++ b/tests/http/retries_test.cpp
@@ -1,4 +1,4 @@
-// Which failures of an attempt are retried, on real sockets.
+// Which failures of an attempt are retried, over sockets.
 #include "http/http_test_support.h"
 #include "support/net_support.h"
 
@@ -6,17 +6,18 @@
 using namespace wingproxy::test;
 
 TEST_CASE(
-    "a request whose streamed body was partly sent is rejected instead of retried when the node breaks off") {
+    "a request whose streamed body was partly sent is rejected and not retried when the node resets the "
+    "connection") {
     GatewayFixture fixture;
     const auto client = fixture.client();
     client->send(streamedPut(fmt::format("Content-Length: {}\r\n", kLongBody.size())) +
                  kLongBody.substr(0, 100'000));
     fixture.waitForNodeToReceive("xxxx")->reset();
     fixture.waitUntil([&] { return client->hasReceived("HTTP/1.1 503 "); });
-    client->send(kLongBody.substr(100'000));  // it may go on sending, and has its answer
+    client->send(kLongBody.substr(100'000));  // it may go on sending after the response
     fixture.waitUntil([&] { return client->ended; });
     CHECK(fixture.engine.counters().attempts == 1);
-    // Before a byte of it went anywhere another attempt can have it.
+    // This outcome allows a retry, but no other attempt can send the part of the body that was consumed.
     CHECK(fixture.outcomes(Outcome::ConnectFailed) == 1);
 }
 
@@ -30,7 +31,7 @@
         node->clearReceived();
         node->send(i == 2 ? ok("x") : status(504, "Srv-Declined: 1\r\n"));
         fixture.waitUntil([&] { return client->hasReceived(i == 2 ? " 200 " : " 503 "); });
-        // The next try names the right node: it need not wait, as it meets no backlog.
+        // Retry-After is only 1 ms: the client's next request names the right node, so it meets no backlog.
         CHECK(client->hasReceived("Retry-After: 0.001\r\n") == (i != 2));
     }
     CHECK(fixture.engine.counters().attempts == 3);
@@ -43,7 +44,7 @@
         CAPTURE(head);
         auto config = testConfig();
         for (auto& c : config.settings.classes)
-            c.latencyObjectiveUs = 20'000'000;  // patience with a pause: 250 ms
+            c.latencyObjectiveUs = 20'000'000;  // so that the stall timeout is its maximum, 250 ms
         GatewayFixture fixture(std::move(config));
         const auto client = fixture.client();
         client->send(PlatformRequest{.deadlineMs = 30'000}.text());
@@ -89,7 +90,7 @@
     const auto client = fixture.client();
     client->send(PlatformRequest{.kind = "alta", .deadlineMs = 400}.text());
     fixture.waitUntil([&] { return client->hasReceived("\r\n\r\n"); });
-    CHECK(client->hasReceived("HTTP/1.1 503 "));  // nothing ran, so it may be refused
+    CHECK(client->hasReceived("HTTP/1.1 503 "));  // no node ran it, so it is rejected and does not fail
     CHECK(client->hasReceived("Retry-After: "));
     CHECK(fixture.outcomes(Outcome::ConnectFailed) >= 1);
     CHECK(fixture.outcomes(Outcome::Reset) == 0);
--- a/tests/http/slow_clients_test.cpp
+++ b/tests/http/slow_clients_test.cpp
@@ -1,4 +1,4 @@
-// Clients that send slowly or not at all.
+// Clients that send their requests slowly or not at all.
 #include "support/net_support.h"
 
 using namespace wingproxy;
@@ -33,12 +33,12 @@
     GatewayFixture fixture;
     const auto client = fixture.client();
     const auto since = std::chrono::steady_clock::now();
-    const auto passed = [&](milliseconds span) {  // the client's own pace
+    const auto waitUntilElapsed = [&](milliseconds span) {  // since the client connected
         fixture.waitUntil([&] { return std::chrono::steady_clock::now() - since > span; });
     };
-    passed(milliseconds(1'500));
+    waitUntilElapsed(milliseconds(1'500));
     client->send("GET /up HT");
-    passed(milliseconds(3'200));
+    waitUntilElapsed(milliseconds(3'200));
     CHECK(!client->ended);
     client->send("TP/1.1\r\n\r\n");
     fixture.waitUntil([&] { return client->hasReceived("HTTP/1.1 200 "); });
--- a/tests/http/streamed_response_test.cpp
+++ b/tests/http/streamed_response_test.cpp
@@ -1,4 +1,4 @@
-// Framing of responses that are passed on while they arrive.
+// Framing of responses that are forwarded while they arrive.
 #include "http/streamed_response.h"
 
 #include <doctest/doctest.h>
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Gives this text once.
+// A source that supplies the text in one piece, then nothing.
 http::ClientStream::BodySource once(std::string text) {
     return [text = std::move(text)](char* to, std::size_t capacity) mutable {
         REQUIRE(text.size() <= capacity);
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-TEST_CASE("streamed response: a known length is announced, and the pieces are sent as they are") {
+TEST_CASE("streamed response: with a known length the pieces are sent without chunk framing") {
     StreamedResponse response({"text/plain", 5}, once("datos"), false);
     CHECK(response.framing() == ResponseFraming::ContentLength);
     CHECK(response.serializeHead(true) ==
@@ -38,7 +38,7 @@
     CHECK(response.terminator().empty());
 }
 
-TEST_CASE("streamed response: an unknown length is sent in chunks") {
+TEST_CASE("streamed response: a body of unknown length is sent in chunks") {
     StreamedResponse response({"", std::nullopt}, once("datos"), false);
     CHECK(response.framing() == ResponseFraming::Chunked);
     CHECK(response.serializeHead(true) == "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -48,14 +48,14 @@
     CHECK(response.terminator() == "0\r\n\r\n");
 }
 
-TEST_CASE("streamed response: to HTTP/1.0 an unknown length ends with the connection") {
+TEST_CASE("streamed response: for HTTP/1.0 a body of unknown length ends with the connection") {
     const StreamedResponse response({"", std::nullopt}, once(""), true);
     CHECK(response.framing() == ResponseFraming::UntilClose);
     CHECK(response.serializeHead(false) == "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
     CHECK(response.terminator().empty());
 }
 
-TEST_CASE("streamed response: nothing is taken from the source after its end") {
+TEST_CASE("streamed response: nothing is read from the source after the response has ended") {
     StreamedResponse response({"", 5}, once("datos"), false);
     response.end();
     net::RingBuffer out(net::kMinRingBytes);
--- a/tests/http/streaming_bodies_test.cpp
+++ b/tests/http/streaming_bodies_test.cpp
@@ -1,4 +1,4 @@
-// Request and response bodies that are streamed, and how their ends are framed.
+// Streamed request and response bodies, and how their ends are marked.
 #include <fstream>
 
 #include "http/http_test_support.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Most memory that this process ever had, in MB.
+// The peak resident memory of this process, in MiB.
 double peakMemoryMb() {
     std::ifstream in("/proc/self/status");
     std::string word;
@@ -19,7 +19,7 @@
     return kb / 1024;
 }
 
-// Sends so many bytes as fast as they are taken, and counts what arrives without keeping it.
+// Sends a number of bytes as fast as the peer reads them, and counts received bytes without storing them.
 struct ByteStream : std::enable_shared_from_this<ByteStream> {
     explicit ByteStream(tcp::socket s) : socket(std::move(s)) {}
     void count() {
@@ -33,14 +33,14 @@
     }
     void send(std::size_t bytes) {
         left = bytes;
-        more();
+        sendNext();
     }
-    void more() {
+    void sendNext() {
         if (left == 0) return;
         socket.async_write_some(asio::buffer(out, std::min(left, out.size())),
                                 [self = shared_from_this()](auto error, std::size_t n) {
                                     self->left -= std::min(self->left, n);
-                                    if (!error) self->more();
+                                    if (!error) self->sendNext();
                                 });
     }
     tcp::socket socket;
@@ -72,7 +72,7 @@
 
 }  // namespace
 
-// 40 MB up and 40 MB down with a memory limit of 48 MB.
+// A 40 MB request and a 40 MB response, with a memory limit of 48 MB.
 TEST_CASE("bodies beyond the memory budget are streamed in both directions while small requests are served") {
     auto config = testConfig();
     config.memoryMb = 48;
@@ -80,35 +80,35 @@
     constexpr std::size_t kBytes = 40'000'000;
     fixture.node(1).onConnection = [](TestConnection& connection) { connection.autoResponse = ok("x"); };
     const auto before = peakMemoryMb();
-    // Up: the node counts what it gets.
+    // The upload: the node counts the bytes it receives.
     tcp::socket up(fixture.io), down(fixture.io);
     up.connect(net::tcpEndpoint(fixture.front.sessionManager().address()));
     const auto uploader = std::make_shared<ByteStream>(std::move(up));
     const auto head = streamedPut(fmt::format("Content-Length: {}\r\n", kBytes), "a1a1a1a1a1a1a1a1", 60'000);
     asio::write(uploader->socket, asio::buffer(head));
-    // A node that keeps nothing: the stand-in's own reader would buffer all of it.
-    std::shared_ptr<ByteStream> taker, giver;
+    // A node that stores nothing: the stub server's reader would buffer the whole body.
+    std::shared_ptr<ByteStream> receivingNode, sendingNode;
     tcp::acceptor plain(fixture.io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     auto list = config::EndpointListing{
         {EndpointListKind::Delta, 2, {{"s-0", "z", CellIndex(0), 1, NodeState::Ready, 1}}},
         {{"127.0.0.1", plain.local_endpoint().port()}}};
     fixture.engine.endpointListReceived(std::move(list));
     plain.async_accept([&](auto, tcp::socket socket) {
-        taker = std::make_shared<ByteStream>(std::move(socket));
-        taker->count();
+        receivingNode = std::make_shared<ByteStream>(std::move(socket));
+        receivingNode->count();
         plain.async_accept(
-            [&](auto, tcp::socket second) { giver = std::make_shared<ByteStream>(std::move(second)); });
+            [&](auto, tcp::socket second) { sendingNode = std::make_shared<ByteStream>(std::move(second)); });
     });
-    fixture.waitUntil([&] { return taker != nullptr; });
+    fixture.waitUntil([&] { return receivingNode != nullptr; });
     uploader->send(kBytes);
-    // Down: the same node gives.
+    // The download: the same node sends.
     down.connect(net::tcpEndpoint(fixture.front.sessionManager().address()));
     const auto reader = std::make_shared<ByteStream>(std::move(down));
     asio::write(reader->socket, asio::buffer(PlatformRequest{.id = "a2a2a2a2a2a2a2a2"}.text()));
-    fixture.waitUntil([&] { return giver != nullptr; });
+    fixture.waitUntil([&] { return sendingNode != nullptr; });
     const auto answer = fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", kBytes);
-    asio::write(giver->socket, asio::buffer(answer));
-    giver->send(kBytes);
+    asio::write(sendingNode->socket, asio::buffer(answer));
+    sendingNode->send(kBytes);
     reader->count();
     const auto small = fixture.client();
     for (int i = 0; i < 300; ++i) {
@@ -117,10 +117,10 @@
         fixture.waitUntil([&] { return small->hasReceived("\r\n\r\nx"); }, "a small answer");
         CHECK(small->hasReceived(" 200 "));
     }
-    fixture.waitUntil([&] { return reader->received > kBytes && taker->received > kBytes; },
+    fixture.waitUntil([&] { return reader->received > kBytes && receivingNode->received > kBytes; },
                       "both long bodies");
-    CHECK(taker->received < kBytes + 1000);
-    asio::write(taker->socket, asio::buffer(ok("hecho")));
+    CHECK(receivingNode->received < kBytes + 1000);
+    asio::write(receivingNode->socket, asio::buffer(ok("hecho")));
     uploader->count();
     fixture.waitUntil([&] { return uploader->received > 0 && fixture.engine.openRequests() == 0; });
     CHECK(peakMemoryMb() - before < 24);
@@ -128,7 +128,7 @@
     CHECK(fixture.engine.counters().byClass[1].delivered == 1);
 }
 
-TEST_CASE("a long request body reaches the node unchanged in every framing, and is answered once") {
+TEST_CASE("a long request body reaches the node unchanged in every framing, and gets one response") {
     const struct {
         std::string text;
         bool expects = false;
@@ -214,13 +214,13 @@
         fixture.waitUntil([&] { return fixture.engine.openRequests() == 0; });
         CHECK(fixture.engine.counters().total().delivered == 1);
         if (c.closes) continue;
-        client->clearReceived();  // the connection goes on
+        client->clearReceived();  // the connection is reused
         client->send("GET /up HTTP/1.1\r\n\r\n");
         fixture.waitUntil([&] { return client->hasReceived("up\n"); });
     }
 }
 
-// What the client does not read is not read from the node either.
+// The front reads from the node only as much as the client reads.
 TEST_CASE("a slow reader applies back-pressure to its own node only, and its response is not buffered") {
     GatewayFixture fixture(testConfig(), 2);
     fixture.node(1).onConnection = [](TestConnection& connection) { connection.autoResponse = ok("x"); };
@@ -230,11 +230,11 @@
     slow.connect(net::tcpEndpoint(fixture.front.sessionManager().address()));
     asio::write(slow, asio::buffer(PlatformRequest{}.text()));
     const auto node = fixture.waitForNodeToReceive("Req-Id");
-    const auto giver = std::make_shared<ByteStream>(std::move(node->socket));
+    const auto sendingNode = std::make_shared<ByteStream>(std::move(node->socket));
     constexpr std::size_t kBytes = 32'000'000;
-    asio::write(giver->socket,
+    asio::write(sendingNode->socket,
                 asio::buffer(fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", kBytes)));
-    giver->send(kBytes);
+    sendingNode->send(kBytes);
     char byte = 0;
     for (int i = 0; i < 50; ++i) {
         fixture.waitUntil([&] { return slow.available() > 0; });
@@ -243,18 +243,18 @@
         other->send(PlatformRequest{.id = fmt::format("{:016x}", i + 10), .shard = 1}.text());
         fixture.waitUntil([&] { return other->hasReceived("\r\n\r\nx"); });
     }
-    CHECK(giver->left > kBytes / 2);  // it waits in the node, but for what the system's buffers took
+    CHECK(sendingNode->left > kBytes / 2);  // unsent at the node, except for what the kernel's buffers hold
     fixture.waitUntil([&] { return fixture.engine.bodyBudget().reservedBytes() == 0; });
     CHECK(fixture.engine.openRequests() == 1);
-    // A client that leaves in the middle takes its node's connection along.
+    // When the client disconnects during the response, its node connection is closed.
     slow.close();
     fixture.waitUntil([&] {
         return fixture.engine.openRequests() == 0 && fixture.pool.openConnections() == 1;
-    });  // the other node's is kept
+    });  // the other node's connection is kept
     CHECK(fixture.engine.counters().disconnected == 1);
 }
 
-TEST_CASE("a streamed response that breaks off closes the client's connection before the announced length") {
+TEST_CASE("a truncated streamed response closes the client's connection before the announced length") {
     GatewayFixture fixture;
     const auto client = fixture.client();
     client->send(PlatformRequest{}.text());
@@ -282,6 +282,6 @@
         CHECK(client->hasReceived("HTTP/1.1 200 "));
         CHECK(client->hasReceived("Content-Length: 12\r\n"));
         CHECK(fixture.node().connections.size() == 1);
-        fixture.waitUntil([&] { return node->ended; });  // and the connection serves no other
+        fixture.waitUntil([&] { return node->ended; });  // the connection is not reused
     }
 }
