--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -244,7 +244,7 @@
 
 void Proxy::startShutdown() {
     if (shutdown_.scheduled()) return;
-    shutdown_.schedule(longestDeadline(config_.settings), engine_.earliestSignal());
+    shutdown_.schedule(longestDeadline(config_.settings), engine_.earliestSignalTime());
     requestsBeforeShutdown_ = engine_.counters().received;
     logger_.info("stopping: {} requests open", engine_.openRequests());
     const ShutdownMode mode = beginDraining();
--- a/src/net/engine.cpp
+++ b/src/net/engine.cpp
@@ -135,7 +135,7 @@
     timer_.async_wait([this](const boost::system::error_code& error) {
         if (error || stopped_) return;
         timerAt_ = core::State::kNoWake;
-        holdUps_.onRunning(std::chrono::steady_clock::now());
+        pauseDetector_.onRunning(std::chrono::steady_clock::now());
         process(core::TimerExpired{});
     });
 }
--- a/src/net/engine.h
+++ b/src/net/engine.h
@@ -17,7 +17,7 @@
 #include "log/log.h"
 #include "net/byte_budget.h"
 #include "net/clock.h"
-#include "net/hold_up_detector.h"
+#include "net/pause_detector.h"
 
 namespace wingproxy::net {
 
@@ -146,10 +146,10 @@
     boost::asio::io_context& io() { return io_; }
     /// Microseconds since the Unix epoch; never goes back.
     Micros now() const { return clock_.now(); }
-    /// The earliest time at which a signal that is handled now may have been sent: the process may have been
-    /// held up meanwhile.
-    HoldUpDetector::TimePoint earliestSignal() const {
-        return holdUps_.earliestSent(std::chrono::steady_clock::now());
+    /// The earliest time at which a signal that is handled now may have been sent: a pause of the process
+    /// delays the handling.
+    PauseDetector::TimePoint earliestSignalTime() const {
+        return pauseDetector_.earliestSendTime(std::chrono::steady_clock::now());
     }
     /// The clock behind `now()`, for timers at a time of the engine's.
     const Clock& clock() const { return clock_; }
@@ -219,7 +219,7 @@
     Settings settings_;
     config::EndpointListing initialEndpoints_;
     core::State state_;
-    HoldUpDetector holdUps_{std::chrono::steady_clock::now()};
+    PauseDetector pauseDetector_{std::chrono::steady_clock::now()};
     boost::asio::steady_timer timer_;
     Micros timerAt_ = core::State::kNoWake;
     bool batchEndScheduled_ = false;
