--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -161,7 +161,7 @@
 }
 
 void Proxy::openListener() {
-    if (config_.inheritedListenerFd >= 0) front_.sessionManager().open();
+    if (config_.inheritedListenerFd >= 0) front_.sessionManager().startAccepting();
     logListening(config_.name, front_.sessionManager().address());
 }
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -32,7 +32,7 @@
     acceptor_.non_blocking(true);
 }
 
-void Listener::open() { waitForClient(); }
+void Listener::startAccepting() { waitForClient(); }
 
 void Listener::release() {
     boost::system::error_code ignored;
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -31,7 +31,7 @@
              int inherited = -1);
 
     /// Starts to accept.
-    void open();
+    void startAccepting();
     /// Accepts the clients that wait in the system's queue, then closes the socket.
     void close();
     /// Closes this process's descriptor only; the clients that wait are for another process.
--- a/src/net/session_manager.cpp
+++ b/src/net/session_manager.cpp
@@ -28,7 +28,7 @@
                 inherited),
       address_(listener_.address()),
       sweepTimer_(io) {
-    if (inherited < 0) open();
+    if (inherited < 0) startAccepting();
     sweep();
 }
 
--- a/src/net/session_manager.h
+++ b/src/net/session_manager.h
@@ -28,12 +28,12 @@
     /// Binds, and accepts at once unless the listening socket is inherited.
     /// \param capacity the limit of connections
     /// \param ringBytes of each direction's ring buffer of a connection
-    /// \param inherited see `Listener`; such a manager accepts after open()
+    /// \param inherited see `Listener`; such a manager accepts after startAccepting()
     SessionManager(boost::asio::io_context& io, const config::Endpoint& address, std::size_t capacity,
                    SessionFactory makeSession, std::size_t ringBytes = kMaxRingBytes, int inherited = -1);
 
     /// Starts to accept; only for a manager with an inherited listening socket.
-    void open() { listener_.open(); }
+    void startAccepting() { listener_.startAccepting(); }
     /// Stops to accept and leaves the waiting clients to another process that has the same socket.
     void releaseListener() { listener_.release(); }
     /// Accepts the clients that wait, then closes the listening socket.
