--- a/src/net/byte_budget.h
+++ b/src/net/byte_budget.h
@@ -1,7 +1,7 @@
 /// \file
-/// Limits the bytes of message bodies that all requests and responses together hold in memory. Owns the count
-/// of reserved bytes, nothing of the bodies themselves. The limit is what the memory setting leaves beside
-/// the connections' ring buffers.
+/// Limits the memory, in bytes, that the bodies of all requests and responses take together. Owns the count
+/// of reserved bytes, not the bodies. The limit is a share of the configured memory; the connections' ring
+/// buffers have another share.
 #pragma once
 
 #include <cstddef>
@@ -12,22 +12,22 @@
 /// A counter of reserved bytes with a limit. Single-threaded: all calls are made on the event loop.
 class ByteBudget {
 public:
-    /// A reservation. Its bytes return to the budget when the last copy is destroyed, which may be after the
-    /// budget itself is gone.
+    /// A reservation. Its bytes return to the budget when the last copy is destroyed; a copy may outlive the
+    /// budget.
     using Reservation = std::shared_ptr<void>;
 
     /// \param limit in bytes
     explicit ByteBudget(std::size_t limit) : limit_(limit), reserved_(std::make_shared<std::size_t>(0)) {}
 
     /// Reserves `bytes`.
-    /// \return an empty pointer if they do not fit beside what is reserved already
+    /// \return null if the reserved bytes would then exceed the limit
     Reservation reserve(std::size_t bytes) {
         if (bytes > limit_ || *reserved_ > limit_ - bytes) return nullptr;
         *reserved_ += bytes;
         return Reservation(reserved_.get(), [reserved = reserved_, bytes](void*) { *reserved -= bytes; });
     }
 
-    /// The bytes reserved now.
+    /// The number of bytes that are reserved now.
     std::size_t reservedBytes() const { return *reserved_; }
 
 private:
--- a/src/net/chunked_coding.h
+++ b/src/net/chunked_coding.h
@@ -1,5 +1,5 @@
 /// \file
-/// Writing message bodies in the chunked transfer coding (RFC 9112, 7.1). Stateless.
+/// Writes message bodies in the chunked transfer coding (RFC 9112, 7.1). Stateless.
 #pragma once
 
 #include <fmt/format.h>
@@ -11,15 +11,15 @@
 
 namespace wingproxy::net {
 
-/// The most bytes that the chunked coding adds to one piece of a body: its size in hexadecimal digits and two
-/// line ends.
+/// Upper bound of the bytes that the chunked coding adds to one piece of a body: its size in hexadecimal
+/// digits and two line ends.
 constexpr std::size_t kMaxChunkOverhead = 16;
 
 /// Ends a chunked body without trailer fields.
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
-/// Appends a piece of a body to `out`, framed as one chunk if `chunked`. The caller makes sure that the piece
-/// fits, with `kMaxChunkOverhead` bytes more if chunked.
+/// Appends a piece of a body to `out`, framed as one chunk if `chunked`. The caller ensures that the piece
+/// fits, plus `kMaxChunkOverhead` bytes if chunked.
 inline void appendBodyPiece(RingBuffer& out, std::string_view piece, bool chunked) {
     if (chunked) out.append(fmt::format("{:x}\r\n", piece.size()));
     out.append(piece);
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,5 +1,5 @@
 /// \file
-/// The process's one clock, and the only place where the policy's `Micros` and std::chrono meet.
+/// The process's clock, and conversions between the policy's `Micros` and std::chrono.
 #pragma once
 
 #include <chrono>
@@ -8,14 +8,15 @@
 
 namespace wingproxy::net {
 
-/// A duration of the policy's as one of the standard library's.
+/// Converts a duration of the policy to std::chrono.
 constexpr std::chrono::microseconds toDuration(Micros micros) { return std::chrono::microseconds(micros); }
 
-/// A duration of the standard library's in the policy's unit. A finer one does not convert without a cast.
+/// Converts a std::chrono duration to the policy's unit. One of a finer resolution needs an explicit cast.
 constexpr Micros toMicros(std::chrono::microseconds duration) { return duration.count(); }
 
 /// Unix time in microseconds that never goes back: the system clock is read once, at construction, and the
-/// steady clock is added to it. Unix time is needed because `startedAtMs` of the endpoint list counts so.
+/// time that has passed since then on the steady clock is added. It is Unix time because `startedAtMs` of
+/// the endpoint list is.
 class Clock {
 public:
     Clock()
@@ -27,7 +28,7 @@
     /// Microseconds since the Unix epoch.
     Micros now() const { return startUs_ + sinceStart().count(); }
 
-    /// The point of the steady clock at which `now()` is `when`; timers are set to it.
+    /// The steady clock's time point at which `now()` is `when`, to set timers.
     std::chrono::steady_clock::time_point at(Micros when) const {
         return start_ + std::chrono::microseconds(when - startUs_);
     }
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -1,6 +1,6 @@
 /// \file
-/// One TCP connection to a node, with its ring buffers. Whoever holds it owns the socket and closes it by
-/// dropping the connection.
+/// One TCP connection to a node, with its ring buffers. The connection owns the socket: its destruction
+/// closes the socket.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -14,22 +14,22 @@
 /// The socket address of a configured endpoint, whose host is an IPv4 address.
 boost::asio::ip::tcp::endpoint tcpEndpoint(const config::Endpoint& endpoint);
 
-/// A connection to a node, from its socket's creation on.
+/// A connection to a node. It exists from the socket's creation on, before the socket is connected.
 struct Connection {
-    /// \param ringBytes of each direction's ring buffer
+    /// \param ringBytes size of each direction's ring buffer
     Connection(boost::asio::io_context& io, std::size_t ringBytes);
 
-    /// Whether an idle connection may carry another request: it is open, and nothing came on it. Bytes that
-    /// came unasked belong to an earlier response, and would be taken for the next one.
+    /// Whether an idle connection may carry another request: it is open and has no unread bytes. Unsolicited
+    /// bytes belong to an earlier response and would be taken for the next one.
     bool isReusable();
-    /// Sets a socket that has just connected to non-blocking and without delay of small segments.
+    /// Makes a newly connected socket non-blocking and disables Nagle's algorithm.
     void configureSocket();
 
     boost::asio::ip::tcp::socket socket;
     RingBuffer in;
     RingBuffer out;
-    config::Endpoint node;                            ///< the node
-    std::chrono::steady_clock::time_point idleSince;  ///< of a connection in the pool
+    config::Endpoint node;                            ///< the node's address
+    std::chrono::steady_clock::time_point idleSince;  ///< when it was last released to the pool
 };
 
 }  // namespace wingproxy::net
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -5,8 +5,7 @@
 namespace wingproxy::net {
 namespace {
 
-// Enough for several thousand nodes with indentation; the largest fleet that the protocol names
-// has 200.
+// Fits several thousand nodes in indented JSON; the largest fleet that the protocol names has 200.
 constexpr std::size_t kMaxListBytes = std::size_t{1024} * 1024;
 constexpr unsigned kStatusOk = 200;
 
@@ -41,7 +40,7 @@
     cancelPoll();
     pool_.closeIdleTo(address_);
     address_ = address;
-    needsFullList_ = true;  // versions may count differently there
+    needsFullList_ = true;  // the versions of another server may count differently
     if (watching_) poll();
 }
 
@@ -114,11 +113,11 @@
     ++counters_.answers;
     needsFullList_ = false;
     continuesWatch_ = true;
-    if (watching_) poll();  // at once: the protocol allows 200 ms between two requests of a watch
+    if (watching_) poll();  // at once: the protocol allows at most 200 ms between two requests of a watch
 }
 
-// The policy is told, as it must assume that the next list's changes were announced before. Where lists are
-// polled it orders the retry; where they are pushed it never does.
+// Informs the policy, which must then assume that the changes in the next list were announced earlier. Where
+// lists are polled, the policy orders the retry; where they are pushed, it never does.
 void DiscoveryClient::fail(DiscoveryError error) {
     ++counters_.failed;
     cancelPoll();
--- a/src/net/discovery_client.h
+++ b/src/net/discovery_client.h
@@ -1,6 +1,6 @@
 /// \file
-/// The discovery client: watches the endpoint list by one request after another, each of which names the list
-/// version that the last response left. Owns its connection pool and the request in flight.
+/// The discovery client: watches the endpoint list by long polling. Each request names the list version that
+/// was received last. Owns its connection pool and the request in flight.
 #pragma once
 
 #include <memory>
@@ -12,7 +12,7 @@
 
 namespace wingproxy::net {
 
-/// Gets endpoint lists and passes them to the engine. Single-threaded; the engine must outlive it.
+/// Fetches endpoint lists and passes them to the engine. Single-threaded; the engine must outlive it.
 class DiscoveryClient {
 public:
     /// Totals since the start.
@@ -23,12 +23,13 @@
         std::uint64_t malformed = 0;  ///< responses that were no endpoint list
     };
 
-    /// Starts to watch at once where lists are pushed; else the policy orders it.
+    /// Where lists are pushed, the watch starts at once; where they are polled, the policy starts it.
     DiscoveryClient(Engine& engine, const config::Endpoint& address, WatchTiming timing = {});
 
-    /// Starts a request unless one is in flight, or ends the watch.
+    /// Starts the watch with a request, unless one is in flight already; or ends the watch.
     void setWatching(bool enabled);
-    /// Changes the address of discovery: cancels the request in flight and gets the full list from there.
+    /// Changes the address of discovery. A new address cancels the request in flight; the next request gets
+    /// the full list from there.
     void setAddress(const config::Endpoint& address);
     /// Ends the watch and closes the connections.
     void stop();
@@ -56,8 +57,8 @@
     std::shared_ptr<HttpExchange> exchange_;
     bool watching_ = false;
     bool pollInFlight_ = false;
-    bool continuesWatch_ = false;  // the next request follows a response, and does not queue
-    bool needsFullList_ = false;   // the next request gets the full list, without a wait
+    bool continuesWatch_ = false;  // the next request follows a response, and does not queue in discovery
+    bool needsFullList_ = false;   // the next request gets the full list and is answered at once
     Counters counters_;
 };
 
--- a/src/net/discovery_error.h
+++ b/src/net/discovery_error.h
@@ -6,7 +6,7 @@
 
 namespace wingproxy::net {
 
-/// What went wrong with one request; the next one follows in each case.
+/// Why one request failed. In each case another request follows.
 enum class DiscoveryError {
     ConnectFailed,
     TimedOut,
@@ -15,7 +15,7 @@
     MalformedList,
 };
 
-/// The text for log lines.
+/// The error's text for log lines.
 std::string_view describe(DiscoveryError error);
 
 }  // namespace wingproxy::net
--- a/src/net/engine.h
+++ b/src/net/engine.h
@@ -1,7 +1,7 @@
 /// \file
 /// Runs the reducer on the event loop. Owns the core state, the requests in flight, the addresses of the
-/// listed nodes and the policy's timer: inputs come from the fronts, node clients, discovery and peers, and
-/// the reducer's effects go back to them.
+/// listed nodes and the policy's timer. Inputs come from the fronts, node clients, discovery and peers; the
+/// engine passes the reducer's effects back to them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,52 +21,53 @@
 
 namespace wingproxy::net {
 
-/// Where and until when an attempt runs. Times are those of `Engine::now()`.
+/// Address and time limits of an attempt. Times are those of `Engine::now()`.
 struct AttemptParams {
     RequestId id = 0;
     AttemptIndex attempt{0};
-    config::Endpoint node;                           ///< where to connect
-    Micros firstByteBy = 0;                          ///< later no byte may be sent
-    Micros timeoutAt = 0;                            ///< the reducer stops the attempt then
-    Micros lastByteBy = core::StartAttempt::kNever;  ///< later the request's last byte may not be sent
+    config::Endpoint node;                           ///< address to connect to
+    Micros firstByteBy = 0;                          ///< after it, the first byte may not be sent
+    Micros timeoutAt = 0;                            ///< the reducer stops the attempt at this time
+    Micros lastByteBy = core::StartAttempt::kNever;  ///< after it, the request's last byte may not be sent
 };
 
-/// One attempt on the wire. It calls `Engine::attemptFinished` once, unless it is cancelled first.
+/// An attempt that is running. It calls `Engine::attemptFinished` once, unless it is cancelled first.
 class Attempt {
 public:
     virtual ~Attempt() = default;
-    /// Closes the connection; the attempt reports nothing more.
+    /// Closes the connection. The attempt reports nothing afterwards.
     virtual void cancel() = 0;
 };
 
-/// The front's side of one request: how to send it to a node, and how to respond to the client. Each request
-/// gets exactly one of `deliverResponse`, `sendRejection` and `sendFailure`, unless its client disconnected
-/// before.
+/// The front's side of one request: sends it to nodes and responds to the client. Exactly one of
+/// `deliverResponse`, `sendRejection` and `sendFailure` is called for each request, unless its client
+/// disconnects before.
 class RequestHandler {
 public:
     virtual ~RequestHandler() = default;
     /// Starts an attempt. It may finish before this returns.
     virtual std::shared_ptr<Attempt> startAttempt(const AttemptParams& params) = 0;
-    /// Answers with the response of that attempt, which finished as `Outcome::Ok`.
+    /// Sends the client the response of that attempt, which finished as `Outcome::Ok`.
     virtual void deliverResponse(AttemptIndex attempt) = 0;
-    /// Rejects the request: nothing ran, and the client may retry after that time.
+    /// Rejects the request: it was not executed, and the client may retry after that time.
     virtual void sendRejection(Micros retryAfterUs) = 0;
-    /// Answers that the request failed.
+    /// Tells the client that the request failed.
     virtual void sendFailure() = 0;
 };
 
-/// What a successor process starts from; see `Engine::takeSnapshot`.
+/// The state that a successor process starts from; see `Engine::takeSnapshot`.
 struct EngineSnapshot {
     core::StateSnapshot core;
     std::vector<config::Endpoint> addresses;  ///< one for each of core.endpoints, in its order
     std::int64_t listVersion = 0;
 };
 
-/// Joins the reducer to the event loop. Single-threaded: all calls are made on the loop of `io()`. Inputs
-/// change the state at once; the policy decides when all inputs of one turn of the loop have been put in.
+/// Connects the reducer to the event loop. Single-threaded: all calls are made on the loop of `io()`. Inputs
+/// change the state immediately; the policy decides after all inputs of a turn of the loop have been
+/// processed.
 class Engine {
 public:
-    /// Receivers of the effects that belong to no request.
+    /// Handlers of the effects that belong to no request.
     struct EffectHandlers {
         std::function<void(PeerRecipient to, const std::string&)> sendPeerMessage;
         std::function<void(bool enabled)> watchEndpointList;
@@ -76,52 +77,54 @@
     /// \param io, logger must outlive the engine
     Engine(boost::asio::io_context& io, const config::Config& config, log::Logger& logger);
 
-    /// Sets the receivers. To be called before start(); an effect without a receiver is dropped.
+    /// Sets the handlers. To be called before start(); an effect without a handler is dropped.
     void setEffectHandlers(EffectHandlers handlers) { effectHandlers_ = std::move(handlers); }
     /// Applies the cached endpoint list and lets the policy decide for the first time.
     void start();
     /// Cancels all attempts. Later inputs are ignored.
     void stop();
 
-    /// Takes in a request.
-    /// \return the id, which is assigned here
+    /// Accepts a request from a front.
+    /// \return the id that was assigned to it
     RequestId submit(Request request, std::shared_ptr<RequestHandler> handler);
-    /// The client of an unanswered request is gone: its handler is not called any more.
+    /// The client of an unanswered request has disconnected: its handler sends no response any more.
     void clientDisconnected(RequestId id);
     /// The front runs out of client connections.
-    /// \param connections how many of those that waiting requests hold should be freed by rejecting them
+    /// \param connections how many connections to free by rejecting waiting requests
     void capacityNeeded(int connections) { process(CapacityNeeded{connections}); }
     /// The program shuts down gracefully, without a successor.
     /// \param servesUntilUs when the last response is sent
     void shutdownStarted(Micros servesUntilUs) { process(ShutdownStarted{servesUntilUs}); }
-    /// The last byte of the request was written to the node's connection: the node may run it from now on.
+    /// The last byte of the request was written to the node's connection: the node may execute it from now
+    /// on.
     void attemptRequestSent(RequestId id, AttemptIndex attempt) {
         trace("request {} attempt {} sent", id, attempt.value());
         process(core::AttemptRequestSent{id, attempt});
     }
-    /// The head of a response arrived, of which the body is still coming: the node has done its work.
+    /// The head of a response arrived, but not yet its whole body: the node has executed the request.
     void responseHeadReceived(RequestId id, AttemptIndex attempt) {
         process(core::ResponseHeadReceived{id, attempt});
     }
-    /// The first bytes of the node's response go to the client, so that no other attempt can replace it.
-    /// \param unbounded the node has done its work, and no deadline runs any more
+    /// The first bytes of the node's response are being forwarded to the client, so no other attempt can
+    /// replace it.
+    /// \param unbounded the node has executed the request, and no deadline applies any more
     void responseForwardingStarted(RequestId id, AttemptIndex attempt, bool unbounded = false) {
         process(core::ResponseForwardingStarted{id, attempt, unbounded});
     }
     /// The last byte of a streamed request body arrived.
-    /// \param deadlineUs until when the response has to be sent, counted from that byte
+    /// \param deadlineUs time limit for the response, counted from that byte
     void requestBodyCompleted(RequestId id, Micros deadlineUs) {
         process(RequestBodyCompleted{id, deadlineUs});
     }
-    /// An attempt has ended. Releases it, and may start the next attempt or respond to the client before it
-    /// returns.
+    /// An attempt has ended. Releases it, and may start the next attempt or respond to the client before
+    /// this call returns.
     void attemptFinished(core::AttemptFinished result) { process(std::move(result)); }
-    /// Takes in a complete endpoint list, or the changes to the last one.
+    /// Applies a complete endpoint list, or changes to the last one.
     void endpointListReceived(config::EndpointListing listing);
-    /// The endpoint list could not be had: the policy is told, and the last one stays.
+    /// The endpoint list could not be fetched: informs the policy, and the last list stays in use.
     void endpointListUnavailable();
-    /// A datagram came from another host.
-    /// \param from index of the peer
+    /// A datagram arrived from another host.
+    /// \param from the sender's host index
     void peerMessageReceived(HostIndex from, std::string bytes) {
         process(PeerMessageReceived{from, std::move(bytes)});
     }
@@ -129,17 +132,18 @@
     void healthCheckCompleted(HealthCheckCompleted check) { process(std::move(check)); }
 
     /// Sets or ends the administrative drain of a node, which has precedence over the endpoint list.
-    /// \return false: the id was never listed
+    /// \return false if no endpoint list has ever contained the id
     bool setAdminDrain(const std::string& node, bool drained);
-    /// Applies overrides that another process of this front was given.
+    /// Applies administrative overrides that another process of this front received.
     void applyOverrides(const core::AdminOverrides& overrides);
-    /// The newest administrative order for each node.
+    /// The newest administrative override of each node.
     const core::AdminOverrides& overrides() const { return state_.overrides(); }
 
-    /// What a successor process starts from. The requests in flight are no part of it: they end here.
+    /// Takes the state that a successor process starts from. Requests in flight are not part of it: they end
+    /// in this process.
     EngineSnapshot takeSnapshot();
-    /// Starts from a predecessor's snapshot. To be called before start().
-    /// \return false: the policy's part did not fit these settings and is left out
+    /// Restores a predecessor's snapshot. To be called before start().
+    /// \return false if the policy's part does not fit these settings and was left out
     bool restore(EngineSnapshot snapshot);
 
     /// The event loop on which everything runs.
@@ -151,7 +155,7 @@
     PauseDetector::TimePoint earliestSignalTime() const {
         return pauseDetector_.earliestSendTime(std::chrono::steady_clock::now());
     }
-    /// The clock behind `now()`, for timers at a time of the engine's.
+    /// The clock of `now()`, for timers that are set to one of its times.
     const Clock& clock() const { return clock_; }
     /// Memory for the bodies of all requests and responses.
     ByteBudget& bodyBudget() { return bodyBudget_; }
@@ -159,14 +163,14 @@
     const Settings& settings() const { return settings_; }
     /// The program's log.
     log::Logger& logger() { return logger_; }
-    /// Logs one step of a request at the level `debug`, behind the steady clock's time in microseconds, which
-    /// all processes of a machine share.
+    /// Logs one step of a request at the level `debug`, prefixed with the steady clock's time in
+    /// microseconds. All processes of a machine share that clock.
     template <typename... Args>
     void trace(fmt::format_string<Args...> format, Args&&... args) {
         if (!logger_.writes(log::Level::Debug)) return;
         logger_.debug("{} {}", steadyMicros(), fmt::vformat(format, fmt::make_format_args(args...)));
     }
-    /// What was sent to nodes in slow start.
+    /// Counters of what was sent to nodes in slow start.
     core::SlowStartCounters slowStartCounters() const { return state_.slowStartCounters(); }
     /// Requests that have no final response yet.
     std::size_t openRequests() const { return state_.openRequests(); }
@@ -176,11 +180,11 @@
     std::size_t avoidedNodes() const { return state_.avoidedNodes(); }
     /// Nodes under an administrative drain.
     std::size_t adminDrainedNodes() const { return state_.adminDrainedNodes(); }
-    /// What this host may spend and lend after its start.
+    /// The recovery of this host's limits after its start: what it may spend and lend.
     const fleet::RestartRecovery& recovery() const { return state_.recovery(); }
-    /// The version of the endpoint list that was received last, as discovery counts them.
+    /// The version of the endpoint list that was received last, as discovery counts versions.
     std::int64_t listVersion() const { return listVersion_; }
-    /// Entries of all tables together, to see in the metrics that none grows without bound.
+    /// The total number of entries of all tables; the metrics show by it that no table grows without bound.
     std::size_t tableEntries() const { return state_.tableEntries() + requests_.size() + addresses_.size(); }
     /// Totals since the start.
     const core::Counters& counters() const { return state_.counters(); }
@@ -207,7 +211,7 @@
     void apply(const WatchEndpointList& effect);
     void apply(const StartHealthCheck& effect);
     void apply(const LogLine& effect);
-    // Returns the handler if the request had no response yet, else null.
+    // Returns the handler if the request had no response yet; null otherwise.
     std::shared_ptr<RequestHandler> markAnswered(RequestId id);
     std::shared_ptr<Attempt> removeAttempt(RequestId id, AttemptIndex attempt);
     void eraseIfComplete(RequestId id);
--- a/src/net/http_exchange.h
+++ b/src/net/http_exchange.h
@@ -1,6 +1,6 @@
 /// \file
-/// One HTTP request and its response on a connection that is already up. Owns the connection until it is
-/// released by takeReusableConnection(); used for health checks and discovery, whose messages are short.
+/// One HTTP request and its response on an established connection. Owns the connection until
+/// takeReusableConnection() returns it; used for health checks and discovery, whose messages are short.
 #pragma once
 
 #include <boost/beast/http/string_body.hpp>
@@ -27,15 +27,15 @@
     enum class Result {
         Completed,       ///< the response is complete
         NotWritten,      ///< the connection broke before the request's last byte was written
-        ConnectionLost,  ///< it broke later, or what came is no valid response
+        ConnectionLost,  ///< it broke later, or the response is invalid
     };
 
     /// Called once, unless the exchange is cancelled. The response is empty unless the result is Completed.
     using OnFinished = std::function<void(Result, Response)>;
 
-    /// A response that has begun must bring more bytes within this time, else it is ConnectionLost: one that
-    /// announces more than it sends would keep its caller waiting until the deadline. Long against the
-    /// retransmission of a lost packet.
+    /// A response that has begun and brings no more bytes within this time ends as ConnectionLost. Otherwise
+    /// a response that announces more bytes than it sends would keep its caller waiting until the deadline.
+    /// Long compared with the retransmission of a lost packet.
     static constexpr std::chrono::milliseconds kStallTimeout{250};
 
     /// \param request the complete message, which is copied
@@ -45,9 +45,10 @@
 
     /// Writes the request, then reads the response. To be called once.
     void start();
-    /// Closes the connection and calls nothing.
+    /// Closes the connection. The callback is not called.
     void cancel();
-    /// After Completed: gives the connection away if it may carry another exchange, else returns null.
+    /// After Completed: releases the connection to the caller if it may carry another exchange, else returns
+    /// null.
     std::shared_ptr<Connection> takeReusableConnection();
 
 private:
--- a/src/net/lingering_close.h
+++ b/src/net/lingering_close.h
@@ -1,5 +1,5 @@
 /// \file
-/// The time rules of a graceful close. A value without a timer or a socket.
+/// The time limits of a lingering close. A value type without a timer or a socket.
 #pragma once
 
 #include <algorithm>
@@ -8,15 +8,16 @@
 namespace wingproxy::net {
 
 /// Limits how long a connection lingers: after the sending side is shut down, the client gets time to read
-/// the last response and to close. A close while the client still sends, as with a request body that is too
-/// long, would reset the connection and could take the response back. The connection is closed after a period
-/// without bytes, and in any case at a limit.
+/// the last response and to close. Closing while the client still sends, for example a request body that is
+/// too long, would reset the connection and could discard the response before the client has read it. The
+/// connection is closed after a period without bytes from the client, and at the latest at a fixed limit.
 class LingeringClose {
 public:
-    /// Steady, as the limits must not follow changes of the system's time.
+    /// Monotonic, so that changes of the system time do not affect the limits.
     using Clock = std::chrono::steady_clock;
 
-    /// Many times a round trip in the network of one site.
+    /// How long a client may send nothing before its connection is closed. Many times the round-trip time
+    /// within one site's network.
     static constexpr std::chrono::milliseconds kQuietPeriod{300};
 
     /// Starts lingering.
@@ -29,7 +30,8 @@
     bool isActive() const { return active_; }
     /// When to close if no byte comes after `now`.
     Clock::time_point closeAt(Clock::time_point now) const { return std::min(now + kQuietPeriod, until_); }
-    /// Whether it has lasted so long that the connection may be closed in favour of a new client.
+    /// Whether it has lasted longer than `kQuietPeriod`, so that the connection may be closed in favour of a
+    /// new client.
     bool isEvictable(Clock::time_point now) const { return now - since_ > kQuietPeriod; }
 
 private:
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -7,8 +7,8 @@
 
 using boost::asio::ip::tcp;
 
-// How soon capacity or a free descriptor is looked for again: short against a client's connect timeout, and
-// long enough not to keep the processor busy.
+// Delay before the next attempt while there is no capacity or no free descriptor: short compared with a
+// client's connect timeout, and long enough not to keep the processor busy.
 constexpr std::chrono::milliseconds kRetryDelay{10};
 
 bool nothingToAccept(const boost::system::error_code& error) {
@@ -45,7 +45,7 @@
     return {bound.address().to_string(), bound.port()};
 }
 
-// Waits for a client before it makes capacity: an idle connection is closed only for one that is there.
+// Waits for a client before capacity is freed, so that an idle connection is closed only if a client waits.
 void Listener::waitForClient() {
     acceptor_.async_wait(tcp::acceptor::wait_read, [this](const boost::system::error_code& error) {
         if (!error && acceptor_.is_open()) acceptClient();
@@ -53,7 +53,7 @@
 }
 
 void Listener::acceptClient() {
-    // Without capacity clients stay in the system's queue: better than accepting one and dropping it.
+    // Without capacity, clients stay in the listen queue, rather than being accepted and then dropped.
     if (callbacks_.isFull() && !callbacks_.evictOne()) return retryLater();
     tcp::socket socket(acceptor_.get_executor());
     boost::system::error_code error;
@@ -61,7 +61,7 @@
     if (!error) {
         handleAccepted(std::move(socket));
     } else if (!nothingToAccept(error)) {
-        callbacks_.evictOne();  // out of descriptors, or the client is gone again
+        callbacks_.evictOne();  // out of descriptors, or the client has disconnected already
         return retryLater();
     }
     waitForClient();
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,6 +1,6 @@
 /// \file
-/// Accepts TCP connections within a limit, and survives running out of descriptors. Owns the listening
-/// socket.
+/// Accepts TCP connections up to a limit, and keeps working when the process runs out of file descriptors.
+/// Owns the listening socket.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -14,29 +14,29 @@
 /// A listening socket on the event loop.
 class Listener {
 public:
-    /// The owner of the accepted connections; it holds their limit.
+    /// Callbacks to the owner of the accepted connections, which knows their limit.
     struct Callbacks {
-        /// Takes a connection, non-blocking and without delay of small segments.
+        /// Takes over a connection, whose socket is non-blocking and has Nagle's algorithm disabled.
         std::function<void(boost::asio::ip::tcp::socket)> onAccepted;
-        /// Whether no further connection is allowed.
+        /// Whether the limit of connections is reached.
         std::function<bool()> isFull;
-        /// Closes an idle connection to make capacity. Returns false: there is none.
+        /// Closes an idle connection to free capacity. Returns false if there is none.
         std::function<bool()> evictOne;
     };
 
     /// Binds and listens; throws boost::system::system_error if that fails.
-    /// \param inherited the descriptor of a socket that listens already, below 0: none. Another process may
-    /// have it as well, so it is neither bound nor shut down here.
+    /// \param inherited descriptor of a socket that is listening already; negative: none. Another process
+    /// may share the socket, so it is neither bound nor shut down here.
     Listener(boost::asio::io_context& io, const config::Endpoint& address, Callbacks callbacks,
              int inherited = -1);
 
-    /// Starts to accept.
+    /// Starts to accept connections.
     void startAccepting();
-    /// Accepts the clients that wait in the system's queue, then closes the socket.
+    /// Accepts the clients that wait in the listen queue, then closes the socket.
     void close();
-    /// Closes this process's descriptor only; the clients that wait are for another process.
+    /// Closes only this process's descriptor; another process accepts the clients that wait.
     void release();
-    /// The address as bound, with the port that the system chose for port 0.
+    /// The bound address, with the port that the system chose for port 0.
     config::Endpoint address() const;
 
 private:
--- a/src/net/lru_list.h
+++ b/src/net/lru_list.h
@@ -1,5 +1,5 @@
 /// \file
-/// Shared objects in the order of their last activity.
+/// A list of shared objects, ordered by their last activity.
 #pragma once
 
 #include <cstddef>
@@ -9,8 +9,8 @@
 
 namespace wingproxy::net {
 
-/// Owns its items; the one that has been inactive the longest comes first. Each operation takes constant
-/// time. Iterators stay valid while other items are added, moved or removed.
+/// Owns its items; the least recently active one comes first. Each operation takes constant time. Iterators
+/// stay valid while other items are added, moved or removed.
 template <typename Item>
 class LruList {
 public:
@@ -22,7 +22,7 @@
         const Item* key = item.get();
         positions_[key] = items_.insert(items_.end(), std::move(item));
     }
-    /// Moves an item behind all others; ignored if it is not in the list.
+    /// Moves an item to the end, as the most recently active one; ignored if it is not in the list.
     void touch(const Item& item) {
         if (const auto it = positions_.find(&item); it != positions_.end())
             items_.splice(items_.end(), items_, it->second);
@@ -39,11 +39,11 @@
     std::size_t size() const { return items_.size(); }
     /// Whether there is no item.
     bool empty() const { return items_.empty(); }
-    /// The item that has been inactive the longest; the list is not empty.
+    /// The least recently active item. The list must not be empty.
     const std::shared_ptr<Item>& front() const { return items_.front(); }
-    /// Starts with the item that has been inactive the longest.
+    /// Iterates from the least recently active item on.
     typename Items::const_iterator begin() const { return items_.begin(); }
-    /// Behind the item that was active last.
+    /// The end, after the most recently active item.
     typename Items::const_iterator end() const { return items_.end(); }
 
 private:
