--- a/src/net/engine.h
+++ b/src/net/engine.h
@@ -112,7 +112,8 @@
         process(core::ResponseForwardingStarted{id, attempt, unbounded});
     }
     /// The last byte of a streamed request body arrived.
-    /// \param deadlineUs time limit for the response, counted from that byte
+    /// \param deadlineUs the time by which the response has to be sent; the client's time limit starts with
+    /// that byte
     void requestBodyCompleted(RequestId id, Micros deadlineUs) {
         process(RequestBodyCompleted{id, deadlineUs});
     }
--- a/src/net/message_reader.h
+++ b/src/net/message_reader.h
@@ -1,6 +1,6 @@
 /// \file
-/// Incremental HTTP/1.x parsing of what a ring buffer holds, for requests and responses alike: Beast's parser
-/// is fed from the ring, and bodies are taken out piece by piece.
+/// Incremental HTTP/1.x parsing from a ring buffer, for requests and responses alike. Beast's parser is fed
+/// from the ring, and bodies are read in pieces.
 #pragma once
 
 #include <algorithm>
@@ -25,12 +25,13 @@
     return std::uint32_t(std::min<std::size_t>(kMaxHeadBytes, in.capacity()));
 }
 
-/// Feeds the bytes of `in` to `parser` once and consumes what it used.
+/// Feeds the bytes of `in` to `parser` once and consumes those that the parser used.
 /// \param error set if the bytes are no valid message
-/// \return false: nothing more can be parsed from the bytes that are here
+/// \return false if nothing more can be parsed from the bytes received so far
 template <typename Parser>
 bool parseAvailable(Parser& parser, RingBuffer& in, boost::system::error_code& error) {
-    // An eager parser loses the error of a length over the limit if the body's first bytes are here already.
+    // An eager parser does not report a length over the limit if the body's first bytes are in the buffer
+    // already.
     parser.eager(parser.is_header_done());
     const auto used = parser.put(in.data(), error);
     in.consume(used);
@@ -39,37 +40,38 @@
     return used > 0;
 }
 
-/// Reads one message: first its head, then its body in pieces of any size, as far as the ring has the bytes.
+/// Reads one message: first its head, then its body in pieces of any size, as far as the ring holds its
+/// bytes.
 template <bool isRequest>
 class MessageReader {
 public:
-    /// Beast's parser, whose body is taken out through a buffer of the caller's.
+    /// Beast's parser, which writes the body to a buffer of the caller.
     using Parser = boost::beast::http::parser<isRequest, boost::beast::http::buffer_body>;
 
-    /// \param in the ring that is read later on; its capacity limits the head
+    /// \param in the ring from which the message will be read; its capacity limits the head
     /// \param maxBodyBytes a longer body is an error
     MessageReader(const RingBuffer& in, std::size_t maxBodyBytes) {
         parser_.header_limit(headLimit(in));
         parser_.body_limit(maxBodyBytes);
     }
 
-    /// Goes on with the head.
-    /// \return true once it is complete
+    /// Continues reading the head.
+    /// \return true once the head is complete
     bool readHead(RingBuffer& in, boost::system::error_code& error) {
         while (in.size() > 0 && !parser_.is_header_done() && parseAvailable(parser_, in, error)) {}
         return !error && parser_.is_header_done();
     }
 
     /// Moves up to `count` bytes of the body to `to`.
-    /// \return how many were moved; 0: none is here, the body is complete, or `error` says what is wrong
+    /// \return the number of bytes moved; 0 if none has arrived, the body is complete or `error` is set
     std::size_t readBody(RingBuffer& in, char* to, std::size_t count, boost::system::error_code& error) {
         auto& body = parser_.get().body();
         body.data = to;
         body.size = count;
         body.more = true;
         parser_.eager(true);
-        // Goes on until the parser is done even if no byte of the body is left to come: the end may follow
-        // the last byte, as the last chunk does.
+        // Continues until the parser is done, even if all bytes of the body have been read: the end of the
+        // message may follow them, as the last chunk does.
         while (in.size() > 0 && body.size > 0 && !parser_.is_done() && parseBodyBytes(in, error)) {}
         const auto moved = count - body.size;
         body.data = nullptr;
@@ -77,7 +79,7 @@
         return moved;
     }
 
-    /// Appends what is here of the body to `to`; stops once `to` is longer than `maxBytes`.
+    /// Appends the received part of the body to `to`; stops once `to` is longer than `maxBytes`.
     void appendBody(RingBuffer& in, std::string& to, std::size_t maxBytes, boost::system::error_code& error) {
         // Zeroing 16 KiB on each call would cost more than reading a short body.
         // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init): only bytes that readBody() wrote are read
@@ -96,13 +98,13 @@
     bool isComplete() const { return parser_.is_done(); }
     /// Whether any byte of the message has been read.
     bool hasParsedAny() const { return parser_.got_some(); }
-    /// Gives access to the head.
+    /// The parser, for access to the head.
     const Parser& parser() const { return parser_; }
-    /// The same for Beast's functions that are not const, as `content_length()`.
+    /// The same for functions of Beast that are not const, such as `content_length()`.
     Parser& parser() { return parser_; }
 
 private:
-    // Returns false where the parser needs another buffer, more bytes, or found an error.
+    // Returns false if the parser needs another buffer or more bytes, or has found an error.
     bool parseBodyBytes(RingBuffer& in, boost::system::error_code& error) {
         const auto used = parser_.put(in.data(), error);
         in.consume(used);
@@ -120,9 +122,9 @@
     Parser parser_;
 };
 
-/// Reserves the memory for the body that a complete head announces.
-/// \param maxBytes reserved where the head names no length
-/// \return an empty pointer if the budget has not so much left
+/// Reserves memory for the body that a complete head announces.
+/// \param maxBytes the number of bytes to reserve if the head names no length
+/// \return null if the budget does not have that much left
 template <typename Parser>
 ByteBudget::Reservation reserveBody(Parser& parser, ByteBudget& budget, std::size_t maxBytes) {
     if (const auto length = parser.content_length()) return budget.reserve(std::size_t(*length));
--- a/src/net/node_attempt.cpp
+++ b/src/net/node_attempt.cpp
@@ -12,7 +12,7 @@
 void NodeAttempt::onAcquired(std::shared_ptr<Connection> connection) {
     if (ended_) return;
     acquisition_ = nullptr;
-    // After firstByteBy the node may have started to drain: not a byte goes out.
+    // After firstByteBy the node may have started to drain: no byte may be sent.
     if (connection && engine_.now() <= params_.firstByteBy) return onConnected(std::move(connection));
     if (connection) onConnectedTooLate(std::move(connection));
     core::AttemptFinished failed;
--- a/src/net/node_attempt.h
+++ b/src/net/node_attempt.h
@@ -1,6 +1,6 @@
 /// \file
-/// What attempts of all protocols have in common: a connection of the pool that is up in time, one result,
-/// and cancellation. Owns the pending acquisition; the connection is the derived class's.
+/// The common part of the attempts of all protocols: acquiring a connection in time, reporting one result,
+/// and cancellation. Owns the pending acquisition; the derived class owns the connection.
 #pragma once
 
 #include "net/engine.h"
@@ -8,27 +8,28 @@
 
 namespace wingproxy::net {
 
-/// Base of the attempts of a protocol. Engine and pool must outlive it.
+/// Base class of a protocol's attempts. Engine and pool must outlive it.
 class NodeAttempt : public Attempt, public std::enable_shared_from_this<NodeAttempt> {
 public:
-    /// \param params where to connect, and until when bytes may be sent
+    /// \param params the node's address, and the time limits for sending
     NodeAttempt(Engine& engine, NodePool& pool, const AttemptParams& params)
         : engine_(engine), pool_(pool), params_(params) {}
 
-    /// Acquires a connection; one that is not up by `AttemptParams::firstByteBy` ends the attempt as
+    /// Acquires a connection. If it is not established by `AttemptParams::firstByteBy`, the attempt ends as
     /// `Outcome::ConnectFailed`.
     void start();
     void cancel() override;
 
 protected:
-    /// The connection is up in time: bytes may be sent.
+    /// The connection was established in time: bytes may be sent.
     virtual void onConnected(std::shared_ptr<Connection> connection) = 0;
-    /// The connection is up too late, and no byte may be sent. It is closed unless this keeps it.
+    /// The connection was established too late, and no byte may be sent. It is closed unless an override
+    /// keeps it.
     virtual void onConnectedTooLate(std::shared_ptr<Connection> connection) { connection.reset(); }
-    /// Closes what is open. Called once, at the end.
+    /// Closes the connection if there is one. Called once, at the end.
     virtual void closeConnection() = 0;
-    /// Ends the attempt and reports its result to the engine, unless it has ended before. The ids are filled
-    /// in here.
+    /// Ends the attempt and reports its result to the engine, unless the attempt has ended already. Fills in
+    /// the ids of `result`.
     void finishAttempt(core::AttemptFinished result);
 
     Engine& engine_;
--- a/src/net/node_pool.cpp
+++ b/src/net/node_pool.cpp
@@ -10,8 +10,8 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-// Only frees what has been idle for too long, so a second late does no harm: each connection is checked once
-// more before its use.
+// How often connections past their idle timeout are closed. Closing one up to a second late does no harm, as
+// each connection is checked again before its use.
 constexpr std::chrono::seconds kSweepInterval{1};
 
 }  // namespace
@@ -63,8 +63,8 @@
             }};
 }
 
-// Takes the newest connection whose cool-down is over, so that the others can reach the idle timeout; if none
-// is, the one whose cool-down ends first.
+// Takes the newest connection whose cool-down is over, so that the older ones can reach the idle timeout; if
+// there is none, the one whose cool-down ends first.
 std::shared_ptr<Connection> NodePool::takeIdle(const config::Endpoint& to) {
     const auto it = idle_.find(to);
     if (it == idle_.end()) return nullptr;
--- a/src/net/node_pool.h
+++ b/src/net/node_pool.h
@@ -18,44 +18,46 @@
 public:
     /// Limits and timeouts of a pool, from the configuration.
     struct Limits {
-        std::size_t maxConnections = 400;                   ///< open ones, idle ones included
-        std::chrono::microseconds connectTimeout{250'000};  ///< a connect that takes longer has failed
-        std::chrono::microseconds idleTimeout{15'000'000};  ///< an idle connection is closed after it
-        std::size_t ringBytes = kMaxRingBytes;              ///< of each direction of a connection
-        /// For so long after a response a connection carries no other request; a request that finds only such
-        /// connections waits for one of them. If a node sends a response twice, the second copy comes some
-        /// milliseconds late, and without the cool-down it would be taken for the next response.
+        std::size_t maxConnections = 400;                   ///< open connections, including idle ones
+        std::chrono::microseconds connectTimeout{250'000};  ///< a connect that takes longer fails
+        std::chrono::microseconds idleTimeout{15'000'000};  ///< an idle connection is closed after this time
+        std::size_t ringBytes = kMaxRingBytes;              ///< size of each direction's ring buffer
+        /// Time after a response in which its connection carries no other request; a request that finds only
+        /// such connections waits for one of them. If a node sends a response twice, the second copy arrives
+        /// some milliseconds later, and without the cool-down it would be taken for the next response.
         std::chrono::microseconds cooldown{0};
     };
 
-    /// A pending acquisition. Destroying it cancels it: a connect's socket is closed, and nothing is called.
+    /// A pending acquisition. Destroying it cancels it: a connecting socket is closed, and the callback is
+    /// not called.
     struct Acquisition {
         virtual ~Acquisition() = default;
     };
 
-    /// Receives the connection, or null if none could be had. Called once, and never from within acquire().
+    /// Receives the connection, or null if none could be acquired. Called once, and never before acquire()
+    /// returns.
     using OnAcquired = std::function<void(std::shared_ptr<Connection>)>;
 
     /// \param io the event loop, which must outlive the pool
     NodePool(boost::asio::io_context& io, Limits limits);
 
-    /// Takes an idle connection to `to`, or connects. At the limit, the connection that has been idle the
-    /// longest is closed to make capacity; if none is idle, the acquisition fails.
+    /// Takes an idle connection to `to`, or opens one. At the limit, the connection that has been idle the
+    /// longest is closed to free capacity; if none is idle, the acquisition fails.
     std::shared_ptr<Acquisition> acquire(const config::Endpoint& to, OnAcquired onAcquired);
-    /// Returns a connection for reuse: its last exchange is complete, and no byte of it is unread.
+    /// Returns a connection for reuse. Its last exchange must be complete, and no byte may be unread.
     void release(std::shared_ptr<Connection> connection);
     /// Closes the idle connections to `to`.
     void closeIdleTo(const config::Endpoint& to) { idle_.erase(to); }
-    /// Closes all idle connections, and later those that are released.
+    /// Closes all idle connections. Connections that are released afterwards are closed as well.
     void clear();
     /// Changes `Limits::maxConnections`. Connections above the new limit stay open until they are idle.
     void setCapacity(std::size_t maxConnections) { limits_.maxConnections = maxConnections; }
 
-    /// Connections open now, idle ones included.
+    /// The number of open connections, including idle ones.
     std::size_t openConnections() const { return *open_; }
-    /// Connects started so far.
+    /// The number of connects started so far.
     std::uint64_t opened() const { return opened_; }
-    /// Idle connections taken so far.
+    /// The number of idle connections taken for reuse so far.
     std::uint64_t reused() const { return reused_; }
 
 private:
--- a/src/net/peer_transport.cpp
+++ b/src/net/peer_transport.cpp
@@ -66,7 +66,7 @@
 void PeerTransport::sendTo(const udp::endpoint& target, const std::string& bytes) {
     boost::system::error_code error;
     socket_.send_to(boost::asio::buffer(bytes), target, 0, error);
-    // A full buffer loses the datagram, as the network may.
+    // If the send buffer is full, the datagram is lost, as it may be in the network.
     if (error)
         ++counters_.unsent;
     else
--- a/src/net/peer_transport.h
+++ b/src/net/peer_transport.h
@@ -1,6 +1,6 @@
 /// \file
-/// The datagram transport between the hosts of a tier. Owns the UDP socket and the peers' addresses; what the
-/// messages mean is the policy's.
+/// The datagram transport between the hosts of a tier. Owns the UDP socket and the peers' addresses; the
+/// policy interprets the messages.
 #pragma once
 
 #include <array>
@@ -14,11 +14,11 @@
 
 namespace wingproxy::net {
 
-/// Sends and receives peer messages. A message that is lost is not repeated. Single-threaded; the engine must
+/// Sends and receives peer messages. Lost messages are not sent again. Single-threaded; the engine must
 /// outlive it.
 class PeerTransport {
 public:
-    /// The largest datagram, in bytes, by the protocol: it discards a longer one as a whole.
+    /// The largest datagram that the protocol allows, in bytes. A longer one is discarded as a whole.
     static constexpr std::size_t kMaxDatagramBytes = 256;
 
     /// Datagrams since the start.
@@ -26,19 +26,20 @@
         std::uint64_t sent = 0;
         std::uint64_t received = 0;
         std::uint64_t unsent = 0;    ///< invalid, for an unknown peer, or the socket's buffer was full
-        std::uint64_t unknown = 0;   ///< from no peer's address, or a receive error
+        std::uint64_t unknown = 0;   ///< from an address that is no peer's, or a receive error
         std::uint64_t oversize = 0;  ///< received with more than kMaxDatagramBytes
     };
 
     /// \param opened whether to bind at once
     PeerTransport(Engine& engine, const config::Config& config, bool opened = true);
 
-    /// Binds; throws boost::system::system_error while another process of this front holds the port. Without
-    /// a configured port it does nothing.
+    /// Binds the configured port, or does nothing if none is configured. Throws boost::system::system_error
+    /// while another process of this front holds the port.
     void open();
     /// Sets the peers' addresses.
     void setPeers(const config::Config& config);
-    /// \param to every peer is reached by the configured broadcast address, if there is one
+    /// Sends a message, or counts it as unsent.
+    /// \param to one peer, or every peer, which uses the broadcast address if one is configured
     void send(PeerRecipient to, const std::string& bytes);
     /// Closes the socket.
     void stop();
@@ -58,9 +59,10 @@
     const HostIndex selfIndex_;
     std::vector<boost::asio::ip::udp::endpoint> peers_;
     std::map<boost::asio::ip::udp::endpoint, HostIndex> peerIndexes_;
-    boost::asio::ip::udp::endpoint broadcast_;          // port 0: none
-    boost::asio::ip::udp::endpoint sender_;             // of the datagram that was received last
-    std::array<char, kMaxDatagramBytes + 1> buffer_{};  // one more, to recognise a datagram that is too long
+    boost::asio::ip::udp::endpoint broadcast_;  // port 0: none
+    boost::asio::ip::udp::endpoint sender_;     // of the datagram that was received last
+    std::array<char, kMaxDatagramBytes + 1>
+        buffer_{};  // one byte more, to detect a datagram that is too long
     Counters counters_;
 };
 
--- a/src/net/pending_output.h
+++ b/src/net/pending_output.h
@@ -1,6 +1,6 @@
 /// \file
-/// What is still to be written to a connection: text first, then what a source produces as the ring buffer
-/// drains. Owns the text; the ring is the connection's.
+/// Output that is still to be written to a connection: text first, then what a source produces as the ring
+/// buffer drains. Owns the text; the connection owns the ring.
 #pragma once
 
 #include <functional>
@@ -14,23 +14,23 @@
 /// A queue of output in front of a ring buffer.
 class PendingOutput {
 public:
-    /// Appends bytes to the ring, as far as it has them and they fit. May call any member of the queue.
+    /// Appends as many bytes to the ring as it has and as fit. May call any member of the queue.
     using Source = std::function<void(RingBuffer& out)>;
 
-    /// Adds text behind the text that is pending.
+    /// Appends text to the pending text.
     void append(std::string_view text);
-    /// From now on `source` is asked whenever the ring has free space and no text is pending.
+    /// From now on each fill() calls `source` once no text is pending any more.
     void setSource(Source source) { source_ = std::move(source); }
-    /// The source will produce no more.
+    /// Removes the source, which has no more output.
     void clearSource() { source_ = nullptr; }
-    /// Moves as much as fits to `out`.
+    /// Moves as much output to `out` as fits.
     void fill(RingBuffer& out);
     /// Whether neither text nor a source is left.
     bool empty() const { return text_.empty() && !source_; }
 
 private:
     std::string text_;
-    std::size_t moved_ = 0;  // bytes of the text that are in the ring
+    std::size_t moved_ = 0;  // number of bytes of text_ that were moved to the ring
     Source source_;
 };
 
--- a/src/net/pool_acquisitions.cpp
+++ b/src/net/pool_acquisitions.cpp
@@ -31,7 +31,7 @@
 void ConnectAcquisition::complete(const boost::system::error_code& error) {
     if (!onAcquired_) return;
     timeout_.cancel();
-    const auto keepAlive = shared_from_this();  // the owner drops this once it has the connection
+    const auto keepAlive = shared_from_this();  // the callback lets the owner drop this acquisition
     auto connection = std::exchange(connection_, nullptr);
     if (error) {
         boost::system::error_code ignored;
--- a/src/net/pool_acquisitions.h
+++ b/src/net/pool_acquisitions.h
@@ -1,6 +1,6 @@
 /// \file
-/// The ways in which an acquisition of the node pool completes: a connect, a reuse, or a failure. Each owns
-/// its timer and its connection until it has completed.
+/// The ways in which an acquisition from the node pool completes: by a connect, by reuse, or by a failure.
+/// Each owns its timer and its connection until it has completed.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -11,13 +11,13 @@
 
 namespace wingproxy::net {
 
-/// Connects an open socket. Only its owner keeps it alive: destroyed before it has completed, it closes the
-/// socket and calls nothing.
+/// Connects an open socket. Only its owner keeps it alive: if it is destroyed before it has completed, it
+/// closes the socket and does not call back.
 class ConnectAcquisition : public NodePool::Acquisition,
                            public std::enable_shared_from_this<ConnectAcquisition> {
 public:
-    /// \param connection its socket is open, and its address set
-    /// \param onAcquired gets the connection once it is up, or null if it failed or took too long
+    /// \param connection with an open socket and the node's address
+    /// \param onAcquired gets the connection once it is established, or null if that failed or took too long
     ConnectAcquisition(boost::asio::io_context& io, std::shared_ptr<Connection> connection,
                        NodePool::OnAcquired onAcquired);
     ~ConnectAcquisition() override;
@@ -35,12 +35,12 @@
     boost::asio::steady_timer timeout_;
 };
 
-/// Waits for the end of an idle connection's cool-down. If bytes have come on it until then, they belong to
-/// an earlier response, and another connection is acquired instead.
+/// Waits for the end of an idle connection's cool-down. If the connection is closed by then or bytes have
+/// arrived on it, which belong to an earlier response, another connection is acquired instead.
 class ReuseAcquisition : public NodePool::Acquisition, public std::enable_shared_from_this<ReuseAcquisition> {
 public:
     /// \param pool acquires the replacement; must outlive this
-    /// \param onAcquired gets this connection, or what came of the replacement
+    /// \param onAcquired gets this connection, or the result of acquiring the replacement
     ReuseAcquisition(boost::asio::io_context& io, NodePool& pool, std::shared_ptr<Connection> connection,
                      NodePool::OnAcquired onAcquired);
 
@@ -57,14 +57,14 @@
     NodePool::OnAcquired onAcquired_;
 };
 
-/// Reports a failure on a later turn of the loop, as acquire() never calls back from within.
+/// Reports a failure on a later turn of the loop, as acquire() never calls back before it returns.
 class FailedAcquisition : public NodePool::Acquisition,
                           public std::enable_shared_from_this<FailedAcquisition> {
 public:
     /// \param onAcquired gets null
     FailedAcquisition(boost::asio::io_context& io, NodePool::OnAcquired onAcquired);
 
-    /// Lets the loop call back in its next turn.
+    /// Schedules the callback for the next turn of the loop.
     void start();
 
 private:
--- a/src/net/response_reader.h
+++ b/src/net/response_reader.h
@@ -1,6 +1,6 @@
 /// \file
-/// Reads one HTTP/1.x response of a node, for attempts, health checks and discovery: interim responses are
-/// skipped, and the rules of how a response may end stand here once.
+/// Reads one HTTP/1.x response of a node, for attempts, health checks and discovery: skips interim responses
+/// and implements the rules for where a response ends.
 #pragma once
 
 #include <optional>
@@ -21,8 +21,9 @@
         startResponse(in);
     }
 
-    /// Goes on with the head and skips interim ones (1xx but for 101, which ends HTTP on the connection).
-    /// \return true once the final one is complete
+    /// Continues reading the head and skips interim responses (1xx except 101, which ends HTTP on the
+    /// connection).
+    /// \return true once the head of the final response is complete
     bool readHead(RingBuffer& in, boost::system::error_code& error) {
         while (reader_->readHead(in, error)) {
             if (!isInterim() || interimCount_ >= kMaxInterimResponses) return true;
@@ -42,9 +43,9 @@
         reader_->appendBody(in, to, maxBytes, error);
     }
 
-    /// The node closed its side in order. In every version of HTTP that completes a body which has neither a
-    /// length nor chunks, and truncates any other that is incomplete. Not to be called after a reset, which
-    /// completes nothing.
+    /// The node closed its side of the connection without an error. In every version of HTTP that completes
+    /// a body that has neither a length nor chunks, and truncates any other response that is incomplete. Not
+    /// to be called after a reset, which completes no response.
     /// \param error set if the response is truncated
     void onEndOfStream(boost::system::error_code& error) {
         if (!isComplete() && hasParsedAny()) reader_->onEndOfStream(error);
@@ -54,18 +55,18 @@
     bool isComplete() const { return reader_->isComplete(); }
     /// Whether any byte of the current response, interim or final, has been read.
     bool hasParsedAny() const { return reader_->hasParsedAny(); }
-    /// Whether the response allows another exchange on its connection.
+    /// Whether the response is complete and allows another exchange on its connection.
     bool keepAlive() const {
         return isComplete() && !reader_->parser().need_eof() && reader_->parser().keep_alive();
     }
-    /// Gives access to the head.
+    /// The parser, for access to the head.
     const Parser& parser() const { return reader_->parser(); }
-    /// The same for Beast's functions that are not const, as `content_length()`.
+    /// The same for functions of Beast that are not const, such as `content_length()`.
     Parser& parser() { return reader_->parser(); }
 
 private:
-    // No node has so many to send; more are read as the final response, so that endless ones end the
-    // exchange.
+    // More than any node sends. The next one is read as the final response, so that an endless series of
+    // them ends the exchange.
     static constexpr int kMaxInterimResponses = 8;
     static constexpr unsigned kSwitchingProtocols = 101;
 
--- a/src/net/ring_buffer.h
+++ b/src/net/ring_buffer.h
@@ -1,6 +1,6 @@
 /// \file
-/// A bounded ring of bytes; each connection owns one for each direction, so that its memory is fixed from the
-/// start.
+/// A byte buffer of fixed capacity. Each connection owns one for each direction, so that its memory use is
+/// fixed from the start.
 #pragma once
 
 #include <algorithm>
@@ -13,10 +13,10 @@
 
 namespace wingproxy::net {
 
-/// The largest ring, in bytes: a larger one does not raise the throughput.
+/// The largest ring, in bytes: a larger one does not increase the throughput.
 constexpr std::size_t kMaxRingBytes = std::size_t{16} * 1024;
-/// The smallest ring, in bytes: a message head of ordinary length fits. The size between the two follows from
-/// the configured memory and descriptors.
+/// The smallest ring, in bytes: a message head of ordinary length fits. The size in use, between the two,
+/// follows from the configured memory and descriptors.
 constexpr std::size_t kMinRingBytes = std::size_t{4} * 1024;
 
 /// A first-in, first-out queue of bytes with a fixed capacity. Asynchronous reads and writes work directly on
@@ -55,7 +55,7 @@
 
     /// Drops the oldest `count` bytes, at most `size()`.
     void consume(std::size_t count) {
-        // The head is never reset to 0: a read into the free space behind the tail may be in progress.
+        // head_ is never reset to 0: a read into the free space behind the tail may be in progress.
         count = std::min(count, size_);
         size_ -= count;
         head_ = (head_ + count) % capacity_;
@@ -76,7 +76,8 @@
     }
 
     /// Moves the oldest line, without its "\n" or "\r\n", to `into`.
-    /// \return false: no complete line is here, nothing was consumed, and `into` has no meaning
+    /// \return false if there is no complete line: nothing is consumed, and the content of `into` is
+    /// unspecified
     bool readLine(std::string& into) {
         std::size_t scanned = 0;
         into.clear();
--- a/src/net/session.cpp
+++ b/src/net/session.cpp
@@ -10,7 +10,7 @@
 
 using boost::asio::ip::tcp;
 
-// Reads of unread bytes before a close, at most: a client that floods is reset.
+// The most reads that discard unread bytes before a close; a client that keeps sending is reset.
 constexpr int kMaxDiscardedReads = 16;
 
 }  // namespace
@@ -22,7 +22,7 @@
       out_(sessionManager.ringBytes()),
       lingerTimer_(sessionManager.io()) {}
 
-// Goes on while a response is outstanding as well: that is how a disconnect is noticed.
+// Reading continues while a response is outstanding, so that a disconnect is detected.
 void Session::read() {
     socketReader_.read(socket_, in_,
                        [self = shared_from_this(), requested = in_.freeSpace()](
@@ -56,7 +56,7 @@
 
 void Session::clearOutputSource() {
     output_.clearSource();
-    // Not from within, as the caller may be in the middle of a change of state.
+    // Not called directly, as the caller may be in the middle of a change of state.
     boost::asio::post(sessionManager_.io(), [self = shared_from_this()] { self->write(); });
 }
 
@@ -91,7 +91,8 @@
     close();
 }
 
-// A reset because of unread bytes could take the response back, so the sending side ends first.
+// A close with unread bytes would reset the connection, which could discard the response before the client
+// has read it; so the sending side is shut down first.
 void Session::startLingeringClose(std::chrono::milliseconds limit) {
     if (!open_ || isLingering()) return;
     lingeringClose_.start(LingeringClose::Clock::now(), limit);
@@ -140,7 +141,7 @@
 }
 
 bool Session::hasClientDisconnected() {
-    if (!open_ || socketReader_.isReading() || isLingering()) return false;  // a pending read notices
+    if (!open_ || socketReader_.isReading() || isLingering()) return false;  // a pending read detects it
     pollfd descriptor{socket_.native_handle(), POLLRDHUP, 0};
     return ::poll(&descriptor, 1, 0) > 0 && (descriptor.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
@@ -153,11 +154,12 @@
     boost::system::error_code ignored;
     socket_.close(ignored);
     lingerTimer_.cancel();
-    sessionManager_.onSessionClosed(*this);  // drops what may be the last reference but the caller's
+    sessionManager_.onSessionClosed(*this);  // may drop the last reference but the caller's
 }
 
-// A close with unread bytes is a reset, which takes back what the client has not read yet. The sending side
-// ends first, so that no request whose sender expects a response can come after the last check.
+// A close with unread bytes resets the connection, which discards what the client has not read yet. The
+// sending side is shut down first, so that no request whose sender expects a response can arrive after the
+// last check.
 void Session::discardUnread() {
     boost::system::error_code error;
     socket_.shutdown(tcp::socket::shutdown_send, error);
--- a/src/net/session_manager.cpp
+++ b/src/net/session_manager.cpp
@@ -9,8 +9,9 @@
 
 using boost::asio::ip::tcp;
 
-// Also the delay with which a disconnect is noticed where nothing is read from the client. The platform's
-// terms let no attempt begin more than 0.1 s after that: half of it is left for a busy loop.
+// Also the delay with which a disconnect is detected while nothing is read from the client. The
+// platform's rules allow no attempt to begin more than 0.1 s after a disconnect; half of that is left for a
+// busy event loop.
 constexpr std::chrono::milliseconds kSweepInterval{50};
 
 }  // namespace
@@ -46,7 +47,7 @@
 
 void SessionManager::sweep() {
     for (auto it = sessions_.begin(); it != sessions_.end();) {
-        const auto session = *it;  // keeps it alive: it may close itself, but no other
+        const auto session = *it;  // keeps it alive: it may close itself, but no other session
         ++it;
         if (!session->isLingering()) session->enforceTimeouts();
         if (session->closeIfClientDisconnected()) ++detectedDisconnects_;
@@ -70,7 +71,7 @@
 }
 
 void SessionManager::closeIdleGracefully() {
-    // In the next turn, as what was read in this one may not have been handled yet.
+    // In the next turn of the loop, as the bytes read in this one may not have been handled yet.
     for (const auto& session : sessions_)
         if (!session->isLingering() && session->isIdle())
             boost::asio::post(io_, [session] { session->closeGracefullyIfIdle(); });
--- a/src/net/socket_reader.h
+++ b/src/net/socket_reader.h
@@ -9,16 +9,16 @@
 
 namespace wingproxy::net {
 
-/// Reads from a socket while there is space for what comes. Single-threaded. A member of the object that owns
-/// the socket and the ring; the handler given to `read()` has to keep that object alive.
+/// Reads from a socket while the ring buffer has free space. Single-threaded. A member of the object that
+/// owns the socket and the ring; the handler given to `read()` has to keep that object alive.
 class SocketReader {
 public:
-    /// Starts a read and adds what it brings to `in`. Does nothing while a read is pending, while `in` is
+    /// Starts a read and adds the bytes read to `in`. Does nothing while a read is pending, while `in` is
     /// full, after the end of the stream and after `stop()`.
     ///
     /// \param onRead called as `onRead(const boost::system::error_code&, std::size_t count)` when the read
-    /// has ended, on a later turn of the loop; an error is `boost::asio::error::eof` if the other side closed
-    /// in order. It may call `read()` again. Not called after `stop()`.
+    /// has ended, on a later turn of the loop; the error is `boost::asio::error::eof` if the other side
+    /// closed the connection without a reset. It may call `read()` again. Not called after `stop()`.
     template <typename Handler>
     void read(boost::asio::ip::tcp::socket& socket, RingBuffer& in, Handler onRead) {
         if (reading_ || ended_ || stopped_ || in.freeSpace() == 0) return;
@@ -33,7 +33,8 @@
         });
     }
 
-    /// The owner closes the socket or gives it away: a pending read adds nothing and calls nothing.
+    /// To be called when the owner closes the socket or gives it away. A pending read then adds no bytes,
+    /// and its handler is not called.
     void stop() { stopped_ = true; }
     /// Whether a read is pending.
     bool isReading() const { return reading_; }
--- a/src/net/watch_timing.cpp
+++ b/src/net/watch_timing.cpp
@@ -9,10 +9,10 @@
 
 using std::chrono::milliseconds;
 
-// Parts of a drain's grace; see discoveryTiming().
-constexpr int kTimeoutGracePart = 4;
-constexpr int kRetryGracePart = 8;
-// Upper bounds, which also apply where no grace is set.
+// Divisors of a drain's grace period; see discoveryTiming().
+constexpr int kTimeoutGraceDivisor = 4;
+constexpr int kRetryGraceDivisor = 8;
+// Upper bounds, which also apply if no grace period is set.
 constexpr milliseconds kMaxPushedTimeout{500};
 constexpr milliseconds kMaxRetryDelay{500};
 
@@ -24,9 +24,9 @@
     timing.watch.firstTimeout = std::min(timing.watch.firstTimeout, kMaxPushedTimeout);
     const auto grace = toDuration(settings.drainGraceUs);
     if (grace.count() <= 0) return timing;
-    const auto timeout = std::chrono::duration_cast<milliseconds>(grace / kTimeoutGracePart);
+    const auto timeout = std::chrono::duration_cast<milliseconds>(grace / kTimeoutGraceDivisor);
     timing.watch.firstTimeout = std::min(timing.watch.firstTimeout, timeout);
-    timing.retryDelay = std::min(timing.retryDelay, grace / kRetryGracePart);
+    timing.retryDelay = std::min(timing.retryDelay, grace / kRetryGraceDivisor);
     return timing;
 }
 
--- a/tests/net/byte_budget_test.cpp
+++ b/tests/net/byte_budget_test.cpp
@@ -1,4 +1,4 @@
-// The memory budget of message bodies.
+// Tests of the memory budget of message bodies.
 #include "net/byte_budget.h"
 
 #include <doctest/doctest.h>
@@ -17,7 +17,7 @@
     CHECK(budget.reservedBytes() == 0);
 }
 
-TEST_CASE("byte budget: what does not fit is not reserved") {
+TEST_CASE("byte budget: a reservation that does not fit fails and reserves nothing") {
     net::ByteBudget budget(100);
     const auto first = budget.reserve(60);
     CHECK(budget.reserve(41) == nullptr);
@@ -49,6 +49,6 @@
     std::optional<net::ByteBudget> budget(std::in_place, 100);
     auto reservation = budget->reserve(10);
     budget.reset();
-    reservation = nullptr;  // the sanitizers see it if this touches the budget
+    reservation = nullptr;  // the sanitizers report an access to the destroyed budget
     CHECK(reservation == nullptr);
 }
--- a/tests/net/chunked_coding_test.cpp
+++ b/tests/net/chunked_coding_test.cpp
@@ -1,4 +1,4 @@
-// Writing bodies in the chunked transfer coding.
+// Tests of writing bodies in the chunked transfer coding.
 #include "net/chunked_coding.h"
 
 #include <doctest/doctest.h>
@@ -7,7 +7,7 @@
 
 using namespace wingproxy;
 
-TEST_CASE("chunked coding: a piece is framed as one chunk only where that is asked for") {
+TEST_CASE("chunked coding: a piece is framed as one chunk only if requested") {
     net::RingBuffer out(64);
     net::appendBodyPiece(out, "0123456789abcdef", true);
     net::appendBodyPiece(out, "plain", false);
--- a/tests/net/clock_test.cpp
+++ b/tests/net/clock_test.cpp
@@ -1,4 +1,4 @@
-// The process's clock.
+// Tests of the process's clock.
 #include "net/clock.h"
 
 #include <doctest/doctest.h>
@@ -19,14 +19,14 @@
     CHECK(clock.now() >= first);
 }
 
-TEST_CASE("clock: a time is translated to the steady clock with its distance kept") {
+TEST_CASE("clock: conversion to the steady clock preserves differences between times") {
     const net::Clock clock;
     const auto now = clock.now();
     CHECK(clock.at(now + 5'000) - clock.at(now) == std::chrono::milliseconds(5));
     CHECK(clock.at(now) <= std::chrono::steady_clock::now());
 }
 
-TEST_CASE("clock: durations translate between the policy's unit and the standard library's") {
+TEST_CASE("clock: durations convert between the policy's unit and std::chrono") {
     CHECK(net::toDuration(1'500) == std::chrono::microseconds(1'500));
     CHECK(net::toMicros(std::chrono::milliseconds(3)) == 3'000);
 }
--- a/tests/net/discovery_error_test.cpp
+++ b/tests/net/discovery_error_test.cpp
@@ -1,4 +1,4 @@
-// The texts of discovery errors, which stand in log lines.
+// Tests of the discovery errors' texts, which log lines contain.
 #include "net/discovery_error.h"
 
 #include <doctest/doctest.h>
--- a/tests/net/engine_test.cpp
+++ b/tests/net/engine_test.cpp
@@ -1,4 +1,4 @@
-// The engine without sockets: requests whose attempts the test drives.
+// Tests of the engine without sockets: the tests finish the attempts of its requests.
 #include "net/engine.h"
 
 #include <doctest/doctest.h>
@@ -16,7 +16,7 @@
     bool cancelled = false;
 };
 
-// Records what the engine orders.
+// Records the engine's calls.
 struct FakeRequestHandler : net::RequestHandler {
     std::shared_ptr<net::Attempt> startAttempt(const net::AttemptParams& params) override {
         started.push_back(params);
@@ -88,7 +88,7 @@
     CHECK(running.handler->answers() == 0);
 }
 
-TEST_CASE("engine: the response of an attempt that finished well is delivered once") {
+TEST_CASE("engine: the response of a successful attempt is delivered once") {
     RunningEngine running;
     const auto id = running.submit();
     REQUIRE(running.handler->started.size() == 1);
@@ -132,7 +132,7 @@
     CHECK(running.handler->answers() == 0);
 }
 
-TEST_CASE("engine: changes to the endpoint list add to it and take from it") {
+TEST_CASE("engine: a delta to the endpoint list adds and removes nodes") {
     RunningEngine running;
     CHECK(running.engine.nodeCount() == 1);
     running.engine.endpointListReceived({{EndpointListKind::Delta,
--- a/tests/net/lingering_close_test.cpp
+++ b/tests/net/lingering_close_test.cpp
@@ -1,4 +1,4 @@
-// The time rules of a graceful close.
+// Tests of the time limits of a lingering close.
 #include "net/lingering_close.h"
 
 #include <doctest/doctest.h>
@@ -11,9 +11,9 @@
 constexpr net::LingeringClose::Clock::time_point kStart{100s};
 
 net::LingeringClose started(std::chrono::milliseconds limit) {
-    net::LingeringClose deadline;
-    deadline.start(kStart, limit);
-    return deadline;
+    net::LingeringClose lingeringClose;
+    lingeringClose.start(kStart, limit);
+    return lingeringClose;
 }
 
 }  // namespace
@@ -24,23 +24,23 @@
 }
 
 TEST_CASE("lingering close: a quiet client is closed 300 ms after its last byte") {
-    const auto deadline = started(2s);
-    CHECK(deadline.closeAt(kStart) == kStart + 300ms);
-    CHECK(deadline.closeAt(kStart + 1s) == kStart + 1300ms);
+    const auto lingeringClose = started(2s);
+    CHECK(lingeringClose.closeAt(kStart) == kStart + 300ms);
+    CHECK(lingeringClose.closeAt(kStart + 1s) == kStart + 1300ms);
 }
 
 TEST_CASE("lingering close: a client that keeps sending is closed at the limit") {
-    const auto deadline = started(2s);
-    CHECK(deadline.closeAt(kStart + 1900ms) == kStart + 2s);
-    CHECK(deadline.closeAt(kStart + 5s) == kStart + 2s);
+    const auto lingeringClose = started(2s);
+    CHECK(lingeringClose.closeAt(kStart + 1900ms) == kStart + 2s);
+    CHECK(lingeringClose.closeAt(kStart + 5s) == kStart + 2s);
 }
 
-TEST_CASE("lingering close: a limit below the quiet period holds") {
+TEST_CASE("lingering close: a limit below the quiet period takes precedence over it") {
     CHECK(started(100ms).closeAt(kStart) == kStart + 100ms);
 }
 
 TEST_CASE("lingering close: the connection is evictable only after one quiet period") {
-    const auto deadline = started(2s);
-    CHECK(!deadline.isEvictable(kStart + 300ms));
-    CHECK(deadline.isEvictable(kStart + 301ms));
+    const auto lingeringClose = started(2s);
+    CHECK(!lingeringClose.isEvictable(kStart + 300ms));
+    CHECK(lingeringClose.isEvictable(kStart + 301ms));
 }
--- a/tests/net/lru_list_test.cpp
+++ b/tests/net/lru_list_test.cpp
@@ -1,4 +1,4 @@
-// Objects in the order of their last activity.
+// Tests of the list of objects that is ordered by their last activity.
 #include "net/lru_list.h"
 
 #include <doctest/doctest.h>
@@ -34,14 +34,14 @@
 
 }  // namespace
 
-TEST_CASE("LRU list: an item that is added is the most recently active one") {
+TEST_CASE("LRU list: an added item is the most recently active one") {
     ThreeItems items;
     CHECK(items.order() == "abc");
     CHECK(items.list.size() == 3);
     CHECK(items.list.front() == items.a);
 }
 
-TEST_CASE("LRU list: an active item moves behind all others") {
+TEST_CASE("LRU list: touching an item moves it to the end") {
     ThreeItems items;
     items.list.touch(*items.a);
     CHECK(items.order() == "bca");
@@ -58,7 +58,7 @@
     CHECK(items.order() == "ac");
 }
 
-TEST_CASE("LRU list: what is not in the list is ignored") {
+TEST_CASE("LRU list: an item that is not in the list is ignored") {
     ThreeItems items;
     const Named other{"other"};
     items.list.touch(other);
@@ -66,7 +66,7 @@
     CHECK(items.order() == "abc");
 }
 
-TEST_CASE("LRU list: an item may be removed while the list is walked past it") {
+TEST_CASE("LRU list: an item may be removed while an iterator points to the next one") {
     ThreeItems items;
     std::string visited;
     for (auto it = items.list.begin(); it != items.list.end();) {
--- a/tests/net/message_reader_test.cpp
+++ b/tests/net/message_reader_test.cpp
@@ -1,4 +1,4 @@
-// Incremental parsing of HTTP messages out of a ring buffer.
+// Tests of incremental parsing of HTTP messages from a ring buffer.
 #include "net/message_reader.h"
 
 #include <doctest/doctest.h>
@@ -19,7 +19,7 @@
     CHECK(net::headLimit(net::RingBuffer(4 * 1024)) == 4 * 1024);
 }
 
-TEST_CASE("message reader: a head that comes in parts is complete with its last byte") {
+TEST_CASE("message reader: a head that arrives in parts is complete with its last byte") {
     net::RingBuffer in(1024);
     net::MessageReader<true> reader(in, kMaxBody);
     boost::system::error_code error;
@@ -32,7 +32,7 @@
     CHECK(reader.isComplete());
 }
 
-TEST_CASE("message reader: a body is taken out in pieces of the size asked for") {
+TEST_CASE("message reader: a body is read in pieces of the requested size") {
     auto in = ringWith("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nabcde");
     net::MessageReader<true> reader(in, kMaxBody);
     boost::system::error_code error;
@@ -47,7 +47,7 @@
     CHECK(reader.isComplete());
 }
 
-TEST_CASE("message reader: the body of a chunked message comes without its framing") {
+TEST_CASE("message reader: the body of a chunked message is read without its framing") {
     auto in = ringWith(
         "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     net::MessageReader<true> reader(in, kMaxBody);
@@ -61,7 +61,7 @@
     CHECK(in.size() == 0);
 }
 
-TEST_CASE("message reader: a body whose bytes have not come yet gives none and no error") {
+TEST_CASE("message reader: reading a body before its bytes have arrived returns none and no error") {
     auto in = ringWith("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n");
     net::MessageReader<true> reader(in, kMaxBody);
     boost::system::error_code error;
@@ -72,7 +72,7 @@
     CHECK(!reader.isComplete());
 }
 
-TEST_CASE("message reader: what is no message is an error") {
+TEST_CASE("message reader: bytes that are no HTTP message are an error") {
     auto in = ringWith("no message\r\n\r\n");
     net::MessageReader<true> reader(in, kMaxBody);
     boost::system::error_code error;
@@ -88,7 +88,7 @@
     CHECK(error == boost::beast::http::error::body_limit);
 }
 
-TEST_CASE("message reader: memory is reserved for the announced length, or the most where none is named") {
+TEST_CASE("message reader: the announced length is reserved, or the maximum if no length is announced") {
     net::ByteBudget budget(100);
     boost::system::error_code error;
     auto sized = ringWith("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n");
@@ -99,7 +99,7 @@
     auto chunked = ringWith("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n");
     net::MessageReader<true> chunkedReader(chunked, kMaxBody);
     REQUIRE(chunkedReader.readHead(chunked, error));
-    const auto most = net::reserveBody(chunkedReader.parser(), budget, 40);
+    const auto maximum = net::reserveBody(chunkedReader.parser(), budget, 40);
     CHECK(budget.reservedBytes() == 45);
 }
 
--- a/tests/net/node_pool_test.cpp
+++ b/tests/net/node_pool_test.cpp
@@ -1,4 +1,4 @@
-// The node pool at its limit, where no socket is opened.
+// Tests of the node pool at its limit, where no socket is opened.
 #include "net/node_pool.h"
 
 #include <doctest/doctest.h>
@@ -19,7 +19,7 @@
 
     boost::asio::io_context io;
     net::NodePool pool{io, kNoConnections};
-    std::optional<std::shared_ptr<net::Connection>> result;  // empty: not called
+    std::optional<std::shared_ptr<net::Connection>> result;  // empty until onAcquired is called
 };
 
 }  // namespace
@@ -35,7 +35,7 @@
     CHECK(full.pool.opened() == 0);
 }
 
-TEST_CASE("node pool: an acquisition that is dropped calls nothing") {
+TEST_CASE("node pool: a destroyed acquisition does not call back") {
     FullPool full;
     full.acquire().reset();
     full.io.poll();
--- a/tests/net/pending_output_test.cpp
+++ b/tests/net/pending_output_test.cpp
@@ -1,4 +1,4 @@
-// Output in front of a ring buffer: text first, then a source.
+// Tests of the pending output of a ring buffer: text first, then a source.
 #include "net/pending_output.h"
 
 #include <doctest/doctest.h>
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Takes all that the ring holds, as a write to the socket does.
+// Takes all bytes that the ring holds, as a write to the socket does.
 std::string drain(net::RingBuffer& ring) {
     std::string text;
     for (const auto& part : ring.newest(ring.size()))
@@ -38,7 +38,7 @@
     CHECK(drain(ring) == "ef");
 }
 
-TEST_CASE("pending output: text that is appended while some is pending follows it") {
+TEST_CASE("pending output: text that is appended to pending text follows it") {
     net::RingBuffer ring(4);
     net::PendingOutput output;
     output.append("abcdef");
@@ -50,20 +50,20 @@
     CHECK(output.empty());
 }
 
-TEST_CASE("pending output: a source is asked only when no text is pending") {
+TEST_CASE("pending output: a source is called only when no text is pending") {
     net::RingBuffer ring(4);
     net::PendingOutput output;
-    int asked = 0;
+    int calls = 0;
     output.append("abcdef");
-    output.setSource([&asked](net::RingBuffer& out) {
-        ++asked;
+    output.setSource([&calls](net::RingBuffer& out) {
+        ++calls;
         out.append("X");
     });
     output.fill(ring);
-    CHECK(asked == 0);
+    CHECK(calls == 0);
     CHECK(drain(ring) == "abcd");
     output.fill(ring);
-    CHECK(asked == 1);
+    CHECK(calls == 1);
     CHECK(drain(ring) == "efX");
 }
 
@@ -75,7 +75,7 @@
     CHECK(output.empty());
 }
 
-TEST_CASE("pending output: a source may end itself while it is asked") {
+TEST_CASE("pending output: a source may remove itself while it is called") {
     net::RingBuffer ring(4);
     net::PendingOutput output;
     output.setSource([&output](net::RingBuffer& out) {
--- a/tests/net/reader_support.h
+++ b/tests/net/reader_support.h
@@ -1,4 +1,4 @@
-// Feeds HTTP messages to a ring buffer for the tests of the readers.
+// Fills ring buffers with HTTP messages for the readers' tests.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace wingproxy::test {
 
-// A ring that holds `text`, which must fit.
+// Returns a ring that holds `text`, which must fit.
 inline net::RingBuffer ringWith(std::string_view text, std::size_t capacity = 1024) {
     net::RingBuffer ring(capacity);
     ring.append(text);
--- a/tests/net/response_reader_test.cpp
+++ b/tests/net/response_reader_test.cpp
@@ -1,4 +1,4 @@
-// Reading a node's response: interim responses, and the ways in which a response ends.
+// Tests of reading a node's response: interim responses, and how the end of a response is found.
 #include "net/response_reader.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 
 constexpr std::size_t kMaxBody = 64;
 
-// A response that is read as far as `text` goes.
+// Reads a response as far as `text` goes.
 struct ReadResponse {
     explicit ReadResponse(std::string_view text) : in(ringWith(text)), reader(in, kMaxBody) {
         headComplete = reader.readHead(in, error);
@@ -54,7 +54,7 @@
     CHECK(response.reader.isComplete());
 }
 
-TEST_CASE("response reader: an interim response alone is no complete head") {
+TEST_CASE("response reader: an interim response alone does not complete the head") {
     ReadResponse response("HTTP/1.1 100 Continue\r\n\r\n");
     CHECK(!response.headComplete);
     CHECK(!response.error);
@@ -110,7 +110,7 @@
     CHECK(!response.reader.isComplete());
 }
 
-TEST_CASE("response reader: a response that asks for the close does not keep the connection") {
+TEST_CASE("response reader: a response with \"Connection: close\" does not keep the connection") {
     ReadResponse response("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     CHECK(response.reader.isComplete());
     CHECK(!response.reader.keepAlive());
--- a/tests/net/ring_buffer_test.cpp
+++ b/tests/net/ring_buffer_test.cpp
@@ -1,4 +1,4 @@
-// The ring buffer alone.
+// Tests of the ring buffer.
 #include "net/ring_buffer.h"
 
 #include <doctest/doctest.h>
@@ -16,7 +16,8 @@
 
 }  // namespace
 
-TEST_CASE("ring buffer: order over the seam, and a read in progress while all bytes are consumed") {
+TEST_CASE(
+    "ring buffer: the order is kept where bytes wrap around, also if all bytes are consumed during a read") {
     net::RingBuffer ring(8);
     CHECK(ring.append("abcdefghij") == 8);
     ring.consume(6);
@@ -25,10 +26,11 @@
     for (const auto& part : ring.newest(4))
         text += part;
     CHECK(text == "hXYZ");
-    // The room was given to a read before the rest was consumed: its bytes must be found where it put them.
-    auto room = ring.prepare();
+    // The free space was given to a read before the rest was consumed: the bytes of the read must be found
+    // where the read put them.
+    auto space = ring.prepare();
     ring.consume(5);
-    boost::asio::buffer_copy(room, boost::asio::buffer(std::string("\nq")));
+    boost::asio::buffer_copy(space, boost::asio::buffer(std::string("\nq")));
     ring.commit(2);
     CHECK(ring.readLine(text));
     CHECK(text.empty());
@@ -44,7 +46,7 @@
     CHECK(boost::asio::buffer_size(ring.prepare()) == 8);
 }
 
-TEST_CASE("ring buffer: a full ring offers no room and takes nothing") {
+TEST_CASE("ring buffer: a full ring has no free space and appends nothing") {
     net::RingBuffer ring(4);
     ring.append("abcd");
     CHECK(boost::asio::buffer_size(ring.prepare()) == 0);
@@ -61,7 +63,7 @@
     CHECK(boost::asio::buffer_size(ring.prepare()) == 0);
 }
 
-TEST_CASE("ring buffer: more than is there can be neither committed nor consumed") {
+TEST_CASE("ring buffer: commit and consume are limited to the free space and to the bytes held") {
     net::RingBuffer ring(4);
     ring.commit(9);
     CHECK(ring.size() == 4);
@@ -70,7 +72,7 @@
     CHECK(ring.freeSpace() == 4);
 }
 
-TEST_CASE("ring buffer: the newest bytes are at most those held") {
+TEST_CASE("ring buffer: newest() returns no more bytes than the ring holds") {
     net::RingBuffer ring(4);
     ring.append("ab");
     const auto parts = ring.newest(9);
--- a/tests/net/socket_pair.h
+++ b/tests/net/socket_pair.h
@@ -1,4 +1,4 @@
-// Two ends of a TCP connection on the loopback interface, for the units that work on a socket.
+// Both ends of a TCP connection on the loopback interface, for tests of classes that use a socket.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/tests/net/socket_reader_test.cpp
+++ b/tests/net/socket_reader_test.cpp
@@ -1,4 +1,4 @@
-// The read loop of a connection: when it reads, and what it says at the end.
+// Tests of the read loop of a connection: when it reads, and how it reports the end of the stream.
 #include "net/socket_reader.h"
 
 #include <doctest/doctest.h>
@@ -11,7 +11,7 @@
 
 namespace {
 
-struct Reading : test::SocketPair {
+struct SocketReaderFixture : test::SocketPair {
     void read() {
         reader.read(socket, ring, [this](const boost::system::error_code& error, std::size_t count) {
             errors.push_back(error);
@@ -27,7 +27,8 @@
 
 }  // namespace
 
-TEST_CASE_FIXTURE(Reading, "socket reader: what came is in the ring when the handler is called") {
+TEST_CASE_FIXTURE(SocketReaderFixture,
+                  "socket reader: received bytes are in the ring when the handler is called") {
     read();
     CHECK(reader.isReading());
     sendFromPeer("abc");
@@ -39,7 +40,7 @@
     CHECK(!reader.hasEnded());
 }
 
-TEST_CASE_FIXTURE(Reading, "socket reader: a second read while one is pending does nothing") {
+TEST_CASE_FIXTURE(SocketReaderFixture, "socket reader: a second read while one is pending does nothing") {
     read();
     read();
     sendFromPeer("abc");
@@ -47,7 +48,7 @@
     CHECK(counts.size() == 1);
 }
 
-TEST_CASE_FIXTURE(Reading, "socket reader: nothing is read while the ring is full") {
+TEST_CASE_FIXTURE(SocketReaderFixture, "socket reader: nothing is read while the ring is full") {
     ring.append("12345678");
     read();
     CHECK(!reader.isReading());
@@ -59,7 +60,8 @@
     CHECK(counts == std::vector<std::size_t>{1});
 }
 
-TEST_CASE_FIXTURE(Reading, "socket reader: the other side's close ends the stream, and no read follows it") {
+TEST_CASE_FIXTURE(SocketReaderFixture,
+                  "socket reader: the other side's close ends the stream, and no read follows it") {
     read();
     peer.close();
     io.run();
@@ -70,7 +72,8 @@
     CHECK(!reader.isReading());
 }
 
-TEST_CASE_FIXTURE(Reading, "socket reader: a reset ends the stream with another error than a close") {
+TEST_CASE_FIXTURE(SocketReaderFixture,
+                  "socket reader: a reset ends the stream with an error other than eof") {
     read();
     peer.set_option(boost::asio::socket_base::linger(true, 0));
     peer.close();
@@ -80,7 +83,8 @@
     CHECK(reader.hasEnded());
 }
 
-TEST_CASE_FIXTURE(Reading, "socket reader: once stopped, a pending read adds and calls nothing") {
+TEST_CASE_FIXTURE(SocketReaderFixture,
+                  "socket reader: after stop() a pending read adds no bytes and does not call its handler") {
     read();
     sendFromPeer("abc");
     reader.stop();
--- a/tests/net/stall_timer_test.cpp
+++ b/tests/net/stall_timer_test.cpp
@@ -1,4 +1,4 @@
-// The timeout between two reads: when it expires and when it is given again.
+// Tests of the timeout between two reads: when it expires, and when it is restarted.
 #include "net/stall_timer.h"
 
 #include <doctest/doctest.h>
@@ -15,11 +15,11 @@
 constexpr std::chrono::microseconds kTimeout = 2ms;
 constexpr std::chrono::microseconds kLongTimeout = 10s;
 
-struct Stalling : test::SocketPair {
+struct StallTimerFixture : test::SocketPair {
     void start(std::chrono::microseconds timeout = kTimeout) {
         timer.start(timeout, socket, [this] { ++stalls; });
     }
-    // Waits until the system has all bytes of the other side.
+    // Waits until the socket has unread bytes, and requires that there are `count`.
     void awaitUnread(std::size_t count) {
         socket.wait(boost::asio::ip::tcp::socket::wait_read);
         REQUIRE(socket.available() == count);
@@ -31,13 +31,13 @@
 
 }  // namespace
 
-TEST_CASE_FIXTURE(Stalling, "stall timer: it expires once if nothing comes") {
+TEST_CASE_FIXTURE(StallTimerFixture, "stall timer: it expires once if no bytes arrive") {
     start();
     io.run();
     CHECK(stalls == 1);
 }
 
-TEST_CASE_FIXTURE(Stalling, "stall timer: while bytes wait unread the timeout is given again") {
+TEST_CASE_FIXTURE(StallTimerFixture, "stall timer: the timeout is restarted while bytes wait unread") {
     sendFromPeer("abc");
     awaitUnread(3);
     start();
@@ -50,25 +50,25 @@
     CHECK(stalls == 1);
 }
 
-TEST_CASE_FIXTURE(Stalling, "stall timer: a start anew replaces the timeout before it") {
+TEST_CASE_FIXTURE(StallTimerFixture, "stall timer: a restart replaces the previous timeout") {
     start();
     start();
     io.run();
     CHECK(stalls == 1);
 }
 
-TEST_CASE_FIXTURE(Stalling,
-                  "stall timer: an expiry that is queued already does not count after a start anew") {
+TEST_CASE_FIXTURE(StallTimerFixture,
+                  "stall timer: an expiry that is already queued is ignored after a restart") {
     // Both expire in the same turn of the loop; this handler runs first, as its time is earlier.
     boost::asio::steady_timer earlier(io, std::chrono::steady_clock::now() - 1s);
-    bool startedAnew = false;
+    bool restarted = false;
     earlier.async_wait([&](const boost::system::error_code&) {
         start(kLongTimeout);
-        startedAnew = true;
+        restarted = true;
     });
     start(0us);
     io.run_one();
-    CHECK(startedAnew);
+    CHECK(restarted);
     io.run_one();
     CHECK(stalls == 0);
     timer.stop();
@@ -76,7 +76,8 @@
     CHECK(stalls == 0);
 }
 
-TEST_CASE_FIXTURE(Stalling, "stall timer: a cancelled timeout does not expire, and can be started again") {
+TEST_CASE_FIXTURE(StallTimerFixture,
+                  "stall timer: a cancelled timeout does not expire, and can be started again") {
     start(kLongTimeout);
     timer.cancel();
     io.run();
@@ -87,7 +88,7 @@
     CHECK(stalls == 1);
 }
 
-TEST_CASE_FIXTURE(Stalling, "stall timer: once stopped it calls nothing") {
+TEST_CASE_FIXTURE(StallTimerFixture, "stall timer: after stop() the handler is not called") {
     start(kLongTimeout);
     timer.stop();
     io.run();
--- a/tests/net/watch_timing_test.cpp
+++ b/tests/net/watch_timing_test.cpp
@@ -1,4 +1,4 @@
-// The times of the discovery client, by the way in which lists reach the front.
+// Tests of the discovery client's timeouts, with polled and with pushed endpoint lists.
 #include "net/watch_timing.h"
 
 #include <doctest/doctest.h>
@@ -17,37 +17,37 @@
 
 }  // namespace
 
-TEST_CASE("watch timing: where lists are polled the times are taken as they are") {
+TEST_CASE("watch timing: where lists are polled, the timeouts are used unchanged") {
     const auto timing = timingFor(true, 400'000);
     CHECK(timing.watch.wait == 1'000ms);
     CHECK(timing.watch.continuedTimeout == 500ms);
     CHECK(timing.watch.firstTimeout == 2'500ms);
 }
 
-TEST_CASE("watch timing: where lists are pushed a first request fails after a quarter of a drain's grace") {
+TEST_CASE("watch timing: where lists are pushed, a first request fails after a quarter of the drain grace") {
     const auto timing = timingFor(false, 400'000);
     CHECK(timing.watch.firstTimeout == 100ms);
     CHECK(timing.retryDelay == 50ms);
 }
 
-TEST_CASE("watch timing: where lists are pushed a request that continues a watch keeps its times") {
+TEST_CASE("watch timing: where lists are pushed, a request that continues a watch keeps its timeouts") {
     const auto timing = timingFor(false, 400'000);
     CHECK(timing.watch.wait == 1'000ms);
     CHECK(timing.watch.continuedTimeout == 500ms);
 }
 
-TEST_CASE("watch timing: a long grace does not raise the times of pushed lists above half a second") {
+TEST_CASE("watch timing: a long grace period does not raise the timeouts of pushed lists above 500 ms") {
     const auto timing = timingFor(false, 60'000'000);
     CHECK(timing.watch.firstTimeout == 500ms);
     CHECK(timing.retryDelay == 500ms);
 }
 
-TEST_CASE("watch timing: without a grace the times of pushed lists are half a second") {
+TEST_CASE("watch timing: without a grace period the timeouts of pushed lists are 500 ms") {
     const auto timing = timingFor(false, 0);
     CHECK(timing.watch.firstTimeout == 500ms);
     CHECK(timing.retryDelay == 500ms);
 }
 
-TEST_CASE("watch timing: a timeout that is shorter already stays") {
+TEST_CASE("watch timing: a shorter timeout is kept") {
     CHECK(timingFor(false, 400'000, {40ms, 40ms, 30ms}).watch.firstTimeout == 30ms);
 }
--- a/tests/support/net_support.h
+++ b/tests/support/net_support.h
@@ -1,7 +1,7 @@
 /// \file
-/// Fixtures of the tests on sockets: a front with all its parts, servers in place of nodes and discovery, and
-/// clients, all on one event loop and on loopback ports that the system chooses. Nothing sleeps: a test runs
-/// the loop until what it waits for has come.
+/// Fixtures for tests with sockets: a front with all its parts, servers that stand in for nodes and
+/// discovery, and clients. All run on one event loop and on loopback ports that the system chooses. Nothing
+/// sleeps: a test runs the loop until the condition that it waits for holds.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -27,7 +27,8 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-/// One end of a connection, which the test drives. It reads all the time; what came is in `received`.
+/// One end of a connection that the test controls. It reads continuously; `received` holds the bytes that
+/// arrived.
 struct TestConnection : std::enable_shared_from_this<TestConnection> {
     explicit TestConnection(tcp::socket connected) : socket(std::move(connected)) {}
     void start() {
@@ -35,7 +36,7 @@
                                                          const boost::system::error_code& error,
                                                          std::size_t count) { self->onRead(error, count); });
     }
-    /// Starts to write; the text need not outlive the call.
+    /// Starts to write the text, of which the operation keeps a copy.
     void send(std::string text) {
         const auto held = std::make_shared<std::string>(std::move(text));
         asio::async_write(socket, asio::buffer(*held), [held, self = shared_from_this()](auto, auto) {});
@@ -44,20 +45,20 @@
         boost::system::error_code ignored;
         socket.close(ignored);
     }
-    /// Closes so that the other end sees a reset.
+    /// Closes the connection with a reset.
     void reset() {
         boost::system::error_code ignored;
         socket.set_option(asio::socket_base::linger(true, 0), ignored);
         close();
     }
     bool hasReceived(std::string_view text) const { return received.find(text) != std::string::npos; }
-    /// Forgets what came so far, before the next message on the connection.
+    /// Clears `received`, before the next message on the connection.
     void clearReceived() { received.clear(); }
 
     tcp::socket socket;
     std::string received;
-    std::string autoResponse;  ///< unless empty: the answer to each request without a body
-    bool ended = false;        ///< closed by the other end, reset, or closed here
+    std::string autoResponse;  ///< unless empty: the response to each request without a body
+    bool ended = false;        ///< closed or reset by the other end, or closed here
 
 private:
     void onRead(const boost::system::error_code& error, std::size_t count) {
@@ -75,21 +76,21 @@
 };
 using TestConnectionPtr = std::shared_ptr<TestConnection>;
 
-/// Reads from a connected socket from now on.
+/// Makes a connection of a connected socket and starts to read from it.
 inline TestConnectionPtr startConnection(tcp::socket socket) {
     auto connection = std::make_shared<TestConnection>(std::move(socket));
     connection->start();
     return connection;
 }
 
-/// Connects to a server that listens already, and reads from then on.
+/// Connects to a server that is listening already, and starts to read from the connection.
 inline TestConnectionPtr connectTo(asio::io_context& io, const tcp::endpoint& server) {
     tcp::socket socket(io);
     socket.connect(server);
     return startConnection(std::move(socket));
 }
 
-/// A server that answers nothing by itself: the test does, on its connections.
+/// A server that sends no responses by itself: the test sends them on its connections.
 struct StubServer {
     explicit StubServer(asio::io_context& io, const std::string& address = "127.0.0.1",
                         std::uint16_t port = 0)
@@ -110,41 +111,42 @@
     }
 
     tcp::acceptor acceptor;
-    std::deque<TestConnectionPtr> connections;  ///< all connections that it accepted, the latest one last
+    std::deque<TestConnectionPtr> connections;          ///< all accepted connections, the latest one last
     std::function<void(TestConnection&)> onConnection;  ///< unless empty: called with each new connection
 };
 
-/// Runs the loop until the condition holds. A test that waits in vain fails after 15 s and does not hang.
-/// \param what names the condition in the failure
+/// Runs the loop until the condition holds. If it does not hold within 15 s, the test fails rather than
+/// hangs.
+/// \param what describes the condition in the failure message
 inline void runUntil(asio::io_context& io, const std::function<bool()>& condition,
                      const char* what = "what the test waits for") {
-    constexpr std::chrono::seconds kPatience{15};
-    const auto end = std::chrono::steady_clock::now() + kPatience;
+    constexpr std::chrono::seconds kWaitTimeout{15};
+    const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
     while (!condition() && std::chrono::steady_clock::now() < end)
         io.run_one_for(std::chrono::milliseconds(50));
     REQUIRE_MESSAGE(condition(), std::string(what));
 }
 
-/// Nothing answers watches unless a test does: none may time out while a test runs.
-constexpr net::WatchTiming kLongWatches{std::chrono::seconds(60), std::chrono::seconds(1),
-                                        std::chrono::seconds(1)};
+/// So long that no watch request times out while a test runs: no server answers one unless the test does.
+constexpr net::WatchTiming kLongWatchTiming{std::chrono::seconds(60), std::chrono::seconds(1),
+                                            std::chrono::seconds(1)};
 
-/// A whole front but for its process: the parts that src/app wires, with one server for each node, and
-/// one for discovery.
+/// A complete front except for its process: the parts that src/app connects, with one server for each node
+/// and one for discovery.
 struct GatewayFixture {
     explicit GatewayFixture(config::Config base = testConfig(), std::size_t nodeCount = 1,
-                            std::size_t mostClients = 64, std::size_t ring = net::kMaxRingBytes,
-                            net::WatchTiming watches = kLongWatches)
+                            std::size_t maxClients = 64, std::size_t ringBytes = net::kMaxRingBytes,
+                            net::WatchTiming watchTiming = kLongWatchTiming)
         : discoveryServer(io),
           config(prepare(std::move(base), nodeCount)),
           engine(io, config, logger),
           pool(io, {64, std::chrono::microseconds(config.settings.connectTimeoutUs), std::chrono::seconds(15),
-                    ring}),
+                    ringBytes}),
           rsyncPool(
               io, {16, std::chrono::microseconds(config.settings.connectTimeoutUs), std::chrono::seconds(0)}),
-          discovery(engine, config.discovery, watches),
+          discovery(engine, config.discovery, watchTiming),
           peers(engine, config),
-          front(engine, pool, config.listen, mostClients, ring),
+          front(engine, pool, config.listen, maxClients, ringBytes),
           rsync(engine, rsyncPool, rsyncConfig(), 16) {
         engine.setEffectHandlers(
             {[this](PeerRecipient to, const std::string& bytes) { peers.send(to, bytes); },
@@ -175,7 +177,7 @@
     TestConnectionPtr client() { return connect(front.sessionManager().address()); }
     TestConnectionPtr rsyncClient() { return connect(rsync.sessionManager().address()); }
     StubServer& node(std::size_t i = 0) { return *nodes.at(i); }
-    /// The connection on which a node received this text, once it has.
+    /// Waits until a node has received this text, and returns the connection on which it did.
     TestConnectionPtr waitForNodeToReceive(std::string_view text, std::size_t i = 0) {
         TestConnectionPtr found;
         waitUntil([&] {
@@ -185,7 +187,8 @@
         });
         return found;
     }
-    /// Answers the open watch with a change of one node's state, and waits until the front has read it.
+    /// Answers the pending watch request with a change of one node's state, and waits until the front has
+    /// read it.
     /// \param id "s-" and the node's index
     void announceNodeState(const std::string& id, const std::string& state) {
         waitUntil([&] {
@@ -208,8 +211,8 @@
         return engine.counters().outcomes[static_cast<std::size_t>(outcome)];
     }
 
-    /// Starts the nodes' servers, and names them and discovery's in the configuration. Node "s-0" is of cell
-    /// 0 and so on.
+    /// Starts the nodes' servers, and enters their addresses and discovery's in the configuration. Node
+    /// "s-0" is in cell 0, and so on.
     config::Config prepare(config::Config prepared, std::size_t nodeCount) {
         prepared.discovery = discoveryServer.address();
         auto& known = prepared.cachedEndpoints;
@@ -221,29 +224,29 @@
         }
         return prepared;
     }
-    /// Modules for pulls and pushes, one with a short deadline, one that is read-only, and one whose
-    /// transfers are large.
+    /// Four modules: an ordinary one for pulls and pushes, one with a short deadline, one that is read-only,
+    /// and one whose transfers are large.
     static config::RsyncFront rsyncConfig() {
-        config::RsyncModule usual;
-        usual.name = "manuales";
-        usual.comment = "bundles";
-        usual.nodeModule = "bodega";
-        usual.volume = "00000000000000aa";
-        usual.plan = PlanIndex(0);
-        usual.pullClass = ClassIndex(0);
-        usual.pushClass = ClassIndex(1);
-        usual.units = 2;
-        usual.deadlineUs = 2'000'000;
-        auto quick = usual;
-        quick.name = "breve";
-        quick.deadlineUs = 600'000;
-        auto readOnly = usual;
+        config::RsyncModule standard;
+        standard.name = "manuales";
+        standard.comment = "bundles";
+        standard.nodeModule = "bodega";
+        standard.volume = "00000000000000aa";
+        standard.plan = PlanIndex(0);
+        standard.pullClass = ClassIndex(0);
+        standard.pushClass = ClassIndex(1);
+        standard.units = 2;
+        standard.deadlineUs = 2'000'000;
+        auto shortDeadline = standard;
+        shortDeadline.name = "breve";
+        shortDeadline.deadlineUs = 600'000;
+        auto readOnly = standard;
         readOnly.name = "lectura";
         readOnly.pushClass = ClassIndex();
-        auto large = usual;
+        auto large = standard;
         large.name = "grande";
         large.units = 6;
-        return {{"127.0.0.1", 0}, 0, "", {usual, quick, readOnly, large}};
+        return {{"127.0.0.1", 0}, 0, "", {standard, shortDeadline, readOnly, large}};
     }
 
     asio::io_context io;
@@ -261,7 +264,7 @@
     rsync::Front rsync;
 };
 
-/// A request of a client of the platform; class "lectura" is idempotent, "alta" has idempotency keys.
+/// A request of a platform client. Class "lectura" is idempotent; class "alta" uses idempotency keys.
 struct PlatformRequest {
     std::string id = "9b1f03aa5c7e2d41";
     std::string kind = "lectura";
@@ -272,7 +275,7 @@
     int shard = 0;
     double units = 2;
 
-    /// The HTTP message: a PUT with a key for "alta", else a GET.
+    /// The HTTP message: a PUT with an idempotency key for "alta", otherwise a GET.
     std::string text() const {
         return fmt::format(
             "{} /api?x=1 HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: {}\r\nReq-Kind: {}\r\nTier: {}\r\n"
@@ -283,21 +286,21 @@
     }
 };
 
-/// A 200 of a node.
+/// A node's response with status 200.
 /// \param fields complete lines, besides Content-Length
 inline std::string ok(std::string_view body, std::string_view fields = "") {
     return fmt::format("HTTP/1.1 200 OK\r\n{}Content-Length: {}\r\n\r\n{}", fields, body.size(), body);
 }
-/// A response of a node without a body.
+/// A node's response without a body.
 /// \param fields complete lines, besides Content-Length
 inline std::string status(int code, std::string_view fields = "") {
     return fmt::format("HTTP/1.1 {} x\r\n{}Content-Length: 0\r\n\r\n", code, fields);
 }
 
-/// Spends the burst of a limited volume through the platform's front, and keeps account of what the limit
-/// allows.
+/// Spends the burst of a rate-limited volume through the HTTP front, counts the units spent, and computes
+/// what the limit allows.
 struct LimitedVolumeLoad {
-    static constexpr double kUnits = 6;  ///< of each request
+    static constexpr double kUnits = 6;  ///< units of each request
     static PlatformRequest request(int i) {
         return {
             .id = fmt::format("{:016x}", i), .tier = "basico", .volume = "00000000000000aa", .units = kUnits};
@@ -313,7 +316,7 @@
             units += kUnits;
         }
     }
-    /// Units that the limit allows since the first request, burst and slack included.
+    /// The units that the limit has allowed since the first request, including burst and slack.
     double allowed() const {
         const auto& plan = fixture.config.settings.plans[0];
         const std::chrono::duration<double> seconds = std::chrono::steady_clock::now() - since;
@@ -321,7 +324,7 @@
     }
     GatewayFixture& fixture;
     std::chrono::steady_clock::time_point since;
-    double units = 0;  ///< spent so far
+    double units = 0;  ///< units spent so far
 };
 
 }  // namespace wingproxy::test
