--- a/src/net/engine.h
+++ b/src/net/engine.h
@@ -185,7 +185,7 @@
     const fleet::RestartRecovery& recovery() const { return state_.recovery(); }
     /// The version of the endpoint list that was received last, as discovery counts versions.
     std::int64_t listVersion() const { return listVersion_; }
-    /// The total number of entries of all tables; the metrics show by it that no table grows without bound.
+    /// The total number of entries of all tables; a metric shows by it that no table grows without bound.
     std::size_t tableEntries() const { return state_.tableEntries() + requests_.size() + addresses_.size(); }
     /// Totals since the start.
     const core::Counters& counters() const { return state_.counters(); }
--- a/src/net/peer_transport.h
+++ b/src/net/peer_transport.h
@@ -59,10 +59,9 @@
     const HostIndex selfIndex_;
     std::vector<boost::asio::ip::udp::endpoint> peers_;
     std::map<boost::asio::ip::udp::endpoint, HostIndex> peerIndexes_;
-    boost::asio::ip::udp::endpoint broadcast_;  // port 0: none
-    boost::asio::ip::udp::endpoint sender_;     // of the datagram that was received last
-    std::array<char, kMaxDatagramBytes + 1>
-        buffer_{};  // one byte more, to detect a datagram that is too long
+    boost::asio::ip::udp::endpoint broadcast_;          // port 0: none
+    boost::asio::ip::udp::endpoint sender_;             // of the datagram that was received last
+    std::array<char, kMaxDatagramBytes + 1> buffer_{};  // one byte more, to detect oversized datagrams
     Counters counters_;
 };
 
