--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -95,7 +95,7 @@
 
 log::Level logLevelOf(const cli::Command& command) {
     const std::string name = std::visit([](const auto& c) { return logLevelName(c); }, command);
-    return log::levelFrom(name.empty() ? "info" : name);
+    return log::parseLevel(name.empty() ? "info" : name);
 }
 
 }  // namespace wingproxy::app
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -34,7 +34,7 @@
     std::fflush(stream_);
 }
 
-Level levelFrom(std::string_view name) {
+Level parseLevel(std::string_view name) {
     const auto* const found = std::find_if(kLevelNames.begin(), kLevelNames.end(),
                                            [name](const LevelName& entry) { return entry.name == name; });
     return found == kLevelNames.end() ? Level::Info : found->level;
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -61,6 +61,6 @@
 
 /// The level of this name: "debug", "info", "warn" or "error"; Info for any other text, as a mistyped level
 /// must not keep the program from starting.
-Level levelFrom(std::string_view name);
+Level parseLevel(std::string_view name);
 
 }  // namespace wingproxy::log
--- a/tests/log/logger_test.cpp
+++ b/tests/log/logger_test.cpp
@@ -42,9 +42,9 @@
 }
 
 TEST_CASE("log: a level is read by its name, and an unknown one is Info") {
-    CHECK(log::levelFrom("debug") == log::Level::Debug);
-    CHECK(log::levelFrom("info") == log::Level::Info);
-    CHECK(log::levelFrom("warn") == log::Level::Warn);
-    CHECK(log::levelFrom("error") == log::Level::Error);
-    CHECK(log::levelFrom("loud") == log::Level::Info);
+    CHECK(log::parseLevel("debug") == log::Level::Debug);
+    CHECK(log::parseLevel("info") == log::Level::Info);
+    CHECK(log::parseLevel("warn") == log::Level::Warn);
+    CHECK(log::parseLevel("error") == log::Level::Error);
+    CHECK(log::parseLevel("loud") == log::Level::Info);
 }
