--- a/src/log/log.h
+++ b/src/log/log.h
@@ -27,10 +27,10 @@
     /// Writes one message if `level` reaches the threshold; otherwise the arguments are not formatted.
     template <typename... Args>
     void log(Level level, fmt::format_string<Args...> format, Args&&... args) {
-        if (writes(level)) writeLine(level, fmt::vformat(format, fmt::make_format_args(args...)));
+        if (isEnabled(level)) writeLine(level, fmt::vformat(format, fmt::make_format_args(args...)));
     }
     /// Whether messages of this level are written.
-    [[nodiscard]] bool writes(Level level) const { return level >= threshold_; }
+    [[nodiscard]] bool isEnabled(Level level) const { return level >= threshold_; }
     /// For those who look for a fault: too much for everyday operation.
     template <typename... Args>
     void debug(fmt::format_string<Args...> format, Args&&... args) {
--- a/src/net/engine.h
+++ b/src/net/engine.h
@@ -168,7 +168,7 @@
     /// microseconds. All processes of a machine share that clock.
     template <typename... Args>
     void trace(fmt::format_string<Args...> format, Args&&... args) {
-        if (!logger_.writes(log::Level::Debug)) return;
+        if (!logger_.isEnabled(log::Level::Debug)) return;
         logger_.debug("{} {}", steadyMicros(), fmt::vformat(format, fmt::make_format_args(args...)));
     }
     /// Counters of what was sent to nodes in slow start.
