--- a/src/rsync/generator_stream.cpp
+++ b/src/rsync/generator_stream_parser.cpp
@@ -1,4 +1,4 @@
-#include "rsync/generator_stream.h"
+#include "rsync/generator_stream_parser.h"
 
 #include <cstdint>
 
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-GeneratorStream::GeneratorStream(FilterRules filterRules) {
+GeneratorStreamParser::GeneratorStreamParser(FilterRules filterRules) {
     switch (filterRules) {
         case FilterRules::Sent:
             readFilterRule();
@@ -31,7 +31,7 @@
     }
 }
 
-void GeneratorStream::readFilterRule() {
+void GeneratorStreamParser::readFilterRule() {
     readField(kIntSize, [this] {
         const auto length = intField();
         if (length == kEndOfRules) return readFileIndex();
@@ -41,7 +41,7 @@
     });
 }
 
-void GeneratorStream::readFileIndex() {
+void GeneratorStreamParser::readFileIndex() {
     readField(kIntSize, [this] {
         const auto index = intField();
         if (index == kEndMarker) {
@@ -53,7 +53,7 @@
     });
 }
 
-void GeneratorStream::readChecksums() {
+void GeneratorStreamParser::readChecksums() {
     readField(ChecksumHead::kSize, [this] {
         const auto head = parseChecksumHead(field());
         if (!head.hasValidChecksums()) return fail(StreamErrorCode::ChecksumHeadOutOfRange, head.blockCount);
--- a/src/rsync/generator_stream.h
+++ b/src/rsync/generator_stream_parser.h
@@ -10,14 +10,14 @@
 namespace wingproxy::rsync {
 
 /// Parser of a generator's stream.
-class GeneratorStream : public StreamParser {
+class GeneratorStreamParser : public StreamParser {
 public:
     /// Whether the stream starts with a list of filter rules. That of a pulling client does, that of a daemon
     /// does not.
     enum class FilterRules { Sent, NotSent };
 
     /// \param filterRules what the stream starts with
-    explicit GeneratorStream(FilterRules filterRules);
+    explicit GeneratorStreamParser(FilterRules filterRules);
 
 private:
     void readFilterRule();
--- a/src/rsync/multiplexed_stream.cpp
+++ b/src/rsync/multiplexed_stream_parser.cpp
@@ -1,4 +1,4 @@
-#include "rsync/multiplexed_stream.h"
+#include "rsync/multiplexed_stream_parser.h"
 
 #include <algorithm>
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-StreamStatus MultiplexedStream::feed(std::string_view bytes) {
+StreamStatus MultiplexedStreamParser::feed(std::string_view bytes) {
     if (error_.code != StreamErrorCode::None) return StreamStatus::Broken;
     while (!bytes.empty()) {
         if (seedLeft_ > 0)
@@ -29,16 +29,16 @@
     return inner_.status();
 }
 
-StreamStatus MultiplexedStream::fail(const StreamError& error) {
+StreamStatus MultiplexedStreamParser::fail(const StreamError& error) {
     error_ = error;
     return StreamStatus::Broken;
 }
 
-void MultiplexedStream::skipSeed(std::string_view& bytes) {
+void MultiplexedStreamParser::skipSeed(std::string_view& bytes) {
     seedLeft_ -= takePrefix(bytes, seedLeft_).size();
 }
 
-StreamStatus MultiplexedStream::readHeader(std::string_view& bytes) {
+StreamStatus MultiplexedStreamParser::readHeader(std::string_view& bytes) {
     header_.append(takePrefix(bytes, kFrameHeaderSize - header_.size()));
     if (header_.size() < kFrameHeaderSize) return StreamStatus::InProgress;
     const auto header = static_cast<std::uint32_t>(readInt32(header_));
@@ -50,7 +50,7 @@
     return StreamStatus::InProgress;
 }
 
-StreamStatus MultiplexedStream::readPayload(std::string_view& bytes) {
+StreamStatus MultiplexedStreamParser::readPayload(std::string_view& bytes) {
     const auto payload = takePrefix(bytes, payloadLeft_);
     payloadLeft_ -= payload.size();
     if (payloadIsData_ && inner_.feed(payload) == StreamStatus::Broken) return fail(inner_.error());
--- a/src/rsync/multiplexed_stream.h
+++ b/src/rsync/multiplexed_stream_parser.h
@@ -14,10 +14,10 @@
 namespace wingproxy::rsync {
 
 /// Takes frames apart and feeds what the data frames carry to the parser inside.
-class MultiplexedStream {
+class MultiplexedStreamParser {
 public:
     /// \param inner follows the transfer's stream; has to outlive this object
-    explicit MultiplexedStream(StreamParser& inner) : inner_(inner) {}
+    explicit MultiplexedStreamParser(StreamParser& inner) : inner_(inner) {}
 
     /// Follows the next bytes; where one call ends and the next begins does not matter.
     /// \return Complete as soon as the stream inside is
--- a/src/rsync/sender_stream.cpp
+++ b/src/rsync/sender_stream_parser.cpp
@@ -1,4 +1,4 @@
-#include "rsync/sender_stream.h"
+#include "rsync/sender_stream_parser.h"
 
 #include "rsync/protocol.h"
 
@@ -46,12 +46,12 @@
 
 }  // namespace
 
-SenderStream::SenderStream(const TransferOptions& options, Totals totals)
+SenderStreamParser::SenderStreamParser(const TransferOptions& options, Totals totals)
     : options_(options), totals_(totals) {
     readEntry();
 }
 
-void SenderStream::readEntry() {
+void SenderStreamParser::readEntry() {
     readField(1, [this] {
         const unsigned flags = byteField();
         if (flags == kEndOfList) return readIdList(IdList::Users);
@@ -60,31 +60,31 @@
     });
 }
 
-void SenderStream::readNamePrefix(unsigned flags) {
+void SenderStreamParser::readNamePrefix(unsigned flags) {
     if ((flags & entry_flag::kHardLink) != 0) return fail(StreamErrorCode::HardLink, flags);
     skip((flags & entry_flag::kPrefixed) != 0 ? 1 : 0, [this, flags] { readNameLength(flags); });
 }
 
-void SenderStream::readNameLength(unsigned flags) {
+void SenderStreamParser::readNameLength(unsigned flags) {
     if ((flags & entry_flag::kLongName) != 0)
         readField(kIntSize, [this, flags] { skipName(flags, intField()); });
     else
         readField(1, [this, flags] { skipName(flags, byteField()); });
 }
 
-void SenderStream::skipName(unsigned flags, std::int32_t length) {
+void SenderStreamParser::skipName(unsigned flags, std::int32_t length) {
     if (length < 0 || length > kMaxNameLength) return fail(StreamErrorCode::NameTooLong, length);
     skip(static_cast<std::uint64_t>(length), [this, flags] { readSizeAndTime(flags); });
 }
 
-void SenderStream::readSizeAndTime(unsigned flags) {
+void SenderStreamParser::readSizeAndTime(unsigned flags) {
     readWideInt([this, flags](std::int64_t size) {
         if (size < 0) return fail(StreamErrorCode::NegativeFileSize, size);
         skip((flags & entry_flag::kSameTime) != 0 ? 0 : kTimeSize, [this, flags] { readMode(flags); });
     });
 }
 
-void SenderStream::readMode(unsigned flags) {
+void SenderStreamParser::readMode(unsigned flags) {
     if ((flags & entry_flag::kSameMode) != 0) {
         if (!hasMode_) return fail(StreamErrorCode::ModeMissing, flags);
         return skipOwners(flags);
@@ -98,14 +98,14 @@
     });
 }
 
-void SenderStream::skipOwners(unsigned flags) {
+void SenderStreamParser::skipOwners(unsigned flags) {
     const bool hasUserId = options_.preserveOwner && (flags & entry_flag::kSameUserId) == 0;
     const bool hasGroupId = options_.preserveGroup && (flags & entry_flag::kSameGroupId) == 0;
     ++fileCount_;
     skip((hasUserId ? kIdSize : 0) + (hasGroupId ? kIdSize : 0), [this] { readEntry(); });
 }
 
-bool SenderStream::hasIdList(IdList list) const {
+bool SenderStreamParser::hasIdList(IdList list) const {
     if (options_.numericIds) return false;
     switch (list) {
         case IdList::Users:
@@ -116,7 +116,7 @@
     return false;
 }
 
-void SenderStream::readIdList(IdList list) {
+void SenderStreamParser::readIdList(IdList list) {
     if (!hasIdList(list)) return finishIdList(list);
     readField(kIntSize, [this, list] {
         constexpr std::int32_t kEndOfIds = 0;
@@ -128,7 +128,7 @@
     });
 }
 
-void SenderStream::finishIdList(IdList list) {
+void SenderStreamParser::finishIdList(IdList list) {
     switch (list) {
         case IdList::Users:
             return readIdList(IdList::Groups);
@@ -137,11 +137,11 @@
     }
 }
 
-void SenderStream::skipIoErrorFlag() {
+void SenderStreamParser::skipIoErrorFlag() {
     skip(kIntSize, [this] { readFileIndex(); });
 }
 
-void SenderStream::readFileIndex() {
+void SenderStreamParser::readFileIndex() {
     readField(kIntSize, [this] {
         const auto index = intField();
         if (index == kEndOfPhase) return finishPhase();
@@ -150,14 +150,14 @@
     });
 }
 
-void SenderStream::finishPhase() {
+void SenderStreamParser::finishPhase() {
     ++finishedPhases_;
     if (finishedPhases_ < kPhases) return readFileIndex();
     if (totals_ == Totals::Sent) return readTotals(kTotalsCount);
     complete();
 }
 
-void SenderStream::readDeltaHead() {
+void SenderStreamParser::readDeltaHead() {
     readField(ChecksumHead::kSize, [this] {
         const auto head = parseChecksumHead(field());
         if (!head.isValid()) return fail(StreamErrorCode::ChecksumHeadOutOfRange, head.blockCount);
@@ -165,7 +165,7 @@
     });
 }
 
-void SenderStream::readToken(std::int32_t blockCount) {
+void SenderStreamParser::readToken(std::int32_t blockCount) {
     readField(kIntSize, [this, blockCount] {
         const auto token = intField();
         if (token == kEndOfDelta) return skip(kFileChecksumSize, [this] { readFileIndex(); });
@@ -181,7 +181,7 @@
     });
 }
 
-void SenderStream::readTotals(int remaining) {
+void SenderStreamParser::readTotals(int remaining) {
     if (remaining == 0) return complete();
     readWideInt([this, remaining](std::int64_t) { readTotals(remaining - 1); });
 }
--- a/src/rsync/sender_stream.h
+++ b/src/rsync/sender_stream_parser.h
@@ -14,7 +14,7 @@
 namespace wingproxy::rsync {
 
 /// Parser of a sender's stream.
-class SenderStream : public StreamParser {
+class SenderStreamParser : public StreamParser {
 public:
     /// Whether the sender closes its stream with the totals of the transfer. A daemon does, a client does
     /// not.
@@ -22,7 +22,7 @@
 
     /// \param options decide which fields an entry of the file list has
     /// \param totals what the stream ends with
-    SenderStream(const TransferOptions& options, Totals totals);
+    SenderStreamParser(const TransferOptions& options, Totals totals);
 
     /// \return the entries of the file list so far
     int fileCount() const { return fileCount_; }
--- a/src/rsync/transfer_attempt.cpp
+++ b/src/rsync/transfer_attempt.cpp
@@ -22,13 +22,13 @@
     : net::NodeAttempt(engine, pool, params),
       request_(std::move(request)),
       client_(std::move(client)),
-      senderStream_(request_->options,
-                    isPull(*request_) ? SenderStream::Totals::Sent : SenderStream::Totals::NotSent),
-      generatorStream_(isPull(*request_) ? GeneratorStream::FilterRules::Sent
-                                         : GeneratorStream::FilterRules::NotSent),
-      nodeStream_(isPull(*request_) ? static_cast<StreamParser&>(senderStream_) : generatorStream_),
-      clientStream_(isPull(*request_) ? static_cast<StreamParser&>(generatorStream_) : senderStream_),
-      nodeFrames_(nodeStream_) {}
+      senderParser_(request_->options, isPull(*request_) ? SenderStreamParser::Totals::Sent
+                                                         : SenderStreamParser::Totals::NotSent),
+      generatorParser_(isPull(*request_) ? GeneratorStreamParser::FilterRules::Sent
+                                         : GeneratorStreamParser::FilterRules::NotSent),
+      nodeParser_(isPull(*request_) ? static_cast<StreamParser&>(senderParser_) : generatorParser_),
+      clientParser_(isPull(*request_) ? static_cast<StreamParser&>(generatorParser_) : senderParser_),
+      nodeFrameParser_(nodeParser_) {}
 
 void TransferAttempt::onConnected(std::shared_ptr<net::Connection> connection) {
     connection_ = std::move(connection);
@@ -121,8 +121,9 @@
 
 void TransferAttempt::parseNodeStream(std::size_t newBytes) {
     for (const auto& part : connection_->in.newest(newBytes)) {
-        if (nodeFrames_.feed(part) != StreamStatus::Broken) continue;
-        engine_.logger().warn("rsync: protocol error in a node's stream: {}", describe(nodeFrames_.error()));
+        if (nodeFrameParser_.feed(part) != StreamStatus::Broken) continue;
+        engine_.logger().warn("rsync: protocol error in a node's stream: {}",
+                              describe(nodeFrameParser_.error()));
         return finish(Outcome::Reset);
     }
     forwardToClient();
@@ -155,9 +156,9 @@
     if (received.size() == 0) return finishIfComplete();
     const auto chunk = received.data().front();
     const std::string_view bytes(static_cast<const char*>(chunk.data()), chunk.size());
-    if (clientStream_.feed(bytes) == StreamStatus::Broken) {
+    if (clientParser_.feed(bytes) == StreamStatus::Broken) {
         engine_.logger().debug("rsync: protocol error in a client's stream: {}",
-                               describe(clientStream_.error()));
+                               describe(clientParser_.error()));
         return finish(Outcome::Reset);
     }
     writingNode_ = true;
@@ -178,7 +179,7 @@
 bool TransferAttempt::allForwardedToClient() const { return !writingClient_ && connection_->in.size() == 0; }
 
 bool TransferAttempt::isDelivered() const {
-    return !ended_ && stage_ == Stage::Forwarding && nodeStream_.status() == StreamStatus::Complete &&
+    return !ended_ && stage_ == Stage::Forwarding && nodeParser_.status() == StreamStatus::Complete &&
            allForwardedToClient();
 }
 
@@ -194,7 +195,7 @@
 
 // A pulling client's goodbye is still forwarded to the node, unless the node has closed already.
 void TransferAttempt::finishDelivered() {
-    if (clientStream_.status() == StreamStatus::Complete && !writingNode_)
+    if (clientParser_.status() == StreamStatus::Complete && !writingNode_)
         finish(Outcome::Ok);
     else if (nodeReader_.hasEnded())
         finish(isPull(*request_) ? Outcome::Ok : Outcome::Reset);
--- a/src/rsync/transfer_attempt.h
+++ b/src/rsync/transfer_attempt.h
@@ -15,10 +15,10 @@
 #include "net/pending_output.h"
 #include "net/socket_reader.h"
 #include "rsync/client_stream.h"
-#include "rsync/generator_stream.h"
-#include "rsync/multiplexed_stream.h"
+#include "rsync/generator_stream_parser.h"
+#include "rsync/multiplexed_stream_parser.h"
 #include "rsync/node_handshake.h"
-#include "rsync/sender_stream.h"
+#include "rsync/sender_stream_parser.h"
 #include "rsync/transfer_request.h"
 
 namespace wingproxy::rsync {
@@ -71,11 +71,11 @@
     bool writingHandshake_ = false;
     bool requestSent_ = false;  ///< the last byte of the arguments was written: the node may run the transfer
 
-    SenderStream senderStream_;
-    GeneratorStream generatorStream_;
-    StreamParser& nodeStream_;    ///< the one of the two that the node sends
-    StreamParser& clientStream_;  ///< the one of the two that the client sends
-    MultiplexedStream nodeFrames_;
+    SenderStreamParser senderParser_;
+    GeneratorStreamParser generatorParser_;
+    StreamParser& nodeParser_;    ///< the one of the two that the node sends
+    StreamParser& clientParser_;  ///< the one of the two that the client sends
+    MultiplexedStreamParser nodeFrameParser_;
     net::SocketReader nodeReader_;  ///< ended: the node closed its side, or the connection broke
     bool writingClient_ = false;
     bool writingNode_ = false;
--- a/tests/rsync/generator_stream_test.cpp
+++ b/tests/rsync/generator_stream_parser_test.cpp
@@ -1,4 +1,4 @@
-#include "rsync/generator_stream.h"
+#include "rsync/generator_stream_parser.h"
 
 #include <doctest/doctest.h>
 
@@ -8,7 +8,7 @@
 
 using namespace wingproxy;
 using namespace wingproxy::test;
-using rsync::GeneratorStream;
+using rsync::GeneratorStreamParser;
 using rsync::StreamErrorCode;
 using rsync::StreamStatus;
 
@@ -17,8 +17,12 @@
 /// File 0, of which the receiver holds two blocks with strong checksums of 2 bytes.
 const std::string kWantedFile = encodeInt(0) + encodeChecksumHead(2, 700, 2, 0) + std::string(12, 's');
 
-GeneratorStream daemonStream() { return GeneratorStream(GeneratorStream::FilterRules::NotSent); }
-GeneratorStream clientStream() { return GeneratorStream(GeneratorStream::FilterRules::Sent); }
+GeneratorStreamParser daemonStream() {
+    return GeneratorStreamParser(GeneratorStreamParser::FilterRules::NotSent);
+}
+GeneratorStreamParser clientStream() {
+    return GeneratorStreamParser(GeneratorStreamParser::FilterRules::Sent);
+}
 
 }  // namespace
 
--- a/tests/rsync/multiplexed_stream_test.cpp
+++ b/tests/rsync/multiplexed_stream_parser_test.cpp
@@ -1,11 +1,11 @@
-#include "rsync/multiplexed_stream.h"
+#include "rsync/multiplexed_stream_parser.h"
 
 #include <doctest/doctest.h>
 
 #include <string>
 #include <string_view>
 
-#include "rsync/generator_stream.h"
+#include "rsync/generator_stream_parser.h"
 #include "stream_support.h"
 
 using namespace wingproxy;
@@ -27,8 +27,8 @@
     const rsync::StreamError& error() const { return frames_.error(); }
 
 private:
-    rsync::GeneratorStream inner_{rsync::GeneratorStream::FilterRules::NotSent};
-    rsync::MultiplexedStream frames_{inner_};
+    rsync::GeneratorStreamParser inner_{rsync::GeneratorStreamParser::FilterRules::NotSent};
+    rsync::MultiplexedStreamParser frames_{inner_};
 };
 
 FramedStream framedStream() { return FramedStream(); }
--- a/tests/rsync/sender_stream_test.cpp
+++ b/tests/rsync/sender_stream_parser_test.cpp
@@ -1,4 +1,4 @@
-#include "rsync/sender_stream.h"
+#include "rsync/sender_stream_parser.h"
 
 #include <doctest/doctest.h>
 
@@ -8,10 +8,10 @@
 
 using namespace wingproxy;
 using namespace wingproxy::test;
-using rsync::SenderStream;
+using rsync::SenderStreamParser;
 using rsync::StreamErrorCode;
 using rsync::StreamStatus;
-using Totals = rsync::SenderStream::Totals;
+using Totals = rsync::SenderStreamParser::Totals;
 
 namespace {
 
@@ -25,8 +25,8 @@
     encodeInt(0) + kTwoBlocks + encodeInt(3) + "xyz" + encodeInt(-1) + encodeInt(-2) + kEndOfDelta;
 const std::string kTotals = encodeInt(1) + encodeInt(2) + encodeWideInt(9, 9);
 
-SenderStream clientStream() { return SenderStream({}, Totals::NotSent); }
-SenderStream daemonStream() { return SenderStream({}, Totals::Sent); }
+SenderStreamParser clientStream() { return SenderStreamParser({}, Totals::NotSent); }
+SenderStreamParser daemonStream() { return SenderStreamParser({}, Totals::Sent); }
 
 StreamErrorCode errorOf(const std::string& bytes) { return feedBroken(clientStream, bytes).code; }
 
@@ -49,7 +49,7 @@
 }
 
 TEST_CASE("rsync sender stream: files, literal bytes and blocks are counted") {
-    SenderStream stream({}, Totals::NotSent);
+    SenderStreamParser stream({}, Totals::NotSent);
     stream.feed(kFileList + kDelta);
     CHECK(stream.fileCount() == 2);
     CHECK(stream.literalBytes() == 3);
@@ -58,7 +58,7 @@
 
 TEST_CASE("rsync sender stream: owners in the entries, and the lists of their names") {
     const auto ownersSent = [] {
-        return SenderStream({.preserveOwner = true, .preserveGroup = true}, Totals::NotSent);
+        return SenderStreamParser({.preserveOwner = true, .preserveGroup = true}, Totals::NotSent);
     };
     const std::string user = encodeInt(1000) + "\x02yo";
     const std::string endOfIds = encodeInt(0);
@@ -69,8 +69,8 @@
 
 TEST_CASE("rsync sender stream: with numeric ids there are no lists of names") {
     const auto numericIds = [] {
-        return SenderStream({.preserveOwner = true, .preserveGroup = true, .numericIds = true},
-                            Totals::NotSent);
+        return SenderStreamParser({.preserveOwner = true, .preserveGroup = true, .numericIds = true},
+                                  Totals::NotSent);
     };
     const std::string list = kFileEntry + encodeInt(1000) + encodeInt(1000) + kEndOfFileList + kNoIoErrors;
     CHECK(feedAll(numericIds, list + kBothPhases) == StreamStatus::Complete);
