--- a/src/admin/admin_request.cpp
+++ b/src/admin/admin_request.cpp
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-bool namesNode(AdminRequest::Kind kind) { return kind == Kind::DrainNode || kind == Kind::UndrainNode; }
+bool requiresNodeId(AdminRequest::Kind kind) { return kind == Kind::DrainNode || kind == Kind::UndrainNode; }
 
 HttpRequestParts encodeAdminRequest(const AdminRequest& request) {
     const auto* const route = std::find_if(kRoutes.begin(), kRoutes.end(),
@@ -73,8 +73,8 @@
     if (route->method != method)
         return AdminResponse{405, fmt::format("{}: {} only\n", path, route->method),
                              fmt::format("Allow: {}\r\n", route->method)};
-    const auto nodeId = namesNode(route->kind) ? trim(body) : std::string_view();
-    if (namesNode(route->kind) && nodeId.empty())
+    const auto nodeId = requiresNodeId(route->kind) ? trim(body) : std::string_view();
+    if (requiresNodeId(route->kind) && nodeId.empty())
         return AdminResponse{400, "the body names no chunk server\n", ""};
     if (body.size() > kMaxBodyBytes) return AdminResponse{413, "the body is too long\n", ""};
     return AdminRequest{route->kind, std::string(nodeId)};
--- a/src/admin/admin_request.h
+++ b/src/admin/admin_request.h
@@ -27,11 +27,11 @@
         UndrainNode,     ///< POST /_chunk-servers/attach
     };
     Kind kind = Kind::CheckReadiness;
-    std::string nodeId;  ///< as discovery names the node; empty unless namesNode(kind)
+    std::string nodeId;  ///< as discovery names the node; empty unless requiresNodeId(kind)
 };
 
 /// Whether requests of this kind concern one node.
-bool namesNode(AdminRequest::Kind kind);
+bool requiresNodeId(AdminRequest::Kind kind);
 
 /// An HTTP response.
 struct AdminResponse {
--- a/src/cli/command.cpp
+++ b/src/cli/command.cpp
@@ -36,7 +36,7 @@
 void addAdminCommands(CLI::App& app, std::string& nodeId) {
     for (const auto& spec : kAdminCommands) {
         auto* const command = app.add_subcommand(spec.name, spec.help);
-        if (admin::namesNode(spec.kind))
+        if (admin::requiresNodeId(spec.kind))
             command->add_option("ID", nodeId, "the chunk server's id, as discovery names it")->required();
     }
 }
--- a/tests/admin/admin_request_test.cpp
+++ b/tests/admin/admin_request_test.cpp
@@ -36,7 +36,7 @@
 TEST_CASE("admin request: each kind is parsed as it is encoded") {
     for (const auto kind : {AdminRequest::Kind::CheckReadiness, AdminRequest::Kind::ReadMetrics,
                             AdminRequest::Kind::DrainNode, AdminRequest::Kind::UndrainNode}) {
-        const std::string nodeId = admin::namesNode(kind) ? "s-1" : "";
+        const std::string nodeId = admin::requiresNodeId(kind) ? "s-1" : "";
         const auto encoded = admin::encodeAdminRequest({kind, nodeId});
         const auto parsed =
             std::get<AdminRequest>(admin::parseAdminRequest(encoded.method, encoded.target, encoded.body));
