--- a/src/admin/admin_client.cpp
+++ b/src/admin/admin_client.cpp
@@ -20,7 +20,7 @@
 namespace http = beast::http;
 using boost::system::error_code;
 
-/// Enough for the metrics of thousands of classes; whatever sends more is no front.
+/// Enough for the metrics of thousands of classes; a larger response is not from a front.
 constexpr std::uint64_t kMaxResponseBytes = 1024UL * 1024UL;
 constexpr unsigned kHttp11 = 11;
 
@@ -40,10 +40,10 @@
     return "timeout";
 }
 
-/// One connection with one request and its response. Each step starts the next one.
+/// One HTTP request and its response on a connection of its own. Each step starts the next one.
 class Exchange {
 public:
-    /// \param timeout only for the error
+    /// \param timeout reported in error(); the caller enforces it
     Exchange(asio::io_context& io, const config::Endpoint& front, const AdminRequest& request,
              std::chrono::milliseconds timeout)
         : stream_(io), error_{Step::TimedOut, {}, timeout} {
@@ -55,19 +55,19 @@
         parser_.body_limit(kMaxResponseBytes);
     }
 
-    /// The handlers refer to this object: it must outlive the run of the io_context.
+    /// The handlers refer to this object, which must outlive the run of the io_context.
     void start(const asio::ip::tcp::endpoint& front) {
         stream_.async_connect(front, [this](const error_code& error) { onConnected(error); });
     }
-    /// Ends the exchange early; its handlers still run, with an error.
+    /// Closes the connection; pending handlers still run, with an error.
     void cancel() {
         error_code ignored;
         stream_.socket().close(ignored);
     }
     bool completed() const { return completed_; }
-    /// Until it is completed: the step that failed, or TimedOut if none did.
+    /// Valid unless completed(): the step that failed, or TimedOut if none did.
     const AdminClientError& error() const { return error_; }
-    /// Once it is completed.
+    /// Moves out the response. Valid once completed().
     AdminResponse takeResponse() {
         auto& response = parser_.get();
         return {static_cast<int>(response.result_int()), std::move(response.body()), ""};
@@ -117,9 +117,9 @@
     io.run_for(timeout);
     if (exchange.completed()) return exchange.takeResponse();
 
-    const auto error = exchange.error();  // before the cancelled handlers report theirs
+    const auto error = exchange.error();  // copied before the cancelled handlers overwrite it
     exchange.cancel();
-    // Runs the handlers of what was cancelled while the objects that they refer to exist.
+    // Runs the cancelled handlers while the objects that they refer to exist.
     io.restart();
     io.run();
     return error;
--- a/src/admin/admin_client.h
+++ b/src/admin/admin_client.h
@@ -1,5 +1,5 @@
 /// \file
-/// Sends one request to the operators' interface of a running front, from another process.
+/// Client of the admin interface of a running front, for use from another process.
 #pragma once
 
 #include <boost/system/error_code.hpp>
@@ -12,24 +12,25 @@
 
 namespace wingproxy::admin {
 
-/// A front responds within 1 s however busy it is; the rest is for the connection.
+/// A front responds within 1 s under any load; the remaining 500 ms are for establishing the connection.
 inline constexpr std::chrono::milliseconds kResponseTimeout{1'500};
 
 /// Why a front gave no response.
 struct AdminClientError {
-    /// What was under way.
+    /// The step that failed; TimedOut if the timeout expired first.
     enum class Step { Connect, Write, Read, TimedOut };
     Step step = Step::TimedOut;
-    boost::system::error_code cause;       ///< of the system or the HTTP parser; no error if it timed out
-    std::chrono::milliseconds timeout{0};  ///< how long the response was waited for, at most
+    boost::system::error_code cause;       ///< from the system or the HTTP parser; no error for TimedOut
+    std::chrono::milliseconds timeout{0};  ///< the time limit of the whole request
 };
 
-/// One line for an operator, e.g. "connect: Connection refused".
+/// \return one line for an operator, e.g. "connect: Connection refused"
 std::string describe(const AdminClientError& error);
 
-/// Sends a request and waits for the response. It blocks, so it is not for a thread with an event loop.
-/// \return the response, whatever its status, or why there is none: no connection, no HTTP, or none in time
-/// \throws boost::system::system_error if the front's address is not one of IPv4
+/// Sends a request and waits for the response. Blocks: not for a thread with an event loop.
+/// \return the response, whatever its status, or why there is none: no connection, no valid HTTP, or none in
+///     time
+/// \throws boost::system::system_error if the front's address is not an IPv4 address
 std::variant<AdminResponse, AdminClientError> sendAdminRequest(
     const config::Endpoint& front, const AdminRequest& request,
     std::chrono::milliseconds timeout = kResponseTimeout);
--- a/src/admin/admin_request.cpp
+++ b/src/admin/admin_request.cpp
@@ -12,7 +12,7 @@
 
 using Kind = AdminRequest::Kind;
 
-/// How the HTTP interface names a kind of request.
+/// The HTTP method and path of a kind of request.
 struct Route {
     Kind kind;
     std::string_view method;
@@ -23,7 +23,7 @@
                                         {Kind::DrainNode, "POST", "/_chunk-servers/detach"},
                                         {Kind::UndrainNode, "POST", "/_chunk-servers/attach"}}};
 
-/// The keys of `/_vars` whose values are counted by class, and the core's counters that they show.
+/// The keys of `/_vars` whose values are broken down by class, and the core counter of each.
 struct ClassCounterKey {
     const char* key;
     std::uint64_t core::ResponseCounts::*counter;
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -17,9 +17,10 @@
 namespace http = boost::beast::http;
 using Clock = std::chrono::steady_clock;
 
-/// Clients give up much sooner (kResponseTimeout): a connection without a request by then is stuck.
+/// From the start of a connection to its complete request. Clients give up much sooner (kResponseTimeout), so
+/// a connection that reaches this limit is stuck.
 constexpr std::chrono::seconds kRequestTimeout{8};
-/// From the response until its client has taken it and closed.
+/// From queueing the response until the client has read it and closed the connection.
 constexpr std::chrono::seconds kCloseTimeout{2};
 
 std::string_view toView(boost::beast::string_view text) { return {text.data(), text.size()}; }
@@ -88,7 +89,7 @@
 
     AdminServer& server_;
     http::request_parser<http::string_body> parser_;
-    Clock::time_point phaseStart_ = Clock::now();  // of waiting for the request, then for the client's close
+    Clock::time_point phaseStart_ = Clock::now();  // of awaiting the request, then the client's close
     bool responded_ = false;
 };
 
--- a/src/cli/command.cpp
+++ b/src/cli/command.cpp
@@ -50,7 +50,7 @@
         "3 no response from a front.",
         "wingproxy"};
     app.require_subcommand(0, 1);
-    app.fallthrough();  // options may stand before or after the command
+    app.fallthrough();  // options may precede or follow the command
     CommandOptions options;
     std::string nodeId;
     addOptions(app, options);
--- a/src/cli/command.h
+++ b/src/cli/command.h
@@ -1,6 +1,6 @@
 /// \file
-/// The command line: which command it holds, and where its files are. It reads no file and calls no front;
-/// CLI11 itself prints the texts of --help, --version and usage errors.
+/// Parses the command line into a command and its options. Reads no files and connects to no front; CLI11
+/// prints the texts of --help, --version and usage errors.
 #pragma once
 
 #include <string>
@@ -11,44 +11,44 @@
 namespace wingproxy::cli {
 
 /// Exit codes of the program, which scripts rely on.
-inline constexpr int kExitOk = 0;           ///< done; a front that served ends with it after SIGTERM
+inline constexpr int kExitOk = 0;           ///< success, also of a front that stops after SIGTERM
 inline constexpr int kExitRejected = 1;     ///< a running front rejected the request
-inline constexpr int kExitUsage = 2;        ///< wrong command line or configuration
+inline constexpr int kExitUsage = 2;        ///< wrong command line or configuration, or any other exception
 inline constexpr int kExitUnreachable = 3;  ///< no front responded
 
-/// What the options say, with the environment's values where an option is missing. Empty: neither has it.
+/// The values of the options, or of the environment where an option is missing; empty if neither is set.
 struct CommandOptions {
     std::string configPath;
     std::string operatorConfigPath;
     std::string adminAddress;        ///< ADDRESS:PORT
-    std::string listenerDescriptor;  ///< number of a descriptor that already listens for clients
+    std::string listenerDescriptor;  ///< PROXY_FD: number of an inherited descriptor that listens for clients
     std::string logLevel;
 };
 
-/// No command: serve, as the platform starts the program.
+/// No command: serve. This is how the platform starts the program.
 struct RunCommand {
     CommandOptions options;
 };
-/// Read both files and start nothing.
+/// Read both configuration files without starting anything.
 struct CheckCommand {
     CommandOptions options;
 };
-/// A request to a running front.
+/// Send a request to a running front.
 struct AdminCommand {
     CommandOptions options;
     admin::AdminRequest request;
 };
-/// Nothing more to do: --help or --version, or a usage error that is printed already.
+/// Exit: the output of --help or --version, or a usage error, is already printed.
 struct ExitCommand {
     int code = kExitOk;
 };
-/// What the command line orders: exactly one of these.
+/// The command that the command line specifies.
 using Command = std::variant<RunCommand, CheckCommand, AdminCommand, ExitCommand>;
 
-/// Reads the command line and the environment: PROXY_CONFIG, WINGPROXY_OPERATOR, PROXY_MGMT, WINGPROXY_LOG
-/// and PROXY_FD. A usage error is no exception: its text is written to standard error, and the result is an
-/// ExitCommand.
-/// \param argv as `main` gets it, with the program's name first
+/// Parses the command line and the environment variables PROXY_CONFIG, WINGPROXY_OPERATOR, PROXY_MGMT,
+/// WINGPROXY_LOG and PROXY_FD. A usage error does not throw: its text is written to standard error, and the
+/// result is an ExitCommand.
+/// \param argv the arguments of `main`, including the program's name
 Command parseCommandLine(int argc, const char* const* argv);
 
 }  // namespace wingproxy::cli
--- a/src/health/agent_check.cpp
+++ b/src/health/agent_check.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kPercent = 100;
-/// HAProxy takes a weight of 0% as a drain.
+/// HAProxy treats a weight of 0% as a drain.
 constexpr long kMinWeightPercent = 1;
 
 }  // namespace
@@ -17,8 +17,8 @@
 std::string renderAgentLine(const GatewayStatus& status) {
     if (status.draining) return "drain\n";
     if (!status.ready) return "down #no node is known\n";
-    const double freePart = std::clamp(1 - status.utilization, 0.0, 1.0);
-    return fmt::format("ready up {}%\n", std::max(kMinWeightPercent, std::lround(freePart * kPercent)));
+    const double freeShare = std::clamp(1 - status.utilization, 0.0, 1.0);
+    return fmt::format("ready up {}%\n", std::max(kMinWeightPercent, std::lround(freeShare * kPercent)));
 }
 
 }  // namespace wingproxy::health
--- a/src/health/check_listeners.cpp
+++ b/src/health/check_listeners.cpp
@@ -12,10 +12,10 @@
 
 using boost::asio::ip::tcp;
 
-/// A load balancer opens one connection for each check and closes it; so many can check at once.
+/// Limit of concurrent connections of each listener. A load balancer opens a connection for each check.
 constexpr std::size_t kMaxClients = 8;
 
-/// The agent check: the server speaks first, one line, and closes.
+/// The agent check: sends one line without waiting for input, then closes.
 class AgentSession : public net::Session {
 public:
     AgentSession(net::SessionManager& sessionManager, tcp::socket socket, StatusSource source)
@@ -31,7 +31,7 @@
     StatusSource source_;
 };
 
-/// The HTTP health check: one request a connection, answered at the end of its header.
+/// The HTTP health check: responds once at the end of the first request's header, then closes.
 class HttpSession : public net::Session {
 public:
     HttpSession(net::SessionManager& sessionManager, tcp::socket socket, StatusSource source)
--- a/src/health/check_listeners.h
+++ b/src/health/check_listeners.h
@@ -11,18 +11,18 @@
 
 namespace wingproxy::health {
 
-/// Returns the current state. Called for each check, on the thread of the `io_context`.
+/// Returns the current status. Called for each check, on the thread of the `io_context`.
 using StatusSource = std::function<GatewayStatus()>;
 
 /// Binds the listener of the agent check: each connection gets one line and is closed. See agent_check.h.
-/// \param source has to be callable as long as the session manager lives
+/// \param source must be callable as long as the session manager exists
 std::unique_ptr<net::SessionManager> makeAgentCheckListener(boost::asio::io_context& io,
                                                             const config::Endpoint& address,
                                                             StatusSource source);
 
 /// Binds the listener of the HTTP health checks: each connection gets one response and is closed.
 /// See http_check.h.
-/// \param source has to be callable as long as the session manager lives
+/// \param source must be callable as long as the session manager exists
 std::unique_ptr<net::SessionManager> makeHttpCheckListener(boost::asio::io_context& io,
                                                            const config::Endpoint& address,
                                                            StatusSource source);
--- a/src/health/gateway_status.h
+++ b/src/health/gateway_status.h
@@ -4,11 +4,11 @@
 
 namespace wingproxy::health {
 
-/// What a load balancer needs to know to route traffic to this gateway.
+/// What a load balancer needs to decide whether to route traffic to this gateway, and how much.
 struct GatewayStatus {
-    bool ready = false;     ///< the endpoint list names at least one node, and requests are admitted
-    bool draining = false;  ///< a graceful shutdown has started: no new traffic should come
-    /// Client connections in use, as a part of their capacity: 1 is full, above 1 overfull.
+    bool ready = false;     ///< at least one node is known from discovery
+    bool draining = false;  ///< a graceful shutdown has started: the gateway should get no new traffic
+    /// Client connections in use divided by their limit: 1 is full; may exceed 1.
     double utilization = 0;
 };
 
--- a/src/health/http_check.cpp
+++ b/src/health/http_check.cpp
@@ -44,7 +44,7 @@
 }
 
 std::string renderHeader(const Response& response) {
-    const auto contentLength = response.body.size() + 1;  // with the end of line
+    const auto contentLength = response.body.size() + 1;  // including the end of line
     return fmt::format(
         "HTTP/1.1 {} {}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
         response.status, response.reason, contentLength);
--- a/src/health/http_check.h
+++ b/src/health/http_check.h
@@ -1,6 +1,6 @@
 /// \file
 /// The responses to HTTP health checks: `/live` for liveness and `/ready` for readiness. Pure rendering; no
-/// sockets.
+/// I/O.
 #pragma once
 
 #include <string>
@@ -10,18 +10,18 @@
 
 namespace wingproxy::health {
 
-/// Renders the response to a request's first line; header fields and the query do not matter.
+/// Renders the response to a request, given its first line; header fields and the query have no effect.
 ///
 /// | request | status |
 /// | --- | --- |
 /// | not HTTP/1 | 400 |
 /// | neither GET nor HEAD | 405 |
-/// | `/live` | 200 as long as the process answers |
+/// | `/live` | 200 as long as the process responds |
 /// | `/ready` | 200 when ready and not draining, else 503 |
 /// | another path | 404 |
 ///
 /// \param requestLine without its end of line
-/// \return the complete response; the one to HEAD has the same header fields and no body
+/// \return the complete response; a response to HEAD has the same header fields as to GET and no body
 std::string renderHttpResponse(std::string_view requestLine, const GatewayStatus& status);
 
 }  // namespace wingproxy::health
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -27,7 +27,7 @@
 
 void Logger::writeLine(Level level, std::string_view message) {
     std::string line = fmt::format("{}: ", nameOf(level));
-    // Text from clients and nodes may contain line breaks, which would look like messages of this program.
+    // Text from clients and nodes may contain line breaks, after which it would look like another message.
     std::replace_copy_if(message.begin(), message.end(), std::back_inserter(line), isControlCharacter, ' ');
     line += '\n';
     std::fwrite(line.data(), 1, line.size(), stream_);
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,5 +1,5 @@
 /// \file
-/// The program's log: lines with a level on standard error, which the platform collects.
+/// Leveled logging to standard error, which the platform collects.
 #pragma once
 
 #include <fmt/format.h>
@@ -10,13 +10,13 @@
 
 namespace wingproxy::log {
 
-/// How serious a message is, from the least to the most.
+/// Severity of a message, in ascending order.
 enum class Level { Debug, Info, Warn, Error };
 
-/// Writes the messages of one level and above; each is one line, "LEVEL: message".
+/// Writes messages at or above a threshold, each as one line, "LEVEL: message".
 ///
-/// Each line is flushed, so a message for each request would cost a system call each: not for those.
-/// Format strings are checked when the caller is compiled.
+/// Each line is flushed, which costs a system call, so messages per request belong to Debug only. Format
+/// strings are checked at compile time.
 class Logger {
 public:
     /// \param threshold the lowest level that is written
@@ -24,29 +24,29 @@
     explicit Logger(Level threshold = Level::Info, std::FILE* stream = stderr)
         : threshold_(threshold), stream_(stream) {}
 
-    /// Writes one message if `level` reaches the threshold; otherwise the arguments are not formatted.
+    /// Writes a message if `level` is enabled; otherwise the arguments are not formatted.
     template <typename... Args>
     void log(Level level, fmt::format_string<Args...> format, Args&&... args) {
         if (isEnabled(level)) writeLine(level, fmt::vformat(format, fmt::make_format_args(args...)));
     }
     /// Whether messages of this level are written.
     [[nodiscard]] bool isEnabled(Level level) const { return level >= threshold_; }
-    /// For those who look for a fault: too much for everyday operation.
+    /// Details for debugging; too verbose for normal operation.
     template <typename... Args>
     void debug(fmt::format_string<Args...> format, Args&&... args) {
         log(Level::Debug, format, std::forward<Args>(args)...);
     }
-    /// What an operator may want to know afterwards, e.g. a start, a reload or a shutdown.
+    /// Normal events that an operator may want to look up later, e.g. a start, a reload or a shutdown.
     template <typename... Args>
     void info(fmt::format_string<Args...> format, Args&&... args) {
         log(Level::Info, format, std::forward<Args>(args)...);
     }
-    /// Something failed and the program works around it.
+    /// A failure that the program works around.
     template <typename... Args>
     void warn(fmt::format_string<Args...> format, Args&&... args) {
         log(Level::Warn, format, std::forward<Args>(args)...);
     }
-    /// What was to be done is not done, and an operator has to act.
+    /// A failure that requires action by an operator: an operation was not carried out.
     template <typename... Args>
     void error(fmt::format_string<Args...> format, Args&&... args) {
         log(Level::Error, format, std::forward<Args>(args)...);
@@ -59,8 +59,8 @@
     std::FILE* stream_;
 };
 
-/// The level of this name: "debug", "info", "warn" or "error"; Info for any other text, as a mistyped level
-/// must not keep the program from starting.
+/// Parses a level's name: "debug", "info", "warn" or "error". Returns Info for any other text, so that a
+/// mistyped level does not keep the program from starting.
 Level parseLevel(std::string_view name);
 
 }  // namespace wingproxy::log
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The program wingproxy: reads its arguments and executes the command that they name.
+/// The program wingproxy: parses its command line and executes the command.
 #include <csignal>
 #include <exception>
 
@@ -11,7 +11,7 @@
     using namespace wingproxy;
     const cli::Command command = cli::parseCommandLine(argc, argv);
     log::Logger logger(app::logLevelOf(command));
-    // A write to a connection that its peer has closed is an error of that write, not of the process.
+    // Writing to a connection that the peer has closed returns an error instead of terminating the process.
     std::signal(SIGPIPE, SIG_IGN);
     try {
         return app::execute(command, logger);
--- a/src/rsync/checksum_head.h
+++ b/src/rsync/checksum_head.h
@@ -1,6 +1,6 @@
 /// \file
-/// The head of a file's block checksums, which the generator sends before the checksums and the sender
-/// repeats before the delta. A value type; it owns nothing.
+/// The header of a file's block checksums ("sum head" in rsync): the generator sends it before the checksums,
+/// and the sender repeats it before the delta. A value type; it owns nothing.
 #pragma once
 
 #include <cstddef>
@@ -15,24 +15,24 @@
 struct ChecksumHead {
     /// Bytes on the wire: four integers.
     static constexpr std::size_t kSize = 4 * kIntSize;
-    /// The rolling checksum of each block, before its strong checksum.
+    /// Bytes of each block's rolling checksum, which precedes its strong checksum.
     static constexpr std::size_t kRollingChecksumSize = 4;
-    /// The strong checksum is a cut MD4, of at most 16 bytes.
+    /// The strong checksum is a truncated MD4, of at most 16 bytes.
     static constexpr std::int32_t kMaxStrongChecksumSize = 16;
-    /// A bound of this gateway: with 20 bytes each, the checksums of one file are at most 1.25 GiB.
+    /// Limit of this gateway: with at most 20 bytes per block, the checksums of one file take up to 1.25 GiB.
     static constexpr std::int32_t kMaxBlocks = 1 << 26;
 
     std::int32_t blockCount = 0;
     std::int32_t blockLength = 0;         ///< bytes of each block but the last
     std::int32_t strongChecksumSize = 0;  ///< bytes of each block's strong checksum
-    std::int32_t lastBlockLength = 0;     ///< bytes of the last block; 0 if it is a full one
+    std::int32_t lastBlockLength = 0;     ///< bytes of the last block; 0 if it is a full block
 
-    /// Whether the figures that the length of the generator's stream depends on are possible.
+    /// Whether the two fields that determine checksumBytes() are in range: blockCount and strongChecksumSize.
     [[nodiscard]] bool hasValidChecksums() const {
         const bool validCount = blockCount >= 0 && blockCount <= kMaxBlocks;
         return validCount && strongChecksumSize >= 0 && strongChecksumSize <= kMaxStrongChecksumSize;
     }
-    /// Whether all figures are possible.
+    /// Whether all fields are in range.
     [[nodiscard]] bool isValid() const {
         return hasValidChecksums() && blockLength >= 0 && lastBlockLength >= 0 &&
                lastBlockLength <= blockLength;
--- a/src/rsync/client_handshake.cpp
+++ b/src/rsync/client_handshake.cpp
@@ -11,9 +11,9 @@
 namespace wingproxy::rsync {
 namespace {
 
-/// A bound of this gateway; clients send fewer than 25.
+/// Limit of this gateway; clients send fewer than 25 arguments.
 constexpr std::size_t kMaxArguments = 256;
-/// Asks for the module list, as an empty line does.
+/// Requests the module list, as an empty line does.
 constexpr std::string_view kListCommand = "#list";
 
 }  // namespace
--- a/src/rsync/client_session.cpp
+++ b/src/rsync/client_session.cpp
@@ -13,7 +13,8 @@
 namespace wingproxy::rsync {
 namespace {
 
-/// From the connection to the end of the arguments: a few lines each way, over any network.
+/// From accepting the connection to the end of the arguments. Allows for a few lines each way over
+/// a slow network.
 constexpr std::chrono::seconds kHandshakeTimeout{15};
 constexpr double kMicrosPerSecond = 1e6;
 
@@ -132,7 +133,8 @@
     // After the last byte of the stream, a client may close without a goodbye: the transfer is complete.
     if (attempt && attempt->isDelivered()) return attempt->clientDisconnected();
     ++context_.counters.disconnected;
-    context_.engine.clientDisconnected(requestId_);  // before the attempt ends, so that it is not retried
+    context_.engine.clientDisconnected(
+        requestId_);  // before the attempt ends, so that the engine does not retry it
     if (attempt) attempt->clientDisconnected();
 }
 
@@ -149,7 +151,7 @@
     stage_ = Stage::Closing;
     onReceived_ = nullptr;
     handshakeTimer_.cancel();
-    send("");  // onOutputSent() is called even if nothing waits to be sent
+    send("");  // so that onOutputSent() is called even if no output is pending
 }
 
 }  // namespace wingproxy::rsync
--- a/src/rsync/client_session.h
+++ b/src/rsync/client_session.h
@@ -1,5 +1,5 @@
 /// \file
-/// One client's connection to the rsync front: the handshake, at most one transfer, and the close.
+/// One client's connection to the rsync front: the handshake, then at most one transfer, then the close.
 #pragma once
 
 #include <functional>
@@ -15,15 +15,15 @@
 
 class TransferAttempt;
 
-/// Owns the client's socket and buffers. A transfer's outcome comes from its PendingTransfer; the bytes of
-/// the node from the attempt that is in flight.
+/// Owns the client's socket and buffers. The PendingTransfer reports the transfer's outcome to it; the
+/// attempt in flight writes the node's bytes to its socket.
 class ClientSession : public net::Session, public ClientStream {
 public:
-    /// \param context has to outlive the session
+    /// \param context must outlive the session
     ClientSession(FrontContext& context, net::SessionManager& sessionManager,
                   boost::asio::ip::tcp::socket socket);
 
-    /// Sends the greeting and starts the handshake's timer.
+    /// Sends the greeting and starts the handshake timer.
     void start() override;
     /// Before a transfer, the connection may be evicted in favour of another client.
     bool isIdle() const override { return stage_ == Stage::Handshake; }
@@ -33,15 +33,15 @@
     void resumeReading() override { read(); }
     void startForwarding(std::function<void()> onReceived) override;
 
-    /// Remembers the attempt in flight, which learns of the client's disconnection.
+    /// Sets the attempt in flight, which is notified if the client disconnects.
     void attemptStarted(std::weak_ptr<TransferAttempt> attempt);
-    /// The client has the node's complete stream.
+    /// The node's complete stream was written to the client.
     void onCompleted();
     /// The engine rejected the transfer; no node ran it.
-    /// \param retryAfterUs when the client should retry, from now
+    /// \param retryAfterUs time from now after which the client should retry
     void onRejected(Micros retryAfterUs);
-    /// The transfer failed. The client gets an error message or, if bytes of a stream were forwarded, a
-    /// closed connection, which shows that the stream is incomplete.
+    /// The transfer failed. Sends an error message or, if bytes of the node's stream may have been forwarded,
+    /// closes the connection, so that the client sees an incomplete stream.
     void onFailed();
 
 protected:
@@ -51,8 +51,8 @@
 
 private:
     enum class Stage {
-        Handshake,  ///< reading lines
-        Transfer,   ///< submitted to the engine, then forwarded
+        Handshake,  ///< reading lines from the client
+        Transfer,   ///< the transfer is with the engine, or being forwarded
         Closing     ///< the last bytes are being sent
     };
 
--- a/src/rsync/client_stream.h
+++ b/src/rsync/client_stream.h
@@ -1,5 +1,5 @@
 /// \file
-/// The client's end of a transfer, as an attempt at a node sees it.
+/// The interface through which an attempt forwards data from and to the client.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -9,7 +9,7 @@
 
 namespace wingproxy::rsync {
 
-/// Implemented by the client's session, which owns the socket and the buffer.
+/// Implemented by ClientSession, which owns the socket and the buffer.
 class ClientStream {
 public:
     ClientStream() = default;
@@ -17,14 +17,15 @@
     ClientStream(const ClientStream&) = delete;
     ClientStream& operator=(const ClientStream&) = delete;
 
-    /// The attempt writes the node's stream to it. Reading from it is the session's.
+    /// The attempt writes the node's stream to it. Only the session reads from it.
     virtual boost::asio::ip::tcp::socket& socket() = 0;
-    /// Bytes from the client that were not forwarded to a node yet. The attempt consumes what it forwarded.
+    /// Bytes from the client that are not forwarded to a node yet. The attempt consumes what it has
+    /// forwarded.
     virtual net::RingBuffer& receiveBuffer() = 0;
-    /// Continues reading from the client, as receiveBuffer() has space again.
+    /// Continues reading from the client; called after consuming from receiveBuffer().
     virtual void resumeReading() = 0;
-    /// From now on, bytes of the node go to the client: errors can't be reported in the stream any more.
-    /// \param onReceived called whenever receiveBuffer() got more bytes
+    /// From now on, the node's bytes go to the client, so errors can no longer be reported in the stream.
+    /// \param onReceived called whenever receiveBuffer() has received bytes
     virtual void startForwarding(std::function<void()> onReceived) = 0;
 };
 
--- a/src/rsync/front.h
+++ b/src/rsync/front.h
@@ -1,6 +1,6 @@
 /// \file
-/// The rsync front: an rsync daemon of protocol 28 to its clients, whose transfers are requests to the
-/// engine. Owns the listener with its sessions, the configuration of the modules, and the counters.
+/// The rsync front: serves clients as an rsync daemon of protocol version 28 and submits their transfers to
+/// the engine. Owns the listener with its sessions, the configuration of the modules, and the counters.
 #pragma once
 
 #include <cstddef>
@@ -16,22 +16,22 @@
     /// The counters of this front, for the metrics report.
     using Counters = FrontCounters;
 
-    /// Binds the listener, which accepts at once.
-    /// \param engine admits, routes and retries the transfers; has to outlive the front
-    /// \param pool connects to the nodes' daemons; has to outlive the front
-    /// \param maxClients connections of clients at once
-    /// \param ringSize bytes of buffer for each direction of a connection
+    /// Binds the listener, which starts to accept immediately.
+    /// \param engine admits, routes and retries the transfers; must outlive the front
+    /// \param pool connects to the nodes' daemons; must outlive the front
+    /// \param maxClients limit of concurrent client connections
+    /// \param ringSize bytes of the ring buffer of each direction of a connection
     Front(net::Engine& engine, net::NodePool& pool, const config::RsyncFront& config, std::size_t maxClients,
           std::size_t ringSize = net::kMaxRingBytes);
 
-    /// The listener and its connections, for shutdown and metrics. Lives as long as the front.
+    /// The listener and its connections, for shutdown and metrics. Valid as long as the front.
     net::SessionManager& sessionManager() { return sessionManager_; }
     /// Totals since the start.
     const Counters& counters() const { return context_.counters; }
 
 private:
     FrontContext context_;
-    net::SessionManager sessionManager_;  // last: its sessions refer to the context
+    net::SessionManager sessionManager_;  // declared last: its sessions refer to the context
 };
 
 }  // namespace wingproxy::rsync
--- a/src/rsync/front_context.h
+++ b/src/rsync/front_context.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the rsync front shares with its sessions and the transfers that are pending: the configuration and
-/// the counters. Owned by the front, which outlives both.
+/// The state that an rsync front shares with its sessions and pending transfers: the configuration and the
+/// counters. Owned by the front, which outlives both.
 #pragma once
 
 #include <cstdint>
@@ -16,10 +16,10 @@
     std::uint64_t transfers = 0;     ///< submitted to the engine
     std::uint64_t listings = 0;      ///< module lists sent
     std::uint64_t malformed = 0;     ///< handshakes that ended with an error, before a transfer
-    std::uint64_t completed = 0;     ///< transfers of which the client has the complete stream
+    std::uint64_t completed = 0;     ///< transfers whose complete stream was written to the client
     std::uint64_t rejected = 0;      ///< transfers rejected with a retry-after time
-    std::uint64_t failed = 0;        ///< transfers that failed, with an error message or a cut
-    std::uint64_t disconnected = 0;  ///< transfers whose client disconnected before they were complete
+    std::uint64_t failed = 0;        ///< transfers that ended with an error message or an aborted stream
+    std::uint64_t disconnected = 0;  ///< transfers whose client disconnected before the end
 };
 
 /// The state that all sessions of a front share.
--- a/src/rsync/generator_stream_parser.cpp
+++ b/src/rsync/generator_stream_parser.cpp
@@ -8,14 +8,14 @@
 namespace wingproxy::rsync {
 namespace {
 
-/// Sent in place of a rule's length at the end of the filter rules.
+/// Sent in place of a rule length; ends the filter rules.
 constexpr std::int32_t kEndOfRules = 0;
-/// A bound of this gateway, in bytes.
+/// Limit of this gateway, in bytes.
 constexpr std::int32_t kMaxFilterRuleLength = 64 * 1024;
 
-/// Sent in place of a file's index.
+/// Sent in place of a file index.
 constexpr std::int32_t kEndMarker = -1;
-/// One at the end of each of the two phases, and the goodbye.
+/// One at the end of each of the two phases, then one as the goodbye.
 constexpr int kEndMarkers = 3;
 
 }  // namespace
--- a/src/rsync/generator_stream_parser.h
+++ b/src/rsync/generator_stream_parser.h
@@ -1,22 +1,22 @@
 /// \file
-/// Follows the stream of the side that wants the files: the client in a pull, the node in a push.
+/// Parses the stream of the generator, which runs on the receiving side: the client in a pull, the node in a
+/// push.
 ///
-/// In order: from a pulling client, its filter rules; for each file that it wants, the checksums of the
-/// blocks that it holds, in two phases; the final goodbye.
+/// In order: from a pulling client, its filter rules; in two phases, for each requested file the checksums of
+/// the blocks that the receiving side holds; the goodbye, a last end marker.
 #pragma once
 
 #include "rsync/stream_parser.h"
 
 namespace wingproxy::rsync {
 
-/// Parser of a generator's stream.
+/// Parses a generator's stream.
 class GeneratorStreamParser : public StreamParser {
 public:
-    /// Whether the stream starts with a list of filter rules. That of a pulling client does, that of a daemon
-    /// does not.
+    /// Whether the stream starts with a list of filter rules. A pulling client sends one, a daemon does not.
     enum class FilterRules { Sent, NotSent };
 
-    /// \param filterRules what the stream starts with
+    /// \param filterRules whether the stream starts with filter rules
     explicit GeneratorStreamParser(FilterRules filterRules);
 
 private:
--- a/src/rsync/multiplexed_stream_parser.h
+++ b/src/rsync/multiplexed_stream_parser.h
@@ -1,6 +1,6 @@
 /// \file
-/// A daemon's output after the arguments: the checksum seed, then frames that carry the transfer's stream and
-/// messages for the user. Owns the state of the framing; the parser of the stream inside belongs to the
+/// Parses a daemon's output after the arguments: the checksum seed, then frames that carry the transfer's
+/// stream and messages. Owns the state of the framing; the parser of the transfer's stream belongs to the
 /// caller.
 #pragma once
 
@@ -13,17 +13,17 @@
 
 namespace wingproxy::rsync {
 
-/// Takes frames apart and feeds what the data frames carry to the parser inside.
+/// Parses frames and feeds the payload of data frames to an inner parser.
 class MultiplexedStreamParser {
 public:
-    /// \param inner follows the transfer's stream; has to outlive this object
+    /// \param inner parses the transfer's stream; must outlive this object
     explicit MultiplexedStreamParser(StreamParser& inner) : inner_(inner) {}
 
-    /// Follows the next bytes; where one call ends and the next begins does not matter.
-    /// \return Complete as soon as the stream inside is
+    /// Parses the next bytes, which may be split across calls anywhere.
+    /// \return Broken after an error, else the status of the inner parser
     StreamStatus feed(std::string_view bytes);
 
-    /// What broke the framing or the stream inside. The code is None unless feed() returned Broken.
+    /// The error of the framing or of the inner parser. The code is None unless feed() returned Broken.
     const StreamError& error() const { return error_; }
 
 private:
@@ -34,7 +34,7 @@
 
     StreamParser& inner_;
     std::size_t seedLeft_ = kIntSize;
-    std::string header_;  ///< the part of a frame's header that came so far
+    std::string header_;  ///< the part of a frame header received so far
     std::size_t payloadLeft_ = 0;
     bool payloadIsData_ = false;
     StreamError error_;
--- a/src/rsync/node_handshake.cpp
+++ b/src/rsync/node_handshake.cpp
@@ -13,7 +13,8 @@
         return Step::ReadNextLine;
     }
     if (line == kModuleAccepted) return Step::SendArguments;
-    // Any other control line is a demand for a password or a goodbye; any other text the message of the day.
+    // Any other control line is a password challenge (AUTHREQD) or EXIT; other text is the message of the
+    // day.
     return line.starts_with(kControlPrefix) ? Step::Reject : Step::ReadNextLine;
 }
 
--- a/src/rsync/node_handshake.h
+++ b/src/rsync/node_handshake.h
@@ -1,26 +1,26 @@
 /// \file
-/// The lines that a node's daemon sends before a transfer's stream, and what each of them means for the
-/// attempt. No socket: lines in, steps out.
+/// The client's side of the handshake with a node's daemon, which sends lines before the transfer's stream.
+/// Keeps the handshake's state; no I/O.
 ///
-/// Nothing ran at the node as long as the arguments were not sent, so a rejection in the handshake can be
-/// retried.
+/// A node executes nothing before it receives the arguments, so a rejection in the handshake can be retried.
 #pragma once
 
 #include <string_view>
 
 namespace wingproxy::rsync {
 
-/// The gateway's side, as a client, of the handshake with a node.
+/// Decides, for each line that the node sends, what the attempt does next.
 class NodeHandshake {
 public:
     /// What the attempt does after a line.
     enum class Step {
         ReadNextLine,   ///< the greeting, or a line of the message of the day
-        SendArguments,  ///< the node accepted the module; the handshake is over
-        Reject          ///< an error, an older protocol, a demand for a password, or a goodbye
+        SendArguments,  ///< the node accepted the module, which ends the handshake
+        Reject          ///< an error, an older protocol, a password challenge (AUTHREQD), or EXIT
     };
 
-    /// Handles the node's next line, without its end of line. Not to be called after SendArguments or Reject.
+    /// Handles the node's next line, without its end of line. Must not be called after SendArguments or
+    /// Reject.
     Step onLine(std::string_view line);
 
 private:
--- a/src/rsync/pending_transfer.h
+++ b/src/rsync/pending_transfer.h
@@ -1,5 +1,6 @@
 /// \file
-/// A transfer while the engine has it: starts its attempts and passes its outcome on to the client's session.
+/// A transfer that was submitted to the engine: starts its attempts and reports its outcome to the client's
+/// session.
 #pragma once
 
 #include <memory>
@@ -12,11 +13,11 @@
 
 class ClientSession;
 
-/// Owned by the engine until the outcome is known. Does not keep the session alive: the client may disconnect
-/// first.
+/// Owned by the engine until the outcome is known. Does not keep the session alive, as the client may
+/// disconnect first.
 class PendingTransfer : public net::RequestHandler {
 public:
-    /// \param context has to outlive this object
+    /// \param context must outlive this object
     PendingTransfer(FrontContext& context, std::weak_ptr<ClientSession> session, TransferRequest request);
 
     std::shared_ptr<net::Attempt> startAttempt(const net::AttemptParams& params) override;
--- a/src/rsync/sender_stream_parser.cpp
+++ b/src/rsync/sender_stream_parser.cpp
@@ -5,43 +5,44 @@
 namespace wingproxy::rsync {
 namespace {
 
-/// Flags of an entry of the file list. "Same": the field is left out, as it is that of the entry before.
+/// Flags of a file list entry. kSame...: the field is omitted, as it equals that of the previous entry.
 namespace entry_flag {
 constexpr unsigned kSameMode = 1U << 1;
 constexpr unsigned kExtended = 1U << 2;  ///< a second byte of flags follows
 constexpr unsigned kSameUserId = 1U << 3;
 constexpr unsigned kSameGroupId = 1U << 4;
-constexpr unsigned kPrefixed = 1U << 5;  ///< the length of the prefix shared with the entry before follows
-constexpr unsigned kLongName = 1U << 6;  ///< the length of the name has 4 bytes, not 1
+constexpr unsigned kPrefixed = 1U << 5;  ///< the length of the prefix shared with the previous name follows
+constexpr unsigned kLongName = 1U << 6;  ///< the length of the name takes 4 bytes instead of 1
 constexpr unsigned kSameTime = 1U << 7;
 constexpr unsigned kHardLink = 1U << 9;
 }  // namespace entry_flag
 
-/// A byte of flags without any flag ends the file list.
+/// Flags of 0 end the file list.
 constexpr unsigned kEndOfList = 0;
 constexpr unsigned kBitsPerByte = 8;
 
-/// PATH_MAX of Linux; no path can be longer.
+/// PATH_MAX of Linux, in bytes: no path can be longer.
 constexpr std::int32_t kMaxNameLength = 4096;
+/// Bytes of a modification time, and of a user or group id.
 constexpr std::uint64_t kTimeSize = 4;
 constexpr std::uint64_t kIdSize = 4;
 
-/// The file type of a mode, as in POSIX's <sys/stat.h>.
+/// The file type bits of a mode, as in POSIX's <sys/stat.h>.
 constexpr int kFileTypeMask = 0170000;
 constexpr int kRegularFile = 0100000;
 constexpr int kDirectory = 0040000;
 
-/// Sent in place of a file's index at the end of each phase.
+/// Sent in place of a file index at the end of each phase.
 constexpr std::int32_t kEndOfPhase = -1;
-/// The second phase sends again what failed the file checksum in the first.
+/// The second phase resends the files whose checksum did not match in the first.
 constexpr int kPhases = 2;
-/// Sent in place of a token at the end of a delta; the checksum of the file, an MD4, follows.
+/// Sent in place of a token at the end of a delta; the MD4 checksum of the file follows.
 constexpr std::int32_t kEndOfDelta = 0;
 constexpr std::uint64_t kFileChecksumSize = 16;
-/// Bytes read, bytes written, total size of the files.
+/// The totals: bytes read, bytes written, total size of the files.
 constexpr int kTotalsCount = 3;
 
-/// A token below 0 stands for a block: -1 for block 0, -2 for block 1.
+/// A negative token refers to a block: -1 to block 0, -2 to block 1.
 constexpr std::int64_t blockOfToken(std::int32_t token) { return -(std::int64_t{token} + 1); }
 
 }  // namespace
--- a/src/rsync/sender_stream_parser.h
+++ b/src/rsync/sender_stream_parser.h
@@ -1,8 +1,8 @@
 /// \file
-/// Follows the stream of the side that has the files: the node in a pull, the client in a push.
+/// Parses the stream of the sender, the side that has the files: the node in a pull, the client in a push.
 ///
-/// In order: the file list; the names of users and groups; the I/O error flag; for each file that the other
-/// side asked for, its delta, in two phases; from a daemon, the transfer's totals.
+/// In order: the file list; the names of users and groups; the I/O error flag; in two phases, the delta of
+/// each file that the generator requested; from a daemon, the transfer's totals.
 #pragma once
 
 #include <cstdint>
@@ -13,26 +13,25 @@
 
 namespace wingproxy::rsync {
 
-/// Parser of a sender's stream.
+/// Parses a sender's stream.
 class SenderStreamParser : public StreamParser {
 public:
-    /// Whether the sender closes its stream with the totals of the transfer. A daemon does, a client does
-    /// not.
+    /// Whether the stream ends with the totals of the transfer. A daemon sends them, a client does not.
     enum class Totals { Sent, NotSent };
 
-    /// \param options decide which fields an entry of the file list has
-    /// \param totals what the stream ends with
+    /// \param options determine which fields an entry of the file list has
+    /// \param totals whether the stream ends with totals
     SenderStreamParser(const TransferOptions& options, Totals totals);
 
-    /// \return the entries of the file list so far
+    /// \return the number of file list entries so far
     int fileCount() const { return fileCount_; }
-    /// \return the bytes of file contents that the deltas carried so far
+    /// \return the bytes of literal data in the deltas so far
     std::uint64_t literalBytes() const { return literalBytes_; }
-    /// \return the blocks that the deltas referred to so far
+    /// \return the number of block references in the deltas so far
     std::uint64_t matchedBlocks() const { return matchedBlocks_; }
 
 private:
-    /// The lists of names that may follow the file list, in their order.
+    /// The lists of ids and names that may follow the file list, in this order.
     enum class IdList { Users, Groups };
 
     void readEntry();
@@ -56,7 +55,7 @@
     Totals totals_;
     int fileCount_ = 0;
     int finishedPhases_ = 0;
-    bool hasMode_ = false;  ///< an entry with a mode was read, which later entries may refer to
+    bool hasMode_ = false;  ///< an entry with a mode was read, so later entries may repeat it
     std::uint64_t literalBytes_ = 0;
     std::uint64_t matchedBlocks_ = 0;
 };
--- a/src/rsync/transfer_attempt.cpp
+++ b/src/rsync/transfer_attempt.cpp
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-// The node sends totals as a sender, and a pulling client sends filter rules as a generator; the other way
-// round, neither does.
+// In a pull, the node as sender sends totals, and the client as generator sends filter rules. In a push, the
+// streams have neither.
 TransferAttempt::TransferAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptParams& params,
                                  std::shared_ptr<const TransferRequest> request,
                                  std::weak_ptr<ClientStream> client)
@@ -36,7 +36,7 @@
     readFromNode();
 }
 
-// ---------------------------------------------------------------- handshake, to the node
+// ---------------------------------------------------------------- handshake output
 
 void TransferAttempt::sendToNode(const std::string& text) {
     handshakeOutput_.append(text);
@@ -53,7 +53,8 @@
             if (self->ended_) return;
             self->connection_->out.consume(size);
             if (error)
-                self->finish(Outcome::ConnectFailed);  // a part of the request was not written: it never ran
+                self->finish(Outcome::ConnectFailed);  // the request was not sent completely, so the node did
+                                                       // not execute it
             else
                 self->writeHandshake();
         });
@@ -67,7 +68,7 @@
     if (stage_ == Stage::Forwarding) forwardToNode();
 }
 
-// ---------------------------------------------------------------- from the node
+// ---------------------------------------------------------------- input from the node
 
 void TransferAttempt::readFromNode() {
     nodeReader_.read(connection_->socket, connection_->in,
@@ -142,7 +143,7 @@
             self->writingClient_ = false;
             if (self->ended_) return;
             self->connection_->in.consume(size);
-            if (error) return;  // the session's own read reports the disconnection
+            if (error) return;  // the session's read reports the disconnection
             self->readFromNode();
             self->forwardToClient();
         });
@@ -150,7 +151,7 @@
 
 void TransferAttempt::forwardToNode() {
     const auto client = client_.lock();
-    // The arguments are written first.
+    // The arguments must be written before the client's stream.
     if (ended_ || writingNode_ || writingHandshake_ || !client) return;
     const auto& received = client->receiveBuffer();
     if (received.size() == 0) return finishIfComplete();
@@ -174,7 +175,7 @@
         });
 }
 
-// ---------------------------------------------------------------- end
+// ---------------------------------------------------------------- completion
 
 bool TransferAttempt::allForwardedToClient() const { return !writingClient_ && connection_->in.size() == 0; }
 
@@ -193,7 +194,7 @@
         finish(Outcome::Reset);
 }
 
-// A pulling client's goodbye is still forwarded to the node, unless the node has closed already.
+// In a pull, the client's goodbye is still forwarded to the node, unless the node has already closed.
 void TransferAttempt::finishDelivered() {
     if (clientParser_.status() == StreamStatus::Complete && !writingNode_)
         finish(Outcome::Ok);
@@ -212,7 +213,8 @@
 void TransferAttempt::closeConnection() {
     nodeReader_.stop();
     boost::system::error_code ignored;
-    if (connection_) connection_->socket.close(ignored);  // its buffers stay until the handlers have run
+    if (connection_)
+        connection_->socket.close(ignored);  // the buffers stay valid until the handlers have run
 }
 
 }  // namespace wingproxy::rsync
--- a/src/rsync/transfer_attempt.h
+++ b/src/rsync/transfer_attempt.h
@@ -1,10 +1,10 @@
 /// \file
-/// One attempt at a transfer: the handshake with the node's daemon, then both directions are forwarded
-/// between the node and the client. Both streams are parsed before they are forwarded, so that bytes which
-/// break the protocol reach neither side.
+/// One attempt at a transfer: the handshake with the node's daemon, then forwarding in both directions
+/// between the node and the client. Both streams are parsed before they are forwarded, so that bytes that
+/// violate the protocol reach neither side.
 ///
-/// Owns the connection to the node. Bytes of the client that were not forwarded stay with the client's
-/// session; the attempt never sends a byte twice.
+/// Owns the connection to the node. Bytes from the client that are not forwarded yet stay in the client's
+/// session; an attempt never sends a byte twice.
 #pragma once
 
 #include <cstddef>
@@ -23,23 +23,23 @@
 
 namespace wingproxy::rsync {
 
-/// See `net::NodeAttempt` for its lifetime: handlers keep it alive until they have run.
+/// Pending handlers keep it alive until they have run; see `net::NodeAttempt`.
 class TransferAttempt : public net::NodeAttempt {
 public:
-    /// \param client where the node's stream goes; the attempt is cancelled if the client is gone
+    /// \param client receives the node's stream; the attempt is cancelled if the client is gone
     TransferAttempt(net::Engine& engine, net::NodePool& pool, const net::AttemptParams& params,
                     std::shared_ptr<const TransferRequest> request, std::weak_ptr<ClientStream> client);
 
     /// Whether the node's complete stream was written to the client.
     bool isDelivered() const;
-    /// Ends the attempt: as a success if everything was delivered, else as cancelled.
+    /// Ends the attempt: as Ok if isDelivered(), else as Cancelled.
     void clientDisconnected();
 
 private:
     enum class Stage {
-        Handshake,  ///< reading the daemon's lines
+        Handshake,  ///< reading the node's handshake lines
         Arguments,  ///< the arguments are being sent, or the first byte of the stream is awaited
-        Forwarding  ///< bytes go both ways
+        Forwarding  ///< forwarding in both directions
     };
 
     void onConnected(std::shared_ptr<net::Connection> connection) override;
@@ -67,16 +67,16 @@
     std::shared_ptr<net::Connection> connection_;
     Stage stage_ = Stage::Handshake;
     NodeHandshake handshake_;
-    net::PendingOutput handshakeOutput_;  ///< what does not fit the connection's buffer yet
+    net::PendingOutput handshakeOutput_;  ///< output that does not fit into the connection's buffer yet
     bool writingHandshake_ = false;
-    bool requestSent_ = false;  ///< the last byte of the arguments was written: the node may run the transfer
+    bool requestSent_ = false;  ///< all arguments were written: the node may execute the transfer
 
     SenderStreamParser senderParser_;
     GeneratorStreamParser generatorParser_;
-    StreamParser& nodeParser_;    ///< the one of the two that the node sends
-    StreamParser& clientParser_;  ///< the one of the two that the client sends
+    StreamParser& nodeParser_;    ///< the one of the two for the node's stream
+    StreamParser& clientParser_;  ///< the one of the two for the client's stream
     MultiplexedStreamParser nodeFrameParser_;
-    net::SocketReader nodeReader_;  ///< ended: the node closed its side, or the connection broke
+    net::SocketReader nodeReader_;  ///< hasEnded(): the node closed its side, or the connection broke
     bool writingClient_ = false;
     bool writingNode_ = false;
 };
--- a/src/rsync/transfer_request.cpp
+++ b/src/rsync/transfer_request.cpp
@@ -9,12 +9,13 @@
 namespace wingproxy::rsync {
 namespace {
 
-/// v, q: verbosity. t, p, r: times, modes, recursion. l, D: links and devices, accepted so that `-a` works; a
-/// file list that holds one breaks the stream. o, g: owner and group.
+/// v, q: verbosity. t, p, r: times, modes, recursion. o, g: owner and group. l, D: symbolic links and
+/// devices, accepted so that `-a` works; an entry of these types is an error
+/// (StreamErrorCode::UnsupportedFileType).
 constexpr std::string_view kSupportedFlags = "vqtprlDog";
-/// `-e` starts the client's capabilities, which take the rest of the argument. Version 28 has none.
+/// `-e` starts the client's capabilities, the rest of the argument. They are ignored: version 28 has none.
 constexpr char kCapabilitiesFlag = 'e';
-/// Ends the options; the paths follow.
+/// The argument that ends the options; the paths follow.
 constexpr std::string_view kEndOfOptions = ".";
 
 bool isInsideModule(std::string_view path, std::string_view module) {
@@ -34,7 +35,7 @@
     return argument.size() > 1 && argument[0] == '-' && argument[1] != '-';
 }
 
-/// Reads an argument like "-vtpr".
+/// Applies an argument like "-vtpr".
 std::optional<ArgumentError> applyFlags(std::string_view argument, TransferOptions& options) {
     const auto flags = argument.substr(1, argument.find(kCapabilitiesFlag) - 1);
     for (const char flag : flags) {
@@ -46,7 +47,7 @@
     return std::nullopt;
 }
 
-/// Reads the arguments before the ".", except `--server`.
+/// Applies one argument before the ".", except `--server`.
 std::optional<ArgumentError> applyOption(const std::string& argument, TransferOptions& options) {
     if (isFlagGroup(argument)) return applyFlags(argument, options);
     if (argument == "--sender")
--- a/src/rsync/transfer_request.h
+++ b/src/rsync/transfer_request.h
@@ -1,8 +1,6 @@
 /// \file
-/// The arguments of a transfer: what a client asks for after its module was accepted, which of it the gateway
-/// supports, and how it is passed on to a node.
-///
-/// Pure functions and values; no sockets.
+/// The arguments of a transfer, which a client sends after its module was accepted: validates them against
+/// the subset that the gateway supports, and encodes them for a node. Pure functions and values; no I/O.
 #pragma once
 
 #include <string>
@@ -12,13 +10,13 @@
 
 namespace wingproxy::rsync {
 
-/// Which way the files go, as the client sees it.
+/// The direction in which files are sent, from the client's point of view.
 enum class Direction {
     Pull,  ///< the node sends files, the client receives them
     Push   ///< the client sends files, the node receives them
 };
 
-/// The options that change the shape of the transfer's streams. All others only change what the node does.
+/// The options that change the format of the transfer's streams. All others affect only the node.
 struct TransferOptions {
     Direction direction = Direction::Push;
     bool preserveOwner = false;  ///< `-o`: entries of the file list carry a user id
@@ -28,38 +26,40 @@
 
 /// Why the arguments of a transfer are rejected.
 enum class ArgumentErrorCode {
-    UnsupportedOption,       ///< an option outside the supported subset
+    UnsupportedOption,       ///< an option that the gateway does not support
     PathOutsideModule,       ///< a path that does not start with the module, or that leaves it with ".."
     ServerOptionMissing,     ///< no `--server`: not the arguments of a client
     PathMissing,             ///< no path after the "." that ends the options
     SeveralPushDestinations  ///< a push names more than one path
 };
 
-/// The reason and the argument that it concerns.
+/// The error code and the argument that it refers to.
 struct ArgumentError {
     ArgumentErrorCode code;
-    std::string argument;  ///< as the client sent it; a flag without those that it was grouped with
+    /// As the client sent it; of a group of flags only the unsupported one, "-z" for "-tz". "--server" or
+    /// "path" if the error is not about one argument.
+    std::string argument;
 };
 
 /// \return the message for the client, "ARGUMENT: REASON"
 std::string describe(const ArgumentError& error);
 
-/// Checks the arguments of a transfer.
-/// \param arguments one a line, as the client sent them
-/// \param module the name of the module that the client chose; every path has to lie inside it
+/// Parses the arguments of a transfer.
+/// \param arguments one for each line, as the client sent them
+/// \param module the name of the requested module; every path has to lie inside it
 std::variant<TransferOptions, ArgumentError> parseArguments(const std::vector<std::string>& arguments,
                                                             std::string_view module);
 
-/// One transfer that a client asks for.
+/// A transfer that a client requests.
 struct TransferRequest {
-    std::string module;                  ///< the name that clients use
-    std::string nodeModule;              ///< the name that the nodes have for the same module
+    std::string module;                  ///< the module's name for clients
+    std::string nodeModule;              ///< the module's name at the nodes
     std::vector<std::string> arguments;  ///< as the client sent them
     TransferOptions options;
 };
 
-/// \return the arguments as they go to a node: one a line, the module's name replaced by the node's, and the
-///         empty line that ends them
+/// \return the arguments for a node: one on each line, with the module's name at the nodes, and an empty line
+///         at the end
 std::string encodeNodeArguments(const TransferRequest& request);
 
 }  // namespace wingproxy::rsync
