--- a/tests/admin/admin_client_test.cpp
+++ b/tests/admin/admin_client_test.cpp
@@ -1,4 +1,4 @@
-// Requests to a front from another process: what happens where no front responds.
+// The admin client: errors when no front responds.
 #include "admin/admin_client.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A listener to which the system lets clients connect; what they get is up to the test.
+/// A listening socket: clients can connect even before the test accepts or responds.
 struct Listener {
     asio::io_context io;
     tcp::acceptor acceptor{io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)};
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("admin client: a server that never responds ends the request at its timeout") {
+TEST_CASE("admin client: a request to a server that never responds times out") {
     const Listener silent;
     const auto result = admin::sendAdminRequest(
         silent.address(), {admin::AdminRequest::Kind::CheckReadiness, ""}, std::chrono::milliseconds(50));
@@ -31,7 +31,7 @@
     CHECK(admin::describe(error) == "no answer in 50 ms");
 }
 
-TEST_CASE("admin client: a response that is not HTTP is an error of reading") {
+TEST_CASE("admin client: a response that is not HTTP is a read error") {
     Listener listener;
     std::thread server([&] {
         tcp::socket socket = listener.acceptor.accept();
--- a/tests/admin/admin_request_test.cpp
+++ b/tests/admin/admin_request_test.cpp
@@ -1,4 +1,4 @@
-// The operators' interface without sockets: what HTTP requests mean, and what the responses say.
+// The admin interface without I/O: parsing and encoding of requests, and the responses.
 #include "admin/admin_request.h"
 
 #include <doctest/doctest.h>
@@ -11,14 +11,14 @@
 
 namespace {
 
-/// The response that rejects the HTTP request; status 0: it is not rejected.
+/// \return the response that rejects the HTTP request, or status 0 if it is not rejected
 AdminResponse rejectionOf(std::string_view method, std::string_view target, std::string_view body = "") {
     const auto parsed = admin::parseAdminRequest(method, target, body);
     if (const auto* rejection = std::get_if<AdminResponse>(&parsed)) return *rejection;
     return {0, "", ""};
 }
 
-/// A handler that knows node "s-1" and records the last drain.
+/// A front that knows node "s-1" and records the last change of a drain.
 struct FakeFront {
     admin::AdminHandler handler() {
         return {[this] { return ready; }, [] { return admin::AdminMetrics{}; },
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-TEST_CASE("admin request: each kind is parsed as it is encoded") {
+TEST_CASE("admin request: each kind is encoded and parsed back") {
     for (const auto kind : {AdminRequest::Kind::CheckReadiness, AdminRequest::Kind::ReadMetrics,
                             AdminRequest::Kind::DrainNode, AdminRequest::Kind::UndrainNode}) {
         const std::string nodeId = admin::requiresNodeId(kind) ? "s-1" : "";
@@ -51,7 +51,7 @@
     CHECK(std::get<AdminRequest>(parsed).nodeId == "s-1");
 }
 
-TEST_CASE("admin request: what is no request is rejected with the reason") {
+TEST_CASE("admin request: an invalid request is rejected with the status for its error") {
     CHECK(rejectionOf("GET", "/").status == 404);
     CHECK(rejectionOf("POST", "/_ready").status == 405);
     CHECK(rejectionOf("POST", "/_ready").headerLines == "Allow: GET\r\n");
@@ -60,7 +60,7 @@
     CHECK(rejectionOf("POST", "/_chunk-servers/detach", std::string(256, 'a')).status == 0);
 }
 
-TEST_CASE("admin request: readiness is a status") {
+TEST_CASE("admin request: readiness is reported as status 200 or 503") {
     FakeFront front;
     CHECK(admin::handleAdminRequest({AdminRequest::Kind::CheckReadiness, ""}, front.handler()).status == 200);
     front.ready = false;
@@ -83,7 +83,7 @@
 TEST_CASE("admin metrics: the counters have the keys that the platform defines") {
     admin::AdminMetrics metrics;
     metrics.classNames = {"read", "write"};
-    metrics.counters.byClass.resize(3);  // the last one is for requests of no class
+    metrics.counters.byClass.resize(3);  // the last one counts requests without a class
     metrics.counters.byClass[0].delivered = 1;
     metrics.counters.byClass[0].rejected = 2;
     metrics.counters.byClass[1].failed = 3;
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -1,5 +1,5 @@
-// The operators' interface of a front: requests and responses on its connections, the metrics against what
-// clients and nodes saw, and the administrative drain.
+// The admin interface of a front on sockets: requests and responses, metrics of real traffic, and the
+// administrative drain.
 #include "admin/admin_server.h"
 
 #include <deque>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// An admin server for the fixture's front, wired as main.cpp does it.
+/// An admin server for the fixture's front, connected to the engine as app::Proxy does it.
 struct AdminFixture {
     explicit AdminFixture(GatewayFixture& fixture)
         : fixture(fixture), server(fixture.io, {"127.0.0.1", 0}, handler()) {}
@@ -37,7 +37,7 @@
             metrics.classNames.push_back(info.name);
         return metrics;
     }
-    /// The complete response to one HTTP request.
+    /// \return the complete response to one HTTP request
     std::string send(const std::string& request) {
         const auto connection = fixture.connect(server.sessionManager().address());
         connection->send(request);
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-TEST_CASE("admin server: each request gets its response, and anything else a 4xx") {
+TEST_CASE("admin server: each request gets its response, and an invalid one a 4xx") {
     const struct {
         std::string request;
         int status;
@@ -128,7 +128,7 @@
     CHECK(std::chrono::steady_clock::now() - start < std::chrono::seconds(1));
 }
 
-TEST_CASE("admin metrics: requests are counted by their final answer, attempts when they are written") {
+TEST_CASE("admin metrics: requests are counted by their final response, attempts when they are sent") {
     GatewayFixture fixture(testConfig(), 2);
     AdminFixture admin(fixture);
     const auto served = fixture.client();
@@ -139,7 +139,7 @@
     fixture.waitForNodeToReceive("0000000000000001")->send(ok("uno"));
     fixture.waitUntil([&] { return served->hasReceived("uno"); });
     retried->send(
-        PlatformRequest{.id = "0000000000000002", .kind = "alta"}.text());  // two attempts, one answer
+        PlatformRequest{.id = "0000000000000002", .kind = "alta"}.text());  // two attempts, one response
     const auto firstAttempt = fixture.waitForNodeToReceive("0000000000000002");
     firstAttempt->clearReceived();
     firstAttempt->send(status(503, "Srv-Declined: 1\r\n"));
@@ -164,7 +164,8 @@
 }
 
 TEST_CASE(
-    "administrative drain: no new requests until it ends, even if the endpoint list has the node as up") {
+    "administrative drain: a node gets no new requests until the drain ends, even if the endpoint list has "
+    "it as up") {
     constexpr Micros kDrainGraceUs = 20'000;
     auto config = testConfig();
     config.settings.drainGraceUs = kDrainGraceUs;
@@ -174,12 +175,12 @@
     before->send(PlatformRequest{.id = "0000000000000001"}.text());
     const auto inFlight = fixture.waitForNodeToReceive("0000000000000001");
     CHECK(hasStatus(admin.post("/_chunk-servers/detach", "s-0"), 200));
-    CHECK(hasStatus(admin.post("/_chunk-servers/detach", "s-0"), 200));  // a repetition changes nothing
+    CHECK(hasStatus(admin.post("/_chunk-servers/detach", "s-0"), 200));  // repeating it changes nothing
     CHECK(admin.vars()["out_of_rotation"] == 1);
     inFlight->send(ok("uno"));  // requests in flight are completed
     fixture.waitUntil([&] { return before->hasReceived("uno"); });
     const auto graceEnd =
-        fixture.engine.now() + kDrainGraceUs;  // until then a cell's only node is still used
+        fixture.engine.now() + kDrainGraceUs;  // until then the only node of a cell is still used
     fixture.waitUntil([&] { return fixture.engine.now() > graceEnd; });
     fixture.announceNodeState("s-0", "draining");
     fixture.announceNodeState("s-0", "up");
@@ -194,15 +195,15 @@
     CHECK(admin.vars()["out_of_rotation"] == 0);
 }
 
-// A measurement and not a check, so it is skipped unless asked for: `wingproxy_front_tests --no-skip
-// -tc="measure*"`. docs/bodies.md has its results.
+// A benchmark, skipped unless requested: `wingproxy_front_tests --no-skip -tc="measure*"`. Its results are in
+// docs/bodies.md.
 TEST_CASE("measure: processor time of a connection that sends no request and is closed" * doctest::skip()) {
     Platform platform(192);
     platform.fixture.node().onConnection = [](TestConnection& connection) {
         connection.autoResponse = ok("x");
     };
     auto& front = platform.startReady();
-    const auto processorSeconds = [&] {  // user and system, of the process
+    const auto processorSeconds = [&] {  // user and system time of the process
         std::ifstream in(fmt::format("/proc/{}/stat", front.pid));
         const std::string all(std::istreambuf_iterator<char>(in), {});
         std::istringstream fields(all.substr(all.rfind(')') + 2));
@@ -228,7 +229,7 @@
         connections.back().connect(platform.listening.local_endpoint());
         if (connections.size() > kOpen) connections.pop_front();
         if (i % 200 != 199) continue;
-        platform.serve(platform.client(), fmt::format("{:016x}", i));  // a real request in between
+        platform.serve(platform.client(), fmt::format("{:016x}", i));  // a complete request in between
         ++served;
     }
     const auto used = processorSeconds() - before;
--- a/tests/cli/cli_test.cpp
+++ b/tests/cli/cli_test.cpp
@@ -1,5 +1,5 @@
-// The program's commands against files and a running front: their output, and the exit codes that scripts
-// rely on.
+// The program's commands with files and a running front: their output, and the exit codes that scripts rely
+// on.
 #include <sys/wait.h>
 
 #include <string>
--- a/tests/cli/command_test.cpp
+++ b/tests/cli/command_test.cpp
@@ -1,4 +1,4 @@
-// The command line without a process: which command it is, and where its values come from.
+// Parsing of the command line and the environment.
 #include "cli/command.h"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Clears the environment variables that the command line reads, and restores them at the end.
+/// Clears the environment variables that parseCommandLine() reads, and restores them on destruction.
 class CleanEnvironment {
 public:
     CleanEnvironment() {
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-TEST_CASE("command: without a command the program serves") {
+TEST_CASE("command: without a command the result is RunCommand") {
     const CleanEnvironment environment;
     const auto command = std::get<cli::RunCommand>(parse({"--config", "a.json", "--log", "warn"}));
     CHECK(command.options.configPath == "a.json");
@@ -54,13 +54,13 @@
     CHECK(command.options.operatorConfigPath.empty());
 }
 
-TEST_CASE("command: options may stand before or after the command") {
+TEST_CASE("command: options may precede or follow the command") {
     const CleanEnvironment environment;
     CHECK(std::get<cli::CheckCommand>(parse({"--config", "a.json", "check"})).options.configPath == "a.json");
     CHECK(std::get<cli::CheckCommand>(parse({"check", "--config", "a.json"})).options.configPath == "a.json");
 }
 
-TEST_CASE("command: the environment has the values of missing options") {
+TEST_CASE("command: the environment supplies the values of missing options") {
     const CleanEnvironment environment;
     setenv("PROXY_CONFIG", "environment.json", 1);
     setenv("WINGPROXY_OPERATOR", "operator.json", 1);
@@ -75,7 +75,7 @@
     CHECK(command.options.listenerDescriptor == "7");
 }
 
-TEST_CASE("command: each admin command is its request") {
+TEST_CASE("command: each admin command is parsed into its request") {
     const CleanEnvironment environment;
     const auto requestOf = [](std::vector<const char*> arguments) {
         return std::get<cli::AdminCommand>(parse(std::move(arguments))).request;
--- a/tests/health/agent_check_test.cpp
+++ b/tests/health/agent_check_test.cpp
@@ -5,7 +5,7 @@
 using namespace wingproxy;
 using health::GatewayStatus;
 
-TEST_CASE("health agent check: a ready gateway reports the free part of its capacity as its weight") {
+TEST_CASE("health agent check: a ready gateway reports the unused share of its capacity as its weight") {
     CHECK(health::renderAgentLine({.ready = true, .utilization = 0.25}) == "ready up 75%\n");
     CHECK(health::renderAgentLine({.ready = true, .utilization = 0}) == "ready up 100%\n");
 }
--- a/tests/health/check_listeners_test.cpp
+++ b/tests/health/check_listeners_test.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-TEST_CASE("health listeners: the agent speaks first and closes") {
+TEST_CASE("health listeners: the agent check sends its line without a request and closes") {
     asio::io_context io;
     const auto agent = health::makeAgentCheckListener(io, kAnyPort, halfUsed);
     const auto client = connectTo(io, *agent);
@@ -37,7 +37,7 @@
 }
 
 TEST_CASE(
-    "health listeners: the HTTP check is answered at the end of its header, and the connection closed") {
+    "health listeners: the HTTP check responds at the end of the request header and closes the connection") {
     asio::io_context io;
     const auto http = health::makeHttpCheckListener(io, kAnyPort, halfUsed);
     const auto client = connectTo(io, *http);
@@ -58,7 +58,7 @@
     stop(*http);
 }
 
-TEST_CASE("health listeners: a header line that does not fit the buffer closes the connection") {
+TEST_CASE("health listeners: a header line that does not fit into the buffer closes the connection") {
     asio::io_context io;
     const auto http = health::makeHttpCheckListener(io, kAnyPort, halfUsed);
     const auto client = connectTo(io, *http);
--- a/tests/log/logger_test.cpp
+++ b/tests/log/logger_test.cpp
@@ -1,4 +1,4 @@
-// The log: what a line looks like, and which levels are written.
+// The logger: the format of a line, and the threshold.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// What `write` logs with this threshold.
+/// \return the text that `write` logs with this threshold
 template <typename Function>
 std::string logged(log::Level threshold, Function&& write) {
     const test::CapturedLog captured;
@@ -37,11 +37,11 @@
           }) == "warn: b\n");
 }
 
-TEST_CASE("log: control characters in a message do not break its line") {
+TEST_CASE("log: control characters in a message are replaced by spaces") {
     CHECK(logged(log::Level::Info, [](log::Logger& logger) { logger.info("a\nb\tc"); }) == "info: a b c\n");
 }
 
-TEST_CASE("log: a level is read by its name, and an unknown one is Info") {
+TEST_CASE("log: a level is parsed from its name, and an unknown name is Info") {
     CHECK(log::parseLevel("debug") == log::Level::Debug);
     CHECK(log::parseLevel("info") == log::Level::Info);
     CHECK(log::parseLevel("warn") == log::Level::Warn);
--- a/tests/rsync/client_handshake_test.cpp
+++ b/tests/rsync/client_handshake_test.cpp
@@ -36,7 +36,7 @@
 }
 
 /// A handshake and the configuration that it refers to.
-struct Dialogue {
+struct TestHandshake {
     /// \return the reply to the last line
     ClientHandshake::Reply send(std::initializer_list<const char*> lines) {
         ClientHandshake::Reply reply;
@@ -52,8 +52,8 @@
 }  // namespace
 
 TEST_CASE("rsync client handshake: the greeting is answered with the message of the day") {
-    Dialogue dialogue;
-    const auto reply = dialogue.send({"@RSYNCD: 31.0 md5"});
+    TestHandshake test;
+    const auto reply = test.send({"@RSYNCD: 31.0 md5"});
     CHECK(reply.step == Step::ReadNextLine);
     CHECK(reply.text == "bienvenidos\n");
 }
@@ -65,33 +65,33 @@
         "escritura      \tfiles of escritura\n"
         "@RSYNCD: EXIT\n";
     for (const char* command : {"", "#list"}) {
-        Dialogue dialogue;
-        const auto reply = dialogue.send({"@RSYNCD: 28", command});
+        TestHandshake test;
+        const auto reply = test.send({"@RSYNCD: 28", command});
         CHECK(reply.step == Step::CloseAfterList);
         CHECK(reply.text == list);
     }
 }
 
-TEST_CASE("rsync client handshake: a pull") {
-    Dialogue dialogue;
-    CHECK(dialogue.send({"@RSYNCD: 28", "manuales"}).text == "@RSYNCD: OK\n");
-    const auto reply = dialogue.send({"--server", "--sender", "-r", ".", "manuales/a", ""});
+TEST_CASE("rsync client handshake: a pull is parsed into its request") {
+    TestHandshake test;
+    CHECK(test.send({"@RSYNCD: 28", "manuales"}).text == "@RSYNCD: OK\n");
+    const auto reply = test.send({"--server", "--sender", "-r", ".", "manuales/a", ""});
     CHECK(reply.step == Step::StartTransfer);
     CHECK(reply.text.empty());
-    CHECK(dialogue.handshake.module().name == "manuales");
-    const auto request = dialogue.handshake.takeRequest();
+    CHECK(test.handshake.module().name == "manuales");
+    const auto request = test.handshake.takeRequest();
     CHECK(request.module == "manuales");
     CHECK(request.nodeModule == "bodega");
     CHECK(request.options.direction == rsync::Direction::Pull);
     CHECK(request.arguments.back() == "manuales/a");
 }
 
-TEST_CASE("rsync client handshake: each direction has the class that the module gives it") {
+TEST_CASE("rsync client handshake: each direction has the class that the module is configured with") {
     CHECK(rsync::classIndex(module("m"), rsync::Direction::Pull) == ClassIndex(3));
     CHECK(rsync::classIndex(module("m"), rsync::Direction::Push) == ClassIndex(4));
 }
 
-TEST_CASE("rsync client handshake: before the module is accepted an error is a line") {
+TEST_CASE("rsync client handshake: an error before the module is accepted is sent as a line") {
     const struct {
         std::initializer_list<const char*> lines;
         const char* text;
@@ -101,13 +101,13 @@
         {{"@RSYNCD: 28", "nada"}, "@ERROR: Unknown module 'nada'\n"},
     };
     for (const auto& c : cases) {
-        const auto reply = Dialogue().send(c.lines);
+        const auto reply = TestHandshake().send(c.lines);
         CHECK(reply.step == Step::CloseAfterError);
         CHECK(reply.text == c.text);
     }
 }
 
-TEST_CASE("rsync client handshake: after the module is accepted an error is in the stream") {
+TEST_CASE("rsync client handshake: an error after the module is accepted is sent as a frame") {
     const struct {
         std::initializer_list<const char*> lines;
         const char* text;
@@ -119,26 +119,26 @@
          "@ERROR: module is write only\n"},
     };
     for (const auto& c : cases) {
-        const auto reply = Dialogue().send(c.lines);
+        const auto reply = TestHandshake().send(c.lines);
         CHECK(reply.step == Step::CloseAfterError);
         CHECK(reply.text == rsync::errorStream(c.text));
     }
 }
 
 TEST_CASE("rsync client handshake: 256 arguments are accepted, one more is not") {
-    Dialogue dialogue;
-    dialogue.send({"@RSYNCD: 28", "manuales"});
+    TestHandshake test;
+    test.send({"@RSYNCD: 28", "manuales"});
     for (int i = 0; i < 256; ++i)
-        CHECK(dialogue.handshake.onLine("-v").step == Step::ReadNextLine);
-    const auto reply = dialogue.handshake.onLine("-v");
+        CHECK(test.handshake.onLine("-v").step == Step::ReadNextLine);
+    const auto reply = test.handshake.onLine("-v");
     CHECK(reply.step == Step::CloseAfterError);
     CHECK(reply.text == rsync::errorStream("@ERROR: too many arguments\n"));
 }
 
-TEST_CASE("rsync client handshake: errors that the session finds") {
-    Dialogue dialogue;
-    CHECK(dialogue.handshake.reject({HandshakeErrorCode::LineTooLong, {}}).text ==
+TEST_CASE("rsync client handshake: the messages of errors that the session detects") {
+    TestHandshake test;
+    CHECK(test.handshake.reject({HandshakeErrorCode::LineTooLong, {}}).text ==
           "@ERROR: a line that is too long\n");
-    CHECK(dialogue.handshake.reject({HandshakeErrorCode::Timeout, {}}).text ==
+    CHECK(test.handshake.reject({HandshakeErrorCode::Timeout, {}}).text ==
           "@ERROR: timeout waiting for the request\n");
 }
--- a/tests/rsync/front_test.cpp
+++ b/tests/rsync/front_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The rsync front on sockets, between clients and nodes whose every byte the tests send.
+/// The rsync front on sockets; the tests send every byte of its clients and nodes.
 #include "rsync/front.h"
 
 #include <algorithm>
@@ -23,21 +23,20 @@
 const std::string kSeed = encodeInt(7);
 const std::string kFileList = kFileEntry + kEndOfFileList + kNoIoErrors;
 const std::string kOneBlock = encodeChecksumHead(1, 700, 2, 5);
-/// The generator wants file 0 and holds one block of it.
-const std::string kWantedFile = encodeInt(0) + kOneBlock + std::string(6, 'q');
+/// The generator requests file 0, of which the receiving side holds one block.
+const std::string kFileRequest = encodeInt(0) + kOneBlock + std::string(6, 'q');
 /// The delta of file 0: block 0, then three literal bytes.
 const std::string kDelta = encodeInt(0) + kOneBlock + encodeInt(-1) + encodeInt(3) + "xyz" + kEndOfDelta;
-/// Where the tests cut a delta in two, inside of its literal bytes.
+/// An offset into kDelta, inside of its literal bytes.
 constexpr std::size_t kMiddleOfDelta = 25;
 const std::string kTotals = encodeInt(1) + encodeInt(2) + encodeInt(3);
 
 std::string dataFrame(std::string_view payload) { return rsync::encodeFrame(rsync::FrameTag::Data, payload); }
 
-/// A client that asked for a transfer, and the node that runs it.
-class TransferDialogue {
+/// A client that requested a transfer, and the node that executes it.
+class TestTransfer {
 public:
-    TransferDialogue(GatewayFixture& fixture, rsync::Direction direction,
-                     const std::string& module = "manuales")
+    TestTransfer(GatewayFixture& fixture, rsync::Direction direction, const std::string& module = "manuales")
         : client(fixture.rsyncClient()), fixture_(fixture) {
         client->send("@RSYNCD: 31.0 md5\n" + module + "\n");
         awaitText(client, "@RSYNCD: OK\n");
@@ -48,7 +47,7 @@
     }
 
     /// The node accepts the module and reads the arguments.
-    /// \param connection which of the connections to the node, counted from 0
+    /// \param connection index of the connection to the node, from 0
     /// \return that connection
     TestConnectionPtr acceptAtNode(std::size_t connection = 0) const {
         fixture_.waitUntil([&] { return fixture_.node().connections.size() > connection; });
@@ -72,20 +71,20 @@
     GatewayFixture& fixture_;
 };
 
-TransferDialogue startPull(GatewayFixture& fixture, const std::string& module = "manuales") {
+TestTransfer startPull(GatewayFixture& fixture, const std::string& module = "manuales") {
     return {fixture, rsync::Direction::Pull, module};
 }
 
-TransferDialogue startPush(GatewayFixture& fixture) { return {fixture, rsync::Direction::Push}; }
+TestTransfer startPush(GatewayFixture& fixture) { return {fixture, rsync::Direction::Push}; }
 
-/// Says something as a new client and waits for the answer and the end of the connection.
-void checkAnsweredAndClosed(GatewayFixture& fixture, const char* says, const char* answer) {
+/// Sends bytes as a new client and waits for the reply and the end of the connection.
+void checkReplyAndClose(GatewayFixture& fixture, const char* request, const char* reply) {
     const auto client = fixture.rsyncClient();
-    client->send(says);
-    fixture.waitUntil([&] { return client->hasReceived(answer) && client->ended; }, answer);
+    client->send(request);
+    fixture.waitUntil([&] { return client->hasReceived(reply) && client->ended; }, reply);
 }
 
-/// Bytes that break a stream end the transfer at both sides and are not forwarded.
+/// Checks that bytes that violate the protocol end the transfer on both sides and are not forwarded.
 void checkBreaksTransfer(const std::string& bytes, bool sentByNode) {
     GatewayFixture fixture;
     const auto transfer = startPull(fixture);
@@ -103,15 +102,15 @@
 
 TEST_CASE("rsync front: the module list") {
     GatewayFixture fixture;
-    checkAnsweredAndClosed(fixture, "@RSYNCD: 28\n#list\n", "manuales       \tbundles\n");
-    checkAnsweredAndClosed(fixture, "@RSYNCD: 28\n\n", "@RSYNCD: EXIT\n");
+    checkReplyAndClose(fixture, "@RSYNCD: 28\n#list\n", "manuales       \tbundles\n");
+    checkReplyAndClose(fixture, "@RSYNCD: 28\n\n", "@RSYNCD: EXIT\n");
     CHECK(fixture.rsync.counters().listings == 2);
 }
 
 TEST_CASE("rsync front: a malformed handshake is rejected before anything reaches a node") {
     const struct {
-        const char* says;
-        const char* answer;
+        const char* request;
+        const char* reply;
     } cases[] = {
         {"@RSYNCD: 28\nnada\n", "@ERROR: Unknown module 'nada'\n"},
         {"@RSYNCD: 27\n", "@ERROR: protocol 28"},
@@ -122,13 +121,13 @@
     };
     GatewayFixture fixture;
     for (const auto& c : cases)
-        checkAnsweredAndClosed(fixture, c.says, c.answer);
+        checkReplyAndClose(fixture, c.request, c.reply);
     CHECK(fixture.rsync.counters().malformed == std::size(cases));
     CHECK(fixture.node().connections.empty());
     CHECK(fixture.engine.counters().received == 0);
 }
 
-TEST_CASE("rsync front: a line that does not fit the buffer ends the connection") {
+TEST_CASE("rsync front: a line that does not fit into the buffer ends the connection") {
     GatewayFixture fixture;
     const auto client = fixture.rsyncClient();
     client->send(std::string(20'000, 'x'));
@@ -145,16 +144,17 @@
     node->send(start);
     transfer.awaitText(transfer.client, start);
     const auto noFilterRules = encodeInt(0);
-    transfer.client->send(noFilterRules + kWantedFile);
-    transfer.awaitText(node, noFilterRules + kWantedFile);
+    transfer.client->send(noFilterRules + kFileRequest);
+    transfer.awaitText(node, noFilterRules + kFileRequest);
     const auto rest = dataFrame(kDelta.substr(0, kMiddleOfDelta)) +
                       rsync::encodeFrame(rsync::FrameTag::Info, "a\n") +
-                      dataFrame(kDelta.substr(kMiddleOfDelta) + kBothPhases + kTotals);
+                      dataFrame(kDelta.substr(kMiddleOfDelta) + kEndOfBothPhases + kTotals);
     node->send(rest);
     transfer.awaitText(transfer.client, rest);
     CHECK(fixture.engine.openRequests() == 1);  // the goodbye is still to come
-    transfer.client->send(kBothPhases + kGoodbye);
-    fixture.waitUntil([&] { return node->hasReceived(kBothPhases + kGoodbye) && transfer.client->ended; });
+    transfer.client->send(kEndOfBothPhases + kGoodbye);
+    fixture.waitUntil(
+        [&] { return node->hasReceived(kEndOfBothPhases + kGoodbye) && transfer.client->ended; });
     CHECK(fixture.rsync.counters().completed == 1);
     CHECK(fixture.engine.counters().total().delivered == 1);
 }
@@ -167,17 +167,17 @@
     transfer.awaitText(transfer.client, kSeed);
     transfer.client->send(kFileList);
     transfer.awaitText(node, kFileList);
-    node->send(dataFrame(kWantedFile));
-    transfer.awaitText(transfer.client, kWantedFile);
-    transfer.client->send(kDelta + kBothPhases);
-    transfer.awaitText(node, kDelta + kBothPhases);
-    node->send(dataFrame(kBothPhases + kGoodbye));
+    node->send(dataFrame(kFileRequest));
+    transfer.awaitText(transfer.client, kFileRequest);
+    transfer.client->send(kDelta + kEndOfBothPhases);
+    transfer.awaitText(node, kDelta + kEndOfBothPhases);
+    node->send(dataFrame(kEndOfBothPhases + kGoodbye));
     fixture.waitUntil(
-        [&] { return transfer.client->hasReceived(kBothPhases + kGoodbye) && transfer.client->ended; });
+        [&] { return transfer.client->hasReceived(kEndOfBothPhases + kGoodbye) && transfer.client->ended; });
     CHECK(fixture.rsync.counters().completed == 1);
 }
 
-TEST_CASE("rsync front: a transfer continues while its node drains, and a cut after that is a failure") {
+TEST_CASE("rsync front: a transfer continues while its node drains, and a reset after that is a failure") {
     auto config = testConfig();
     config.settings.drainGraceUs = 0;
     GatewayFixture fixture(std::move(config));
@@ -201,33 +201,35 @@
     CHECK(fixture.engine.openRequests() == 0);
 }
 
-TEST_CASE("rsync front: a push that may have run is retried in the same cell, if nothing was answered") {
+TEST_CASE(
+    "rsync front: a push that may have been executed is retried in the same cell if no response byte came") {
     GatewayFixture fixture(testConfig(), 2);
     const auto transfer = startPush(fixture);
-    transfer.acceptAtNode()->reset();  // after the arguments: it may have run
+    transfer.acceptAtNode()->reset();  // after the arguments: the node may have executed it
     const auto retry = transfer.acceptAtNode(1);
     CHECK(fixture.outcomes(Outcome::Reset) == 1);
-    CHECK(fixture.node(1).connections.empty());  // in another cell the idempotency key is not known
+    CHECK(fixture.node(1).connections.empty());  // a node of another cell does not know the idempotency key
     retry->send(kSeed);
     transfer.awaitText(transfer.client, kSeed);
-    transfer.client->send(kFileList + kBothPhases);
-    transfer.awaitText(retry, kFileList + kBothPhases);
-    retry->send(dataFrame(kBothPhases + kGoodbye));
+    transfer.client->send(kFileList + kEndOfBothPhases);
+    transfer.awaitText(retry, kFileList + kEndOfBothPhases);
+    retry->send(dataFrame(kEndOfBothPhases + kGoodbye));
     fixture.waitUntil([&] { return fixture.rsync.counters().completed == 1; });
 }
 
-TEST_CASE("rsync front: a push that may have run is not retried after its idempotency window") {
+TEST_CASE("rsync front: a push that may have been executed is not retried after its idempotency window") {
     auto config = testConfig();
     config.settings.classes[1].keyWindowUs = 1;
     GatewayFixture fixture(std::move(config));
     const auto transfer = startPush(fixture);
     transfer.acceptAtNode()->reset();
     fixture.waitUntil([&] { return transfer.client->ended; });
-    CHECK(transfer.client->hasReceived("@ERROR: the transfer failed\n"));  // it may have run: not a rejection
+    // It may have been executed, so it is not a rejection.
+    CHECK(transfer.client->hasReceived("@ERROR: the transfer failed\n"));
     CHECK(fixture.node().connections.size() == 1);
 }
 
-TEST_CASE("rsync front: a transfer that a node rejects never ran and is retried on a new connection") {
+TEST_CASE("rsync front: a transfer that a node rejects was not executed and is retried on a new connection") {
     GatewayFixture fixture;
     const auto transfer = startPull(fixture);
     fixture.waitUntil([&] { return fixture.node().connections.size() == 1; });
@@ -238,7 +240,8 @@
     CHECK(fixture.outcomes(Outcome::Reset) == 0);
 }
 
-TEST_CASE("rsync front: a deadline is an error message before the stream and a cut within it") {
+TEST_CASE(
+    "rsync front: a missed deadline sends an error before the stream, and closes the connection within it") {
     GatewayFixture fixture;
     const auto waiting = startPull(fixture, "breve");
     const auto streaming = startPull(fixture, "breve");
@@ -253,7 +256,7 @@
     CHECK(fixture.engine.openRequests() == 0);
 }
 
-TEST_CASE("rsync front: frames of a node that break the protocol end the transfer and are not forwarded") {
+TEST_CASE("rsync front: frames of a node that violate the protocol end the transfer and are not forwarded") {
     const auto unknownTag = rsync::encodeFrame(static_cast<rsync::FrameTag>(50), "x");
     const auto nameTooLong = dataFrame(std::string("\x42", 1) + encodeInt(9999));
     const auto headerWithoutTag = encodeInt(3);
@@ -261,7 +264,8 @@
         checkBreaksTransfer(bytes, true);
 }
 
-TEST_CASE("rsync front: a client's stream that breaks the protocol ends the transfer and is not forwarded") {
+TEST_CASE(
+    "rsync front: a client's stream that violates the protocol ends the transfer and is not forwarded") {
     const auto filterRuleTooLong = encodeInt(-9);
     checkBreaksTransfer(filterRuleTooLong, false);
 }
@@ -281,22 +285,22 @@
     constexpr int kTransfers = 14;
     GatewayFixture fixture;
     LimitedVolumeLoad spent(fixture);  // by the platform's clients
-    // Transfers of the same volume follow, each with all of its bytes at once.
+    // Transfers of the same volume follow; the node sends each of its streams at once.
     fixture.node().onConnection = [](TestConnection& connection) {
         connection.send("@RSYNCD: 28\n@RSYNCD: OK\n" + kSeed +
-                        dataFrame(kEndOfFileList + kNoIoErrors + kBothPhases + kTotals));
+                        dataFrame(kEndOfFileList + kNoIoErrors + kEndOfBothPhases + kTotals));
     };
     std::vector<TestConnectionPtr> clients;
     for (int i = 0; i < kTransfers; ++i) {
         clients.push_back(fixture.rsyncClient());
         clients.back()->send("@RSYNCD: 28\ngrande\n--server\n--sender\n-r\n.\ngrande/a\n\n" + encodeInt(0) +
-                             kBothPhases + kGoodbye);
+                             kEndOfBothPhases + kGoodbye);
     }
     fixture.waitUntil(
         [&] { return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return c->ended; }); });
     const auto& counters = fixture.rsync.counters();
     CHECK(counters.completed + counters.rejected == clients.size());
-    CHECK(counters.rejected > 0);  // a limit of its own would have admitted most of them
+    CHECK(counters.rejected > 0);  // a separate limit for rsync would have admitted most of them
     spent.units += static_cast<double>(counters.completed) * LimitedVolumeLoad::kUnits;
     CHECK(spent.units <= spent.allowed());
     for (const auto& client : clients)
--- a/tests/rsync/node_handshake_test.cpp
+++ b/tests/rsync/node_handshake_test.cpp
@@ -23,18 +23,18 @@
     CHECK(handshake.onLine("@RSYNCD: OK") == Step::SendArguments);
 }
 
-TEST_CASE("rsync node handshake: a node with an older protocol, or another one, is rejected") {
+TEST_CASE("rsync node handshake: a node with an older version or another protocol is rejected") {
     CHECK(NodeHandshake().onLine("@RSYNCD: 27") == Step::Reject);
     CHECK(NodeHandshake().onLine("HTTP/1.1 400 Bad Request") == Step::Reject);
 }
 
-TEST_CASE("rsync node handshake: an error is a rejection at any point") {
+TEST_CASE("rsync node handshake: an error line is a rejection at any point") {
     CHECK(NodeHandshake().onLine("@ERROR: no") == Step::Reject);
     CHECK(greetedHandshake().onLine("@ERROR: max connections (4) reached -- try again later") ==
           Step::Reject);
 }
 
-TEST_CASE("rsync node handshake: a demand for a password and a goodbye are rejections") {
+TEST_CASE("rsync node handshake: a password challenge and EXIT are rejections") {
     CHECK(greetedHandshake().onLine("@RSYNCD: AUTHREQD challenge") == Step::Reject);
     CHECK(greetedHandshake().onLine("@RSYNCD: EXIT") == Step::Reject);
 }
--- a/tests/rsync/sender_stream_parser_test.cpp
+++ b/tests/rsync/sender_stream_parser_test.cpp
@@ -15,8 +15,7 @@
 
 namespace {
 
-/// An entry with a second byte of flags and a long name; the mode is that of the entry before, the size has
-/// 64 bits.
+/// An entry with a second byte of flags, a long name, the mode of the previous entry, and a size of 64 bits.
 const std::string kSameModeEntry = std::string("\xc2\x01", 1) + encodeInt(1) + "b" + encodeWideInt(5, 1);
 const std::string kFileList = kFileEntry + kSameModeEntry + kEndOfFileList + kNoIoErrors;
 const std::string kTwoBlocks = encodeChecksumHead(2, 700, 2, 0);
@@ -38,14 +37,14 @@
 
 }  // namespace
 
-TEST_CASE("rsync sender stream: a client's is complete after the second phase") {
+TEST_CASE("rsync sender stream: a client's stream is complete after the second phase") {
     CHECK(feedAll(clientStream, kFileList + kDelta) == StreamStatus::InProgress);
-    CHECK(feedAll(clientStream, kFileList + kDelta + kBothPhases) == StreamStatus::Complete);
+    CHECK(feedAll(clientStream, kFileList + kDelta + kEndOfBothPhases) == StreamStatus::Complete);
 }
 
-TEST_CASE("rsync sender stream: a daemon's is complete after its totals") {
-    CHECK(feedAll(daemonStream, kFileList + kDelta + kBothPhases) == StreamStatus::InProgress);
-    CHECK(feedAll(daemonStream, kFileList + kDelta + kBothPhases + kTotals) == StreamStatus::Complete);
+TEST_CASE("rsync sender stream: a daemon's stream is complete after its totals") {
+    CHECK(feedAll(daemonStream, kFileList + kDelta + kEndOfBothPhases) == StreamStatus::InProgress);
+    CHECK(feedAll(daemonStream, kFileList + kDelta + kEndOfBothPhases + kTotals) == StreamStatus::Complete);
 }
 
 TEST_CASE("rsync sender stream: files, literal bytes and blocks are counted") {
@@ -56,7 +55,7 @@
     CHECK(stream.matchedBlocks() == 2);
 }
 
-TEST_CASE("rsync sender stream: owners in the entries, and the lists of their names") {
+TEST_CASE("rsync sender stream: entries have owners, whose names follow the file list") {
     const auto ownersSent = [] {
         return SenderStreamParser({.preserveOwner = true, .preserveGroup = true}, Totals::NotSent);
     };
@@ -64,7 +63,7 @@
     const std::string endOfIds = encodeInt(0);
     const std::string list = kFileEntry + encodeInt(1000) + encodeInt(1000) + kEndOfFileList + user +
                              endOfIds + endOfIds + kNoIoErrors;
-    CHECK(feedAll(ownersSent, list + kBothPhases) == StreamStatus::Complete);
+    CHECK(feedAll(ownersSent, list + kEndOfBothPhases) == StreamStatus::Complete);
 }
 
 TEST_CASE("rsync sender stream: with numeric ids there are no lists of names") {
@@ -73,11 +72,11 @@
                                   Totals::NotSent);
     };
     const std::string list = kFileEntry + encodeInt(1000) + encodeInt(1000) + kEndOfFileList + kNoIoErrors;
-    CHECK(feedAll(numericIds, list + kBothPhases) == StreamStatus::Complete);
+    CHECK(feedAll(numericIds, list + kEndOfBothPhases) == StreamStatus::Complete);
 }
 
-TEST_CASE("rsync sender stream: bytes after the end break it") {
-    CHECK(errorOf(kFileList + kBothPhases + "x") == StreamErrorCode::BytesAfterEnd);
+TEST_CASE("rsync sender stream: bytes after the end are an error") {
+    CHECK(errorOf(kFileList + kEndOfBothPhases + "x") == StreamErrorCode::BytesAfterEnd);
 }
 
 TEST_CASE("rsync sender stream: only regular files and directories are accepted") {
@@ -89,35 +88,35 @@
     CHECK(feedAll(clientStream, directory) == StreamStatus::InProgress);
 }
 
-TEST_CASE("rsync sender stream: a name that is too long breaks it") {
+TEST_CASE("rsync sender stream: a name that is too long is an error") {
     const std::string longName = std::string("\x42", 1);
     CHECK(errorOf(longName + encodeInt(5000)) == StreamErrorCode::NameTooLong);
     CHECK(errorOf(longName + encodeInt(-1)) == StreamErrorCode::NameTooLong);
     CHECK(feedAll(clientStream, longName + encodeInt(4096)) == StreamStatus::InProgress);
 }
 
-TEST_CASE("rsync sender stream: a size below 0 breaks it") {
+TEST_CASE("rsync sender stream: a negative size is an error") {
     CHECK(errorOf(std::string("\x01\x01") + "a" + encodeInt(-1) + encodeInt(0) + encodeInt(-1)) ==
           StreamErrorCode::NegativeFileSize);
 }
 
-TEST_CASE("rsync sender stream: the first entry has a mode") {
+TEST_CASE("rsync sender stream: a first entry without a mode is an error") {
     const std::string sameMode = std::string("\x82\x01", 2) + "a" + encodeInt(5);
     CHECK(errorOf(sameMode) == StreamErrorCode::ModeMissing);
 }
 
-TEST_CASE("rsync sender stream: a delta of a file that is not listed breaks it") {
+TEST_CASE("rsync sender stream: a delta of a file that is not in the file list is an error") {
     CHECK(errorOf(kFileList + encodeInt(2) + kTwoBlocks) == StreamErrorCode::UnknownFile);
     CHECK(errorOf(kFileList + encodeInt(-2)) == StreamErrorCode::UnknownFile);
 }
 
-TEST_CASE("rsync sender stream: a delta refers to blocks that the receiver holds") {
+TEST_CASE("rsync sender stream: a reference to a block that the receiver does not hold is an error") {
     const auto error = feedBroken(clientStream, kFileList + encodeInt(0) + kTwoBlocks + encodeInt(-3));
     CHECK(error.code == StreamErrorCode::UnknownBlock);
     CHECK(error.value == 2);
 }
 
-TEST_CASE("rsync sender stream: a checksum head out of range breaks it") {
+TEST_CASE("rsync sender stream: a checksum head out of range is an error") {
     const std::string fileIndex = kFileList + encodeInt(0);
     for (const auto& head : {encodeChecksumHead(-1, 0, 0, 0), encodeChecksumHead(1, -1, 0, 0),
                              encodeChecksumHead(1, 700, 17, 0), encodeChecksumHead(1, 700, 2, 701)})
--- a/tests/rsync/stream_support.h
+++ b/tests/rsync/stream_support.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the tests of the rsync streams share: the bytes of fields on the wire, and feeding a parser.
+/// Shared by the tests of the rsync streams: the encoding of wire fields, and feeding a parser.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 
 namespace wingproxy::test {
 
-/// \return a little-endian integer of 4 bytes
+/// \return `value` as 4 bytes, little-endian
 inline std::string encodeInt(std::int32_t value) {
     constexpr int kBytes = 4;
     constexpr int kBitsPerByte = 8;
@@ -23,30 +23,30 @@
     return bytes;
 }
 
-/// \return an integer of 64 bits: the marker -1, the lower and the upper half
+/// \return a 64-bit integer on the wire: the marker -1, then the lower and the upper half
 inline std::string encodeWideInt(std::int32_t low, std::int32_t high) {
     return encodeInt(-1) + encodeInt(low) + encodeInt(high);
 }
 
-/// \return a head of block checksums
+/// \return a checksum head, see `rsync::ChecksumHead`
 inline std::string encodeChecksumHead(std::int32_t blockCount, std::int32_t blockLength,
                                       std::int32_t strongChecksumSize, std::int32_t lastBlockLength) {
     return encodeInt(blockCount) + encodeInt(blockLength) + encodeInt(strongChecksumSize) +
            encodeInt(lastBlockLength);
 }
 
-/// A byte of flags that ends the file list.
+/// Flags of 0, which end the file list.
 inline const std::string kEndOfFileList(1, '\0');
-/// An entry "a" of the file list: 5 bytes, modified at second 100, a regular file of mode 0644.
+/// A file list entry: file "a" of 5 bytes, modified 100 s after the epoch, a regular file of mode 0644.
 inline const std::string kFileEntry =
     std::string("\x01\x01") + "a" + encodeInt(5) + encodeInt(100) + encodeInt(0100644);
 inline const std::string kNoIoErrors = encodeInt(0);
 inline const std::string kEndOfPhase = encodeInt(-1);
-inline const std::string kBothPhases = kEndOfPhase + kEndOfPhase;
+inline const std::string kEndOfBothPhases = kEndOfPhase + kEndOfPhase;
 inline const std::string kGoodbye = encodeInt(-1);
-inline const std::string kEndOfDelta = encodeInt(0) + std::string(16, 's');  // and the checksum of the file
+inline const std::string kEndOfDelta = encodeInt(0) + std::string(16, 's');  // with the checksum of the file
 
-/// Feeds one parser all bytes at once and another one byte by byte; both have to come to the same status.
+/// Feeds all bytes at once to one parser and byte by byte to another; checks that both have the same status.
 /// \param makeParser returns a new parser
 /// \return that status
 template <typename MakeParser>
@@ -63,8 +63,8 @@
     return status;
 }
 
-/// Feeds bytes that break the protocol.
-/// \return the error of the parser
+/// Feeds bytes that violate the protocol and checks that the parser rejects them.
+/// \return the parser's error
 template <typename MakeParser>
 rsync::StreamError feedBroken(MakeParser makeParser, std::string_view bytes) {
     CHECK(feedAll(makeParser, bytes) == rsync::StreamStatus::Broken);
--- a/tests/rsync/transfer_request_test.cpp
+++ b/tests/rsync/transfer_request_test.cpp
@@ -21,7 +21,7 @@
     return std::get<rsync::TransferOptions>(parsed);
 }
 
-/// Arguments that are rejected with this code and, for the client, a message that starts with the argument.
+/// Checks that the arguments are rejected with this code and a message that starts with `argument`.
 void checkRejected(const Arguments& arguments, ArgumentErrorCode code, const std::string& argument) {
     const auto parsed = rsync::parseArguments(arguments, kModule);
     REQUIRE(std::holds_alternative<rsync::ArgumentError>(parsed));
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-TEST_CASE("rsync arguments: --sender is a pull") {
+TEST_CASE("rsync arguments: --sender requests a pull") {
     const auto options = parse({"--server", "--sender", "-vlogDtpr", ".", "m/a"});
     CHECK(options.direction == rsync::Direction::Pull);
     CHECK(options.preserveOwner);
@@ -41,7 +41,7 @@
     CHECK_FALSE(options.numericIds);
 }
 
-TEST_CASE("rsync arguments: without --sender it is a push") {
+TEST_CASE("rsync arguments: without --sender a push is requested") {
     const auto options = parse({"--server", "-tpre.iLsfx", "--numeric-ids", ".", "m/"});
     CHECK(options.direction == rsync::Direction::Push);
     CHECK_FALSE(options.preserveOwner);
@@ -49,11 +49,11 @@
     CHECK(options.numericIds);
 }
 
-TEST_CASE("rsync arguments: what follows -e are the capabilities of the client, which are ignored") {
+TEST_CASE("rsync arguments: the client's capabilities after -e are ignored") {
     CHECK_FALSE(parse({"--server", "-te.og", ".", "m/a"}).preserveOwner);
 }
 
-TEST_CASE("rsync arguments: options outside the subset are rejected by name") {
+TEST_CASE("rsync arguments: an unsupported option is rejected by name") {
     checkRejected({"--server", "--sender", "-z", ".", "m/a"}, ArgumentErrorCode::UnsupportedOption, "-z");
     checkRejected({"--server", "--sender", "-tz", ".", "m/a"}, ArgumentErrorCode::UnsupportedOption, "-z");
     checkRejected({"--server", "--delete", ".", "m/a"}, ArgumentErrorCode::UnsupportedOption, "--delete");
@@ -68,19 +68,19 @@
     checkRejected({"--server", "--sender"}, ArgumentErrorCode::PathMissing, "path");
 }
 
-TEST_CASE("rsync arguments: each path lies inside the module") {
+TEST_CASE("rsync arguments: a path outside the module is rejected") {
     for (const char* path : {"other/a", "mm/a", "m/a/../../b", "m/.."})
         checkRejected({"--server", "--sender", ".", path}, ArgumentErrorCode::PathOutsideModule, path);
     CHECK(parse({"--server", ".", "m"}).direction == rsync::Direction::Push);
     CHECK(parse({"--server", ".", "m/a..b"}).direction == rsync::Direction::Push);
 }
 
-TEST_CASE("rsync arguments: a pull takes several paths, a push takes one") {
+TEST_CASE("rsync arguments: a pull may have several paths, a push only one") {
     CHECK(parse({"--server", "--sender", ".", "m/a", "m/b"}).direction == rsync::Direction::Pull);
     checkRejected({"--server", ".", "m/a", "m/b"}, ArgumentErrorCode::SeveralPushDestinations, "path");
 }
 
-TEST_CASE("rsync arguments: a node gets them with its own name of the module and an empty line at the end") {
+TEST_CASE("rsync arguments: a node gets its own name of the module, and an empty line at the end") {
     rsync::TransferRequest request;
     request.module = "manuales";
     request.nodeModule = "bodega";
