--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -221,13 +221,13 @@
     };
     const auto before = processorSeconds();
     constexpr int kConnections = 20'000;
-    constexpr std::size_t kOpen = 400;
+    constexpr std::size_t kMaxOpenConnections = 400;
     std::deque<tcp::socket> connections;
     int served = 0;
     for (int i = 0; i < kConnections; ++i) {
         connections.emplace_back(platform.fixture.io);
         connections.back().connect(platform.listening.local_endpoint());
-        if (connections.size() > kOpen) connections.pop_front();
+        if (connections.size() > kMaxOpenConnections) connections.pop_front();
         if (i % 200 != 199) continue;
         platform.serve(platform.client(), fmt::format("{:016x}", i));  // a complete request in between
         ++served;
