--- a/src/rsync/client_handshake.h
+++ b/src/rsync/client_handshake.h
@@ -34,7 +34,8 @@
 /// \return the message for the client
 std::string describe(const HandshakeError& error);
 
-/// \return the class index of transfers in this direction, below 0 if the module does not allow them
+/// \return the class index of transfers in this direction; none (`isNone()`) if the module does not allow
+/// them
 ClassIndex classIndex(const config::RsyncModule& module, Direction direction);
 
 /// The daemon's side of the handshake with one client.
