--- a/src/core/events.h
+++ b/src/core/events.h
@@ -64,7 +64,7 @@
     AdminOverride order;
 };
 
-/// The time that `State::nextWake` named has come.
+/// The time that `FrontState::nextWake` named has come.
 struct TimerExpired {};
 
 /// All inputs that were ready in this turn of the event loop have been put in: the policy decides now.
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -6,20 +6,20 @@
 
 namespace wingproxy::core {
 
-State::State(const Settings& settings, const Limits& limits, Micros now)
+FrontState::FrontState(const Settings& settings, const Limits& limits, Micros now)
     : context_(settings, limits, now),
       endpoints_(settings.slowStartDurationUs),
       answers_(context_, requests_),
       attempts_({context_, requests_, endpoints_, answers_}) {}
 
-Effects State::reduce(Micros now, Input input) {
+Effects FrontState::reduce(Micros now, Input input) {
     context_.now = std::max(context_.now, now);
     std::visit([this](auto&& received) { handle(std::forward<decltype(received)>(received)); },
                std::move(input));
     return std::exchange(context_.effects, {});
 }
 
-StateSnapshot State::takeSnapshot(Micros now) {
+StateSnapshot FrontState::takeSnapshot(Micros now) {
     context_.now = std::max(context_.now, now);
     StateSnapshot snapshot;
     endpoints_.saveTo(snapshot);
@@ -27,20 +27,20 @@
     return snapshot;
 }
 
-bool State::restore(const StateSnapshot& snapshot) {
+bool FrontState::restore(const StateSnapshot& snapshot) {
     endpoints_.restoreFrom(snapshot);
     return context_.policy.restore(snapshot.policySnapshot);
 }
 
-Micros State::nextWake() const { return context_.timers.nextExpiry().value_or(kNoWake); }
+Micros FrontState::nextWake() const { return context_.timers.nextExpiry().value_or(kNoWake); }
 
-std::size_t State::tableEntries() const {
+std::size_t FrontState::tableEntries() const {
     return requests_.size() + context_.timers.size() + endpoints_.size() + context_.policy.tableEntries();
 }
 
 // ------------------------------------------------------------------------------------------------ inputs
 
-void State::handle(const RequestReceived& input) {
+void FrontState::handle(const RequestReceived& input) {
     const Request& request = input.request;
     if (requests_.add(request) == nullptr) return;
     context_.timers.schedule(Timer::requestDeadline(request.id, request.deadlineUs));
@@ -48,7 +48,7 @@
     context_.notifyPolicy(input);
 }
 
-void State::handle(const RequestBodyCompleted& input) {
+void FrontState::handle(const RequestBodyCompleted& input) {
     InFlightRequest* request = requests_.find(input.id);
     if (request == nullptr || !request->bodyIncomplete) return;
     request->bodyIncomplete = false;
@@ -60,11 +60,11 @@
     context_.notifyPolicy(input);
 }
 
-void State::handle(AttemptFinished input) { attempts_.finish(std::move(input)); }
+void FrontState::handle(AttemptFinished input) { attempts_.finish(std::move(input)); }
 
-void State::handle(const AttemptRequestSent& input) { attempts_.requestSent(input); }
+void FrontState::handle(const AttemptRequestSent& input) { attempts_.requestSent(input); }
 
-void State::handle(const ResponseHeadReceived& input) {
+void FrontState::handle(const ResponseHeadReceived& input) {
     const AttemptLookup found = requests_.findAttempt(input.id, input.attempt);
     if (!found || found.request->answered) return;
     ResponseStarted started = responseStarted(input.id, input.attempt, *found.attempt);
@@ -73,7 +73,7 @@
     context_.notifyPolicy(started);
 }
 
-void State::handle(const ResponseForwardingStarted& input) {
+void FrontState::handle(const ResponseForwardingStarted& input) {
     const AttemptLookup found = requests_.findAttempt(input.id, input.attempt);
     if (!found || found.request->answered) return;
     InFlightRequest& request = *found.request;
@@ -89,7 +89,7 @@
     context_.notifyPolicy(started);
 }
 
-void State::handle(const ClientDisconnected& input) {
+void FrontState::handle(const ClientDisconnected& input) {
     InFlightRequest* request = requests_.find(input.id);
     if (request == nullptr || request->answered) return;
     ++context_.counters.disconnected;
@@ -109,35 +109,35 @@
     answers_.eraseIfFinished(input.id);
 }
 
-void State::handle(const ShutdownStarted& input) { context_.notifyPolicy(input); }
+void FrontState::handle(const ShutdownStarted& input) { context_.notifyPolicy(input); }
 
-void State::handle(const CapacityNeeded& input) { context_.notifyPolicy(input); }
+void FrontState::handle(const CapacityNeeded& input) { context_.notifyPolicy(input); }
 
-void State::handle(EndpointListReceived input) {
+void FrontState::handle(EndpointListReceived input) {
     updateEndpoints(endpoints_.update(std::move(input.list), context_.now));
 }
 
-void State::handle(const AdminOverrideChanged& input) {
+void FrontState::handle(const AdminOverrideChanged& input) {
     const auto changed = endpoints_.update(input, context_.now);
     if (changed) updateEndpoints({EndpointListKind::Delta, 0, {*changed}});
 }
 
-void State::updateEndpoints(EndpointList list) {
+void FrontState::updateEndpoints(EndpointList list) {
     for (std::string& line : context_.slowStart.onEndpointList(list, context_.now))
         context_.emit(LogLine{std::move(line)});
     context_.notifyPolicy(EndpointListReceived{std::move(list)});
 }
 
-void State::handle(PeerMessageReceived input) { context_.notifyPolicy(std::move(input)); }
+void FrontState::handle(PeerMessageReceived input) { context_.notifyPolicy(std::move(input)); }
 
-void State::handle(HealthCheckCompleted input) { context_.notifyPolicy(std::move(input)); }
+void FrontState::handle(HealthCheckCompleted input) { context_.notifyPolicy(std::move(input)); }
 
-void State::handle(const TimerExpired&) {
+void FrontState::handle(const TimerExpired&) {
     while (const auto timer = context_.timers.popExpired(context_.now))
         expire(*timer);
 }
 
-void State::handle(const BatchEnded&) {
+void FrontState::handle(const BatchEnded&) {
     while (context_.policyPending) {
         context_.policyPending = false;
         ++context_.counters.batches;
@@ -149,7 +149,7 @@
 
 // ------------------------------------------------------------------------------------------------ timers
 
-void State::expire(const Timer& timer) {
+void FrontState::expire(const Timer& timer) {
     switch (timer.kind) {
         case TimerKind::Policy:
             context_.notifyPolicy(TimerFired{timer.id});
@@ -166,7 +166,7 @@
     }
 }
 
-void State::expireRequest(RequestId id) {
+void FrontState::expireRequest(RequestId id) {
     const InFlightRequest* request = requests_.find(id);
     if (request == nullptr || request->answered || !request->attempts.empty()) return;
     // The policy answers well before the deadline; this keeps the deadline even if it does not.
@@ -177,15 +177,15 @@
 
 // ------------------------------------------------------------------------------------ actions of the policy
 
-void State::apply(const SetTimer& action) {
+void FrontState::apply(const SetTimer& action) {
     const Micros delay = std::max<Micros>(1, action.delayUs);
     context_.timers.schedule(Timer::ofPolicy(action.token, context_.now + delay));
 }
 
 // ------------------------------------------------------------------------------------------------ responses
 
-ResponseStarted State::responseStarted(RequestId id, AttemptIndex attempt,
-                                       const InFlightAttempt& inFlight) const {
+ResponseStarted FrontState::responseStarted(RequestId id, AttemptIndex attempt,
+                                            const InFlightAttempt& inFlight) const {
     ResponseStarted started;
     started.id = id;
     started.attempt = attempt;
@@ -196,10 +196,10 @@
 
 // ------------------------------------------------------------------------------------------ free functions
 
-Effects reduce(State& state, Micros now, Input input) { return state.reduce(now, std::move(input)); }
+Effects reduce(FrontState& state, Micros now, Input input) { return state.reduce(now, std::move(input)); }
 
-StateSnapshot takeSnapshot(State& state, Micros now) { return state.takeSnapshot(now); }
+StateSnapshot takeSnapshot(FrontState& state, Micros now) { return state.takeSnapshot(now); }
 
-bool restore(State& state, const StateSnapshot& snapshot) { return state.restore(snapshot); }
+bool restore(FrontState& state, const StateSnapshot& snapshot) { return state.restore(snapshot); }
 
 }  // namespace wingproxy::core
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -1,13 +1,13 @@
 /// \file
-/// The reducer: the one place where the state of a front changes, as (State, Input) -> Effects.
+/// The reducer: the one place where the state of a front changes, as (FrontState, Input) -> Effects.
 ///
 /// It has no I/O, no clock and no knowledge of a wire format. The protocol fronts report requests, the node
 /// clients report how attempts ended; the `Policy`, which is fed in batches, decides. What is to be done
 /// outside is returned as effects, in order.
 ///
-/// `State` owns the request table, the endpoint table, and the timers, counters and policy of its context. It
-/// handles inputs, expired timers and the policy's actions; what attempts and final answers do is in
-/// attempt_lifecycle.h and final_answers.h. Not thread-safe: one event loop owns a `State`.
+/// `FrontState` owns the request table, the endpoint table, and the timers, counters and policy of its
+/// context. It handles inputs, expired timers and the policy's actions; what attempts and final answers do is
+/// in attempt_lifecycle.h and final_answers.h. Not thread-safe: one event loop owns a `FrontState`.
 #pragma once
 
 #include <cstddef>
@@ -28,15 +28,15 @@
 namespace wingproxy::core {
 
 /// Everything that one front knows and decides.
-class State {
+class FrontState {
 public:
     /// A time that does not come: no timer is set.
     static constexpr Micros kNoWake = INT64_MAX;
 
     /// \param now the start of this process, in microseconds since the Unix epoch
-    State(const Settings& settings, const Limits& limits, Micros now);
-    State(const State&) = delete;  // its parts refer to each other
-    State& operator=(const State&) = delete;
+    FrontState(const Settings& settings, const Limits& limits, Micros now);
+    FrontState(const FrontState&) = delete;  // its parts refer to each other
+    FrontState& operator=(const FrontState&) = delete;
 
     /// See `core::reduce`.
     Effects reduce(Micros now, Input input);
@@ -115,11 +115,11 @@
 
 /// Takes one input and returns what is to be done outside.
 /// \param now never falls; an earlier time counts as that of the last input
-Effects reduce(State& state, Micros now, Input input);
+Effects reduce(FrontState& state, Micros now, Input input);
 /// What a successor starts from. It has all rights from then on; requests in flight are finished here.
-StateSnapshot takeSnapshot(State& state, Micros now);
+StateSnapshot takeSnapshot(FrontState& state, Micros now);
 /// Takes over a snapshot; to be called before the first input, admin overrides excepted.
 /// \return false: the policy rejected its part; the rest is in force
-bool restore(State& state, const StateSnapshot& snapshot);
+bool restore(FrontState& state, const StateSnapshot& snapshot);
 
 }  // namespace wingproxy::core
--- a/src/core/reducer_context.h
+++ b/src/core/reducer_context.h
@@ -11,7 +11,7 @@
 
 namespace wingproxy::core {
 
-/// Owned by `State`; its parts refer to it as long as they live.
+/// Owned by `FrontState`; its parts refer to it as long as they live.
 struct ReducerContext {
     /// \param startedAt microseconds since the Unix epoch
     ReducerContext(const Settings& settings, const Limits& limits, Micros startedAt);
--- a/src/core/state_snapshot.h
+++ b/src/core/state_snapshot.h
@@ -10,8 +10,8 @@
 
 namespace wingproxy::core {
 
-/// The part of a `State` from which a successor process of the same front starts. The order and the types of
-/// the fields are those of the snapshot file (src/hot_restart); requests in flight are not in it.
+/// The part of a `FrontState` from which a successor process of the same front starts. The order and the
+/// types of the fields are those of the snapshot file (src/hot_restart); requests in flight are not in it.
 struct StateSnapshot {
     std::vector<NodeInfo> endpoints;                           ///< the endpoint list, without admin overrides
     std::map<std::string, Micros, std::less<>> drainingSince;  ///< draining nodes: when that was read
--- a/src/net/engine.cpp
+++ b/src/net/engine.cpp
@@ -129,12 +129,12 @@
 
 void Engine::armTimer() {
     const auto at = state_.nextWake();
-    if (at == timerAt_ || at == core::State::kNoWake) return;
+    if (at == timerAt_ || at == core::FrontState::kNoWake) return;
     timerAt_ = at;
     timer_.expires_at(clock_.at(at));
     timer_.async_wait([this](const boost::system::error_code& error) {
         if (error || stopped_) return;
-        timerAt_ = core::State::kNoWake;
+        timerAt_ = core::FrontState::kNoWake;
         pauseDetector_.onRunning(std::chrono::steady_clock::now());
         process(core::TimerExpired{});
     });
--- a/src/net/engine.h
+++ b/src/net/engine.h
@@ -223,10 +223,10 @@
     ByteBudget bodyBudget_;
     Settings settings_;
     config::EndpointListing initialEndpoints_;
-    core::State state_;
+    core::FrontState state_;
     PauseDetector pauseDetector_{std::chrono::steady_clock::now()};
     boost::asio::steady_timer timer_;
-    Micros timerAt_ = core::State::kNoWake;
+    Micros timerAt_ = core::FrontState::kNoWake;
     bool batchEndScheduled_ = false;
     bool started_ = false;
     bool stopped_ = false;
--- a/tests/core/reducer_fixture.h
+++ b/tests/core/reducer_fixture.h
@@ -11,7 +11,7 @@
 namespace wingproxy::test {
 
 /// Puts in one input and the end of its batch.
-inline core::Effects reduceBatch(core::State& state, Micros now, core::Input input) {
+inline core::Effects reduceBatch(core::FrontState& state, Micros now, core::Input input) {
     auto effects = core::reduce(state, now, std::move(input));
     for (auto& effect : core::reduce(state, now, core::BatchEnded{}))
         effects.push_back(std::move(effect));
@@ -56,7 +56,7 @@
     }
 
     Micros now = kStart;
-    core::State state;
+    core::FrontState state;
 };
 
 }  // namespace wingproxy::test
--- a/tests/core/reducer_scale_test.cpp
+++ b/tests/core/reducer_scale_test.cpp
@@ -94,7 +94,7 @@
         }
     }
 
-    State state;
+    FrontState state;
     Micros now = kStart;
     std::size_t messagesSent = 0;
     std::size_t bytesSent = 0;
--- a/tests/golden/golden_stored_data_test.cpp
+++ b/tests/golden/golden_stored_data_test.cpp
@@ -47,7 +47,7 @@
             effects.push_back(std::move(effect));
         return effects;
     }
-    core::State state;
+    core::FrontState state;
 };
 
 /// What twelve seconds of a host leave: leases, latencies, a drained node, a node in slow start, open
--- a/tests/http/attempt_deadlines_test.cpp
+++ b/tests/http/attempt_deadlines_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-core::Effects step(core::State& state, Micros now, core::Input input) {
+core::Effects step(core::FrontState& state, Micros now, core::Input input) {
     auto all = core::reduce(state, now, std::move(input));
     for (auto& e : core::reduce(state, now, core::BatchEnded{}))
         all.push_back(std::move(e));
@@ -28,7 +28,7 @@
 // A client's timeout starts with the last byte of its request. Until that byte has arrived, no deadline ends
 // the request; afterwards the client's deadline does.
 TEST_CASE("reducer: the deadline of a request with a streamed body runs from the body's end") {
-    core::State state(test::settings(), core::Limits{250 * kMs}, kStart);
+    core::FrontState state(test::settings(), core::Limits{250 * kMs}, kStart);
     Micros now = kStart;
     const auto apply = [&](core::Input input) { return step(state, now, std::move(input)); };
     const auto count = [](const core::Effects& effects, auto kind) {
@@ -67,7 +67,7 @@
     settings.classes[1].latencyObjectiveUs = 3 * kSecond;  // so that a retry is still worthwhile at that time
     const Micros window = settings.classes[1].keyWindowUs;
     for (const bool written : {false, true}) {
-        core::State state(settings, core::Limits{250 * kMs}, kStart);
+        core::FrontState state(settings, core::Limits{250 * kMs}, kStart);
         step(state, kStart, EndpointListReceived{nodes({node("n0", 0)})});
         auto asked = request(1, 1, 1, kStart);
         asked.deadlineUs = kStart + 4 * kSecond;
