--- a/src/core/attempt_deadlines.cpp
+++ b/src/core/attempt_deadlines.cpp
@@ -22,9 +22,9 @@
     return std::min(longest, now + std::max<Micros>(0, order.timeoutUs));
 }
 
-Micros firstByteBudget(const std::optional<Micros>& drainingSince, Micros drainGrace, const Limits& limits,
-                       Micros now) {
-    Micros budget = limits.connectUs;
+Micros firstByteBudget(const std::optional<Micros>& drainingSince, Micros drainGrace,
+                       const AttemptLimits& limits, Micros now) {
+    Micros budget = limits.connectTimeoutUs;
     if (drainGrace > 0) budget = std::min(budget, Micros(kUnreadDrainGracePart * double(drainGrace)));
     if (drainingSince) {
         const Micros lastStart = *drainingSince + Micros(kKnownDrainGracePart * double(drainGrace));
@@ -36,7 +36,7 @@
 }  // namespace
 
 AttemptDeadlines attemptDeadlines(const ForwardRequest& order, const AttemptConditions& conditions,
-                                  Micros drainGrace, const Limits& limits, Micros now) {
+                                  Micros drainGrace, const AttemptLimits& limits, Micros now) {
     AttemptDeadlines deadlines;
     deadlines.lastByteBy = order.lastByteByUs > 0 ? order.lastByteByUs : StartAttempt::kNever;
     deadlines.timeoutAt = timeoutOf(order, conditions, now);
--- a/src/core/attempt_deadlines.h
+++ b/src/core/attempt_deadlines.h
@@ -10,8 +10,8 @@
 namespace wingproxy::core {
 
 /// What the deployment limits besides the policy's settings.
-struct Limits {
-    Micros connectUs = 250'000;  ///< a connection that is not established by then has failed
+struct AttemptLimits {
+    Micros connectTimeoutUs = 250'000;  ///< a connection that is not established by then has failed
 };
 
 /// Points in time of one attempt; `StartAttempt::kNever` where one has no limit.
@@ -33,6 +33,6 @@
 /// \param drainGrace how long after its drain was announced a node accepts requests, in microseconds; 0: no
 ///        such rule
 AttemptDeadlines attemptDeadlines(const ForwardRequest& order, const AttemptConditions& conditions,
-                                  Micros drainGrace, const Limits& limits, Micros now);
+                                  Micros drainGrace, const AttemptLimits& limits, Micros now);
 
 }  // namespace wingproxy::core
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -6,7 +6,7 @@
 
 namespace wingproxy::core {
 
-FrontState::FrontState(const Settings& settings, const Limits& limits, Micros now)
+FrontState::FrontState(const Settings& settings, const AttemptLimits& limits, Micros now)
     : context_(settings, limits, now),
       endpoints_(settings.slowStartDurationUs),
       answers_(context_, requests_),
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -34,7 +34,7 @@
     static constexpr Micros kNoWake = INT64_MAX;
 
     /// \param now the start of this process, in microseconds since the Unix epoch
-    FrontState(const Settings& settings, const Limits& limits, Micros now);
+    FrontState(const Settings& settings, const AttemptLimits& limits, Micros now);
     FrontState(const FrontState&) = delete;  // its parts refer to each other
     FrontState& operator=(const FrontState&) = delete;
 
--- a/src/core/reducer_context.cpp
+++ b/src/core/reducer_context.cpp
@@ -4,7 +4,7 @@
 
 namespace wingproxy::core {
 
-ReducerContext::ReducerContext(const Settings& settings, const Limits& limits, Micros startedAt)
+ReducerContext::ReducerContext(const Settings& settings, const AttemptLimits& limits, Micros startedAt)
     : settings(settings), limits(limits), now(startedAt), policy(settings, startedAt) {
     counters.byClass.resize(settings.classes.size() + 1);
 }
--- a/src/core/reducer_context.h
+++ b/src/core/reducer_context.h
@@ -14,7 +14,7 @@
 /// Owned by `FrontState`; its parts refer to it as long as they live.
 struct ReducerContext {
     /// \param startedAt microseconds since the Unix epoch
-    ReducerContext(const Settings& settings, const Limits& limits, Micros startedAt);
+    ReducerContext(const Settings& settings, const AttemptLimits& limits, Micros startedAt);
 
     /// Puts an event into the batch that the policy decides at its end.
     void notifyPolicy(const Event& event);
@@ -22,7 +22,7 @@
     void emit(Effect effect);
 
     Settings settings;
-    Limits limits;
+    AttemptLimits limits;
     Micros now;  ///< of the input that is being handled; never falls
     Policy policy;
     bool policyPending = true;  ///< the policy has actions that were not taken; at the start its first ones
--- a/src/net/engine.cpp
+++ b/src/net/engine.cpp
@@ -21,7 +21,7 @@
       bodyBudget_(bodyBytes(config)),
       settings_(config.settings),
       initialEndpoints_(config.cachedEndpoints),
-      state_(config.settings, core::Limits{config.settings.connectTimeoutUs}, clock_.now()),
+      state_(config.settings, core::AttemptLimits{config.settings.connectTimeoutUs}, clock_.now()),
       timer_(io) {}
 
 void Engine::start() {
--- a/tests/core/attempt_deadlines_test.cpp
+++ b/tests/core/attempt_deadlines_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr Micros kNow = 1'000'000'000;
 constexpr Micros kDrainGrace = 400'000;
-constexpr Limits kLimits{250'000};
+constexpr AttemptLimits kLimits{250'000};
 constexpr Micros kRequestDeadline = kNow + 2'000'000;
 constexpr AttemptConditions kUsual{kRequestDeadline, false, {}};
 
@@ -47,7 +47,7 @@
 }
 
 TEST_CASE("attempt deadlines: without a drain grace the connect time-out limits the first byte") {
-    CHECK(deadlinesOf({}, kUsual, 0).firstByteBy == kNow + kLimits.connectUs);
+    CHECK(deadlinesOf({}, kUsual, 0).firstByteBy == kNow + kLimits.connectTimeoutUs);
 }
 
 TEST_CASE("attempt deadlines: a draining node gets its last request at 80% of the grace since it was read") {
--- a/tests/core/final_answers_test.cpp
+++ b/tests/core/final_answers_test.cpp
@@ -28,7 +28,7 @@
     }
     [[nodiscard]] bool isForgotten() { return requests.find(kId) == nullptr && context.timers.size() == 0; }
 
-    ReducerContext context{settings(), Limits{}, kStart};
+    ReducerContext context{settings(), AttemptLimits{}, kStart};
     RequestTable requests;
     FinalAnswers answers{context, requests};
     InFlightRequest* inFlight = nullptr;
--- a/tests/core/reducer_fixture.h
+++ b/tests/core/reducer_fixture.h
@@ -37,7 +37,7 @@
 
 /// A front with the nodes n0 in cell 0 and n1 in cell 1.
 struct ReducerFixture {
-    ReducerFixture() : state(settings(), core::Limits{250 * kMs}, kStart) {
+    ReducerFixture() : state(settings(), core::AttemptLimits{250 * kMs}, kStart) {
         put(EndpointListReceived{nodes({node("n0", 0), node("n1", 1)})});
     }
     core::Effects put(core::Input input) { return reduceBatch(state, now, std::move(input)); }
--- a/tests/core/reducer_scale_test.cpp
+++ b/tests/core/reducer_scale_test.cpp
@@ -48,7 +48,7 @@
 
 /// One of 300 fronts, which hears nothing of the others.
 struct LargeFleetFront {
-    LargeFleetFront() : state(settingsOfLargeFleet(), Limits{250 * kMs}, kStart) {
+    LargeFleetFront() : state(settingsOfLargeFleet(), AttemptLimits{250 * kMs}, kStart) {
         std::vector<NodeInfo> list;
         for (int i = 0; i < kNodes; ++i)
             list.push_back(node(std::string("n").append(std::to_string(i)), i));
--- a/tests/core/reducer_test.cpp
+++ b/tests/core/reducer_test.cpp
@@ -192,7 +192,7 @@
     const auto snapshot = takeSnapshot(front.state, front.now);
     CHECK(snapshot.endpoints.size() == 2);
     CHECK(snapshot.drainingSince.contains("n0"));
-    FrontState successor(settings(), Limits{250 * kMs}, front.now);
+    FrontState successor(settings(), AttemptLimits{250 * kMs}, front.now);
     CHECK(restore(successor, snapshot));
     CHECK(successor.everListed("n9"));
     CHECK(!successor.everListed("n8"));
@@ -202,7 +202,7 @@
     ReducerFixture front;
     auto snapshot = takeSnapshot(front.state, front.now);
     snapshot.policySnapshot = "damaged";
-    FrontState successor(settings(), Limits{250 * kMs}, front.now);
+    FrontState successor(settings(), AttemptLimits{250 * kMs}, front.now);
     CHECK(!restore(successor, snapshot));
     CHECK(successor.everListed("n0"));
 }
--- a/tests/golden/golden_stored_data_test.cpp
+++ b/tests/golden/golden_stored_data_test.cpp
@@ -39,7 +39,7 @@
 
 /// The reducer's state of one host.
 struct RunningState {
-    RunningState() : state(settings(0, kHosts), core::Limits{250 * kMs}, kBegin) {}
+    RunningState() : state(settings(0, kHosts), core::AttemptLimits{250 * kMs}, kBegin) {}
     /// Reduces a batch of one input.
     core::Effects reduce(Micros now, core::Input input) {
         auto effects = core::reduce(state, now, std::move(input));
--- a/tests/http/attempt_deadlines_test.cpp
+++ b/tests/http/attempt_deadlines_test.cpp
@@ -28,7 +28,7 @@
 // A client's timeout starts with the last byte of its request. Until that byte has arrived, no deadline ends
 // the request; afterwards the client's deadline does.
 TEST_CASE("reducer: the deadline of a request with a streamed body runs from the body's end") {
-    core::FrontState state(test::settings(), core::Limits{250 * kMs}, kStart);
+    core::FrontState state(test::settings(), core::AttemptLimits{250 * kMs}, kStart);
     Micros now = kStart;
     const auto apply = [&](core::Input input) { return step(state, now, std::move(input)); };
     const auto count = [](const core::Effects& effects, auto kind) {
@@ -67,7 +67,7 @@
     settings.classes[1].latencyObjectiveUs = 3 * kSecond;  // so that a retry is still worthwhile at that time
     const Micros window = settings.classes[1].keyWindowUs;
     for (const bool written : {false, true}) {
-        core::FrontState state(settings, core::Limits{250 * kMs}, kStart);
+        core::FrontState state(settings, core::AttemptLimits{250 * kMs}, kStart);
         step(state, kStart, EndpointListReceived{nodes({node("n0", 0)})});
         auto asked = request(1, 1, 1, kStart);
         asked.deadlineUs = kStart + 4 * kSecond;
