--- a/src/app/metrics_report.cpp
+++ b/src/app/metrics_report.cpp
@@ -62,7 +62,7 @@
              {"units_sent", counters.unitsSent},
              {"units_completed", counters.unitsCompleted},
              {"largest_window", counters.largestWindow},
-             {"over_part", counters.windowsOverPart}}};
+             {"over_part", counters.nodesOverPart}}};
 }
 
 MetricGroup describeAttempts(const core::Counters& counters) {
--- a/src/core/slow_start_monitor.cpp
+++ b/src/core/slow_start_monitor.cpp
@@ -61,7 +61,7 @@
     state.largestWindow = std::max(state.largestWindow, state.unitsInWindow);
     if (state.unitsInWindow > partOf(state, now) && !state.exceededPart) {
         state.exceededPart = true;
-        ++counters_.windowsOverPart;
+        ++counters_.nodesOverPart;
     }
     ++counters_.attempts;
     unitsSent_ += units;
--- a/src/core/slow_start_monitor.h
+++ b/src/core/slow_start_monitor.h
@@ -20,8 +20,7 @@
     std::uint64_t unitsSent = 0;       ///< units of work of those attempts
     std::uint64_t unitsCompleted = 0;  ///< units of the attempts that they answered
     std::uint64_t largestWindow = 0;   ///< most units that one node was sent within one window
-    std::uint64_t windowsOverPart =
-        0;  ///< nodes that were sent more than this host's even part of the budget
+    std::uint64_t nodesOverPart = 0;   ///< nodes that were sent more than this host's even part of the budget
 };
 
 /// Decides nothing, and shares no state with the decisions, so that it can contradict them. Units are units
--- a/tests/core/slow_start_monitor_test.cpp
+++ b/tests/core/slow_start_monitor_test.cpp
@@ -44,9 +44,9 @@
     const double part = s.slowStartUnits / s.hostCount;
     monitor.onAttemptStarted("new", part, kNow);
     monitor.onAttemptStarted("new", part, kNow + s.slowStartWindowUs + 1);
-    CHECK(monitor.counters(kNow).windowsOverPart == 0);
+    CHECK(monitor.counters(kNow).nodesOverPart == 0);
     monitor.onAttemptStarted("new", part, kNow + s.slowStartWindowUs + 2);
-    CHECK(monitor.counters(kNow).windowsOverPart == 1);
+    CHECK(monitor.counters(kNow).nodesOverPart == 1);
     CHECK(monitor.counters(kNow).attempts == 3);
     monitor.onAttemptStarted("other", part, kNow);
     CHECK(monitor.counters(kNow).attempts == 3);
