--- a/src/core/attempt_lifecycle.h
+++ b/src/core/attempt_lifecycle.h
@@ -6,8 +6,8 @@
 #include <vector>
 
 #include "core/endpoint_table.h"
-#include "core/events.h"
 #include "core/final_answers.h"
+#include "core/inputs.h"
 #include "core/reducer_context.h"
 #include "core/request_table.h"
 
--- a/src/core/endpoint_table.h
+++ b/src/core/endpoint_table.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "core/events.h"
+#include "core/inputs.h"
 #include "core/state_snapshot.h"
 #include "wingproxy/policy.h"
 
--- a/src/core/final_answers.h
+++ b/src/core/final_answers.h
@@ -4,7 +4,7 @@
 
 #include <cstdint>
 
-#include "core/events.h"
+#include "core/inputs.h"
 #include "core/reducer_context.h"
 #include "core/request_table.h"
 
