--- a/src/core/attempt_deadlines.h
+++ b/src/core/attempt_deadlines.h
@@ -1,6 +1,6 @@
 /// \file
-/// By when an attempt must have written its first and its last byte, and by when it must have a response.
-/// A pure function of what is known when the attempt starts.
+/// Computes the deadlines of an attempt: for writing the first and the last byte of its request, and for its
+/// response. A pure function of what is known when the attempt starts.
 #pragma once
 
 #include <optional>
@@ -9,30 +9,31 @@
 
 namespace wingproxy::core {
 
-/// What the deployment limits besides the policy's settings.
+/// Limits that apply to every attempt. The engine copies them from `Settings`.
 struct AttemptLimits {
-    Micros connectTimeoutUs = 250'000;  ///< a connection that is not established by then has failed
+    Micros connectTimeoutUs = 250'000;  ///< time to establish a connection; after it the attempt has failed
 };
 
-/// Points in time of one attempt; `StartAttempt::kNever` where one has no limit.
+/// The deadlines of one attempt, as points in time.
 struct AttemptDeadlines {
-    Micros firstByteBy = 0;
-    Micros timeoutAt = 0;
-    Micros lastByteBy = 0;
+    Micros firstByteBy = 0;  ///< the first byte of the request must be written by then
+    Micros timeoutAt = 0;    ///< the attempt must have ended by then
+    Micros lastByteBy = 0;   ///< the last byte must be written by then; `StartAttempt::kNever`: no limit
 };
 
-/// What the deadlines of one attempt depend on besides the configuration.
+/// State of the request and the node that determines an attempt's deadlines, besides the configuration.
 struct AttemptConditions {
     Micros requestDeadline = 0;
-    bool bodyIncomplete = false;  ///< the request's body is still coming: its deadline is not fixed yet
-    /// When it was read that the node drains; nothing where it does not.
+    bool bodyIncomplete = false;  ///< the body is still arriving, so the request's deadline is not fixed yet
+    /// When this host first read that the node is draining; empty if it is not.
     std::optional<Micros> drainingSince;
 };
 
-/// \param order the policy's order, with its own limits
-/// \param drainGrace how long after its drain was announced a node accepts requests, in microseconds; 0: no
+/// Computes the deadlines of an attempt that starts at `now`.
+/// \param action the policy's action, which may set tighter limits
+/// \param drainGrace how long a node accepts requests after its drain was announced, in microseconds; 0: no
 ///        such rule
-AttemptDeadlines attemptDeadlines(const ForwardRequest& order, const AttemptConditions& conditions,
+AttemptDeadlines attemptDeadlines(const ForwardRequest& action, const AttemptConditions& conditions,
                                   Micros drainGrace, const AttemptLimits& limits, Micros now);
 
 }  // namespace wingproxy::core
--- a/src/core/attempt_lifecycle.cpp
+++ b/src/core/attempt_lifecycle.cpp
@@ -7,7 +7,8 @@
 namespace wingproxy::core {
 namespace {
 
-/// The attempt never ran at its node, so that the request's bytes do not matter.
+/// Whether the attempt certainly never ran at its node. Then a streamed body alone does not rule out another
+/// attempt.
 bool neverRan(Outcome outcome) { return outcome == Outcome::ConnectFailed || outcome == Outcome::Rejected; }
 
 void countOutcome(Counters& counters, Outcome outcome) {
@@ -16,61 +17,62 @@
 
 }  // namespace
 
-void AttemptLifecycle::start(const ForwardRequest& order) {
-    InFlightRequest* request = parts_.requests.find(order.id);
-    const AttemptIndex attempt(request == nullptr ? 0 : request->attemptsOrdered++);
-    if (request != nullptr && mayStart(*request, order.node))
-        startNow(order, attempt, *request);
+void AttemptLifecycle::start(const ForwardRequest& action) {
+    InFlightRequest* request = deps_.requests.find(action.id);
+    const AttemptIndex attempt(request == nullptr ? 0 : request->attemptCount++);
+    if (request != nullptr && mayStart(*request, action.node))
+        startNow(action, attempt, *request);
     else
-        notStarted_.push_back({order.id, attempt});
+        notStarted_.push_back({action.id, attempt});
 }
 
 bool AttemptLifecycle::mayStart(const InFlightRequest& request, const std::string& node) const {
-    const NodeInfo* listed = parts_.endpoints.find(node);
-    if (request.answered || listed == nullptr || parts_.context.now >= request.deadlineUs) return false;
-    if (request.attemptsOrdered > parts_.context.settings.maxAttempts) return false;
+    const NodeInfo* listed = deps_.endpoints.find(node);
+    if (request.answered || listed == nullptr || deps_.context.now >= request.deadlineUs) return false;
+    if (request.attemptCount > deps_.context.settings.maxAttempts) return false;
     return request.cell.isNone() || request.cell == listed->cell;
 }
 
-void AttemptLifecycle::startNow(const ForwardRequest& order, AttemptIndex attempt, InFlightRequest& request) {
-    ReducerContext& context = parts_.context;
+void AttemptLifecycle::startNow(const ForwardRequest& action, AttemptIndex attempt,
+                                InFlightRequest& request) {
+    ReducerContext& context = deps_.context;
     ++context.counters.attempts;
-    context.slowStart.onAttemptStarted(order.node, request.units, context.now);
+    context.slowStart.onAttemptStarted(action.node, request.units, context.now);
     const AttemptConditions conditions{request.deadlineUs, request.bodyIncomplete,
-                                       parts_.endpoints.drainingSince(order.node)};
+                                       deps_.endpoints.drainingSince(action.node)};
     const AttemptDeadlines deadlines =
-        attemptDeadlines(order, conditions, context.settings.drainGraceUs, context.limits, context.now);
-    context.emit(StartAttempt{order.id, attempt, order.node, deadlines.firstByteBy, deadlines.timeoutAt,
+        attemptDeadlines(action, conditions, context.settings.drainGraceUs, context.limits, context.now);
+    context.emit(StartAttempt{action.id, attempt, action.node, deadlines.firstByteBy, deadlines.timeoutAt,
                               deadlines.lastByteBy});
-    context.timers.schedule(Timer::attemptTimeout(order.id, attempt, deadlines.timeoutAt));
+    context.timers.schedule(Timer::attemptTimeout(action.id, attempt, deadlines.timeoutAt));
     if (deadlines.lastByteBy != StartAttempt::kNever)
-        context.timers.schedule(Timer::lastByte(order.id, attempt, deadlines.lastByteBy));
+        context.timers.schedule(Timer::lastByte(action.id, attempt, deadlines.lastByteBy));
     request.attempts.emplace(
-        attempt, InFlightAttempt{order.node, context.now, deadlines.timeoutAt, deadlines.lastByteBy});
+        attempt, InFlightAttempt{action.node, context.now, deadlines.timeoutAt, deadlines.lastByteBy});
 }
 
-void AttemptLifecycle::cancel(const CancelAttempt& order) {
-    const AttemptLookup found = parts_.requests.findAttempt(order.id, order.attempt);
-    if (!found || found.request->forwarding) return;  // the client is getting that response already
-    stop(order.id, order.attempt, Outcome::Cancelled);
+void AttemptLifecycle::cancel(const CancelAttempt& action) {
+    const AttemptLookup found = deps_.requests.findAttempt(action.id, action.attempt);
+    if (!found || found.request->forwarding) return;  // its response is already going to the client
+    stop(action.id, action.attempt, Outcome::Cancelled);
 }
 
 void AttemptLifecycle::stop(RequestId id, AttemptIndex attempt, Outcome outcome) {
-    parts_.context.emit(StopAttempt{id, attempt});
-    end(*parts_.requests.find(id), {id, attempt, outcome, 0, 0, {}});
+    deps_.context.emit(StopAttempt{id, attempt});
+    end(*deps_.requests.find(id), {id, attempt, outcome, 0, 0, {}});
 }
 
 void AttemptLifecycle::finish(AttemptFinished result) {
-    const AttemptLookup found = parts_.requests.findAttempt(result.id, result.attempt);
+    const AttemptLookup found = deps_.requests.findAttempt(result.id, result.attempt);
     if (!found) {
-        ++parts_.context.counters.lateResults;  // the policy was notified when it was stopped
+        ++deps_.context.counters.lateResults;  // the policy was notified when the attempt was stopped
         return;
     }
     end(*found.request, std::move(result));
 }
 
 void AttemptLifecycle::end(InFlightRequest& request, AttemptFinished result) {
-    ReducerContext& context = parts_.context;
+    ReducerContext& context = deps_.context;
     const auto it = request.attempts.find(result.attempt);
     const InFlightAttempt ended = std::move(it->second);
     request.attempts.erase(it);
@@ -79,52 +81,52 @@
     context.timers.cancel(Timer::lastByte(result.id, result.attempt, ended.lastByteBy));
     countOutcome(context.counters, result.outcome);
     if (result.outcome == Outcome::Ok) context.slowStart.onAttemptCompleted(ended.node, request.units);
-    parts_.answers.answerFromAttempt(request, result);
+    deps_.answers.answerFromAttempt(request, result);
     context.notifyPolicy(AttemptOutcome{result.id, result.attempt, ended.node, result.outcome,
                                         context.now - ended.startedAt, request.answered, result.loadPercent,
                                         result.loadElsewhere, std::move(result.loadReport),
                                         result.requestSpent});
-    parts_.answers.eraseIfFinished(result.id);
+    deps_.answers.eraseIfFinished(result.id);
 }
 
 void AttemptLifecycle::requestSent(const AttemptRequestSent& input) {
-    ++parts_.context.counters.requestsSent;
-    const AttemptLookup found = parts_.requests.findAttempt(input.id, input.attempt);
+    ++deps_.context.counters.requestsSent;
+    const AttemptLookup found = deps_.requests.findAttempt(input.id, input.attempt);
     if (!found) return;
     found.attempt->requestSent = true;
-    parts_.context.timers.cancel(Timer::lastByte(input.id, input.attempt, found.attempt->lastByteBy));
+    deps_.context.timers.cancel(Timer::lastByte(input.id, input.attempt, found.attempt->lastByteBy));
 }
 
-void AttemptLifecycle::extend(RequestId id, InFlightRequest& request) {
-    TimerQueue& timers = parts_.context.timers;
+void AttemptLifecycle::extendTimeouts(RequestId id, InFlightRequest& request) {
+    TimerQueue& timers = deps_.context.timers;
     for (auto& [number, attempt] : request.attempts) {
         timers.cancel(Timer::attemptTimeout(id, number, attempt.timeoutAt));
         attempt.timeoutAt = request.deadlineUs;
-        attempt.startedAt = parts_.context.now;
+        attempt.startedAt = deps_.context.now;
         if (!request.unbounded) timers.schedule(Timer::attemptTimeout(id, number, attempt.timeoutAt));
     }
 }
 
 void AttemptLifecycle::expireTimeout(const Timer& timer) {
-    if (parts_.requests.findAttempt(timer.id, timer.attempt)) stop(timer.id, timer.attempt, Outcome::Timeout);
+    if (deps_.requests.findAttempt(timer.id, timer.attempt)) stop(timer.id, timer.attempt, Outcome::Timeout);
 }
 
 void AttemptLifecycle::expireLastByte(const Timer& timer) {
-    if (!parts_.requests.findAttempt(timer.id, timer.attempt)) return;
-    ++parts_.context.counters.lastByteTimeouts;
+    if (!deps_.requests.findAttempt(timer.id, timer.attempt)) return;
+    ++deps_.context.counters.lastByteTimeouts;
     stop(timer.id, timer.attempt, Outcome::ConnectFailed);
 }
 
 void AttemptLifecycle::notifyNotStarted() {
-    for (const NotStarted& ordered : std::exchange(notStarted_, {})) {
-        const InFlightRequest* request = parts_.requests.find(ordered.id);
-        countOutcome(parts_.context.counters, Outcome::NotStarted);
+    for (const NotStarted& attempt : std::exchange(notStarted_, {})) {
+        const InFlightRequest* request = deps_.requests.find(attempt.id);
+        countOutcome(deps_.context.counters, Outcome::NotStarted);
         AttemptOutcome outcome;
-        outcome.id = ordered.id;
-        outcome.attempt = ordered.attempt;
+        outcome.id = attempt.id;
+        outcome.attempt = attempt.attempt;
         outcome.outcome = Outcome::NotStarted;
         outcome.requestClosed = request == nullptr || request->answered;
-        parts_.context.notifyPolicy(outcome);
+        deps_.context.notifyPolicy(outcome);
     }
 }
 
--- a/src/core/attempt_lifecycle.h
+++ b/src/core/attempt_lifecycle.h
@@ -1,5 +1,5 @@
 /// \file
-/// The attempts of all requests, from the policy's order to their one end.
+/// The lifecycle of all attempts, from the policy's action to the single outcome of each.
 #pragma once
 
 #include <string>
@@ -13,54 +13,58 @@
 
 namespace wingproxy::core {
 
-/// Starts, stops and ends attempts, with their timers, and notifies the policy of each end. The attempts in
-/// flight are in the request table; this object owns those that were ordered and not started.
+/// Starts, stops and ends attempts, manages their timers, and notifies the policy of each outcome. Attempts
+/// in flight are stored in the request table; this object owns only those that the policy ordered and that
+/// could not be started.
 class AttemptLifecycle {
 public:
-    /// What attempts depend on. All of it outlives this object.
-    struct Parts {
+    /// Collaborators of this object, all of which outlive it.
+    struct Dependencies {
         ReducerContext& context;
         RequestTable& requests;
         const EndpointTable& endpoints;
         FinalAnswers& answers;
     };
-    /// Starts without attempts; the parts may still be empty.
-    explicit AttemptLifecycle(Parts parts) : parts_(parts) {}
+    /// Starts with no attempts.
+    explicit AttemptLifecycle(Dependencies dependencies) : deps_(dependencies) {}
 
-    /// Starts the attempt that the policy ordered, unless its request or its node does not allow it any more.
-    void start(const ForwardRequest& order);
-    /// Stops the attempt that the policy does not need any more, unless the client is getting its response.
-    void cancel(const CancelAttempt& order);
-    /// Ends an attempt in flight from this side: its connection is closed, and it reports nothing more.
+    /// Starts the attempt that the policy ordered, unless the state of its request or node no longer allows
+    /// it.
+    void start(const ForwardRequest& action);
+    /// Stops an attempt that the policy no longer needs, unless its response is already being forwarded.
+    void cancel(const CancelAttempt& action);
+    /// Ends an attempt in flight from this side: its connection is closed and it reports no further result.
     void stop(RequestId id, AttemptIndex attempt, Outcome outcome);
-    /// Ends an attempt with the result that it reported. A late one, of an attempt that is not in flight, is
-    /// counted only.
+    /// Ends an attempt with the result that it reported. A late result, of an attempt no longer in flight, is
+    /// only counted.
     void finish(AttemptFinished result);
-    /// The attempt's last byte is with the node; its timer for that is cancelled.
+    /// Records that the whole request was sent to the attempt's node, and cancels the last-byte timer.
     void requestSent(const AttemptRequestSent& input);
-    /// The request's body is complete: the node starts only now, so its attempts run until the new deadline.
-    void extend(RequestId id, InFlightRequest& request);
+    /// Restarts the timeouts of a request's attempts when its body is complete: nodes start work only then,
+    /// so that attempts may run until the request's new deadline.
+    void extendTimeouts(RequestId id, InFlightRequest& request);
 
-    /// No response came in time.
+    /// Stops an attempt that got no response in time, with `Outcome::Timeout`.
     void expireTimeout(const Timer& timer);
-    /// The last byte was not written in time: the attempt never ran.
+    /// Stops an attempt whose last byte was not written in time. It never ran, so its outcome is
+    /// `Outcome::ConnectFailed`.
     void expireLastByte(const Timer& timer);
 
-    /// Notifies the policy of the attempts that it ordered and that were not started since the last call.
+    /// Notifies the policy of the attempts that it ordered since the last call and that could not be started.
     void notifyNotStarted();
 
 private:
     [[nodiscard]] bool mayStart(const InFlightRequest& request, const std::string& node) const;
-    void startNow(const ForwardRequest& order, AttemptIndex attempt, InFlightRequest& request);
+    void startNow(const ForwardRequest& action, AttemptIndex attempt, InFlightRequest& request);
     void end(InFlightRequest& request, AttemptFinished result);
 
-    /// An attempt that was ordered and not started.
+    /// An attempt that the policy ordered and that could not be started.
     struct NotStarted {
         RequestId id = 0;
         AttemptIndex attempt{0};
     };
 
-    Parts parts_;
+    Dependencies deps_;
     std::vector<NotStarted> notStarted_;
 };
 
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -1,6 +1,6 @@
 /// \file
-/// The effects of the reducer: what is to be done outside, as value types without behaviour. Actions of the
-/// policy that the reducer only passes on are the policy's own types (wingproxy/policy.h).
+/// The effects of the reducer: what its caller must do, as plain value types. Actions of the policy that the
+/// reducer passes on unchanged keep the policy's types (wingproxy/policy.h).
 #pragma once
 
 #include <cstdint>
@@ -12,39 +12,39 @@
 
 namespace wingproxy::core {
 
-/// Sends the request to a node. The caller writes no byte after the times that concern writing; the reducer
-/// itself stops the attempt at `timeoutAt` and at `lastByteBy`.
+/// Sends the request to a node. The caller enforces the two deadlines for writing; the reducer stops the
+/// attempt at `timeoutAt` and, if its last byte is not written, at `lastByteBy`.
 struct StartAttempt {
-    static constexpr Micros kNever = INT64_MAX;  ///< a point in time that does not come
+    static constexpr Micros kNever = INT64_MAX;  ///< no deadline
 
     RequestId id = 0;
     AttemptIndex attempt{0};
     std::string node;
-    Micros firstByteBy = 0;      ///< after this time the first byte must not be written
-    Micros timeoutAt = 0;        ///< the attempt is stopped if it has not ended by then
-    Micros lastByteBy = kNever;  ///< the attempt is stopped if its last byte is not written by then
+    Micros firstByteBy = 0;      ///< the first byte must not be written later
+    Micros timeoutAt = 0;        ///< the attempt is stopped then if it has not ended
+    Micros lastByteBy = kNever;  ///< the last byte must not be written later
 };
 
-/// Closes the attempt's connection; the attempt reports nothing more.
+/// Closes the attempt's connection. No further report of it is expected.
 struct StopAttempt {
     RequestId id = 0;
     AttemptIndex attempt{0};
 };
 
-/// The final answer is this attempt's response.
+/// Delivers this attempt's response to the client as the final answer.
 struct DeliverResponse {
     RequestId id = 0;
     AttemptIndex attempt{0};
 };
 
-/// The final answer is that nothing ran and the client may try again.
+/// Answers that nothing ran and that the client may try again.
 struct SendRejection {
     RequestId id = 0;
-    Micros retryAfterUs = 0;
+    Micros retryAfterUs = 0;  ///< how long the client should wait; 0: no advice
     AnswerReason reason = AnswerReason::Unknown;
 };
 
-/// The final answer is that the request failed.
+/// Answers that the request failed; it may have run.
 struct SendFailure {
     RequestId id = 0;
     AnswerReason reason = AnswerReason::Unknown;
@@ -53,7 +53,7 @@
 /// Any effect of the reducer.
 using Effect = std::variant<StartAttempt, StopAttempt, DeliverResponse, SendRejection, SendFailure,
                             SendPeerMessage, WatchEndpointList, StartHealthCheck, LogLine>;
-/// What is to be done, in this order.
+/// Effects in the order in which they must be carried out.
 using Effects = std::vector<Effect>;
 
 }  // namespace wingproxy::core
--- a/src/core/endpoint_table.cpp
+++ b/src/core/endpoint_table.cpp
@@ -6,8 +6,8 @@
 namespace wingproxy::core {
 namespace {
 
-/// An ended administrative drain is kept for so long after its node's slow start: no older override from
-/// another process of this front arrives so late, which would drain the node again.
+/// How long the override that ended an administrative drain is kept after its node's slow start. An older
+/// override from another process of this front, which would drain the node again, is expected before that.
 constexpr Micros kEndedDrainRetention = 60'000'000;
 
 }  // namespace
@@ -31,10 +31,10 @@
 std::optional<NodeInfo> EndpointTable::update(const AdminOverrideChanged& change, Micros now) {
     const auto it = overrides_.find(change.node);
     const AdminOverride before = it == overrides_.end() ? AdminOverride{false, 0} : it->second;
-    if (before.drained == change.order.drained || change.order.at <= before.at) return {};
-    overrides_.insert_or_assign(change.node, change.order);
+    if (before.drained == change.newOverride.drained || change.newOverride.at <= before.at) return {};
+    overrides_.insert_or_assign(change.node, change.newOverride);
     const NodeInfo* listed = find(change.node);
-    if (listed == nullptr) return {};  // applied once a list names the node
+    if (listed == nullptr) return {};  // applied when a list names the node
     NodeInfo node = withOverride(*listed);
     updateDrain(node, now);
     return node;
@@ -66,8 +66,8 @@
         everListed_.erase(everListedOrder_.front());
     std::erase_if(drainingSince_, [&](const auto& entry) { return !listed_.contains(entry.first); });
     std::erase_if(overrides_, [&](const auto& entry) {
-        const AdminOverride& order = entry.second;
-        return !order.drained && now - order.at > slowStartDuration_ + kEndedDrainRetention;
+        const AdminOverride& newest = entry.second;
+        return !newest.drained && now - newest.at > slowStartDuration_ + kEndedDrainRetention;
     });
 }
 
--- a/src/core/endpoint_table.h
+++ b/src/core/endpoint_table.h
@@ -1,6 +1,6 @@
 /// \file
-/// The endpoint list as discovery reported it, with the operators' overrides: which nodes are listed, which
-/// of them drain and since when, and which ids were ever listed.
+/// The endpoint list as discovery reported it, and the operators' overrides: which nodes are listed, which
+/// are draining and since when, and which ids were ever listed.
 #pragma once
 
 #include <cstddef>
@@ -17,42 +17,45 @@
 
 namespace wingproxy::core {
 
-/// Joins the endpoint list and the admin overrides into the list that the policy sees.
+/// Merges the endpoint list and the admin overrides into the list that the policy sees.
 ///
-/// A node under an administrative drain is Draining to the policy. One whose drain was ended has just started
-/// (slow start), as it was probably restarted meanwhile and the list may say so later. Of two overrides of a
-/// node the newer one counts.
+/// The policy sees a node under an administrative drain as Draining. A node whose drain was ended is treated
+/// as just started (slow start), because it was probably restarted meanwhile and the list may report that
+/// only later. Of two overrides of a node the newer one applies.
 class EndpointTable {
 public:
-    /// Ever-listed ids that are remembered, so that an operator may name a node that is gone. The oldest are
-    /// dropped first.
+    /// Maximum number of ever-listed ids that are kept, so that an operator can still name a node that is no
+    /// longer listed. The oldest are dropped first.
     static constexpr std::size_t kMaxEverListed = 4'096;
 
-    /// \param slowStartDuration until a node that has started has its full capacity
+    /// \param slowStartDuration time from a node's start until it has its full capacity, in microseconds
     explicit EndpointTable(Micros slowStartDuration) : slowStartDuration_(slowStartDuration) {}
 
-    /// Takes a list from discovery and returns it with the overrides applied.
+    /// Applies a list from discovery and returns it with the overrides applied to it.
     [[nodiscard]] EndpointList update(EndpointList list, Micros now);
-    /// Takes an override. Returns the node as the policy is to see it from now on; nothing where the override
-    /// changes nothing, is older than the one in force, or names a node that is not listed now.
+    /// Applies an override. Returns the node as the policy must see it from now on; empty if the override
+    /// changes nothing, is not newer than the one in force, or names a node that is not listed now.
     [[nodiscard]] std::optional<NodeInfo> update(const AdminOverrideChanged& change, Micros now);
 
-    /// The node as discovery listed it; null where it is not listed.
+    /// The node as discovery listed it, without overrides; null if it is not listed.
     [[nodiscard]] const NodeInfo* find(const std::string& node) const;
-    /// When it was read that this node drains; nothing where it does not.
+    /// When this host first read that the node is draining; empty if it is not.
     [[nodiscard]] std::optional<Micros> drainingSince(const std::string& node) const;
-    /// Whether this id is listed or was listed before; forgotten beyond `kMaxEverListed` newer ids.
+    /// Whether this id is listed or was listed before. An id that is no longer listed is forgotten after
+    /// `kMaxEverListed` newer ids.
     [[nodiscard]] bool everListed(const std::string& node) const;
-    /// The newest order for each node that ever had one. Valid as long as the table.
+    /// The newest override of each node. That of an ended drain is dropped 60 s after the node's slow start.
+    /// Valid as long as the table.
     [[nodiscard]] const AdminOverrides& overrides() const { return overrides_; }
-    /// Nodes under an administrative drain.
+    /// Number of nodes under an administrative drain.
     [[nodiscard]] std::size_t adminDrainedNodes() const;
-    /// Entries of all tables but that of the ever-listed ids, which has its own bound.
+    /// Number of entries, without the ever-listed ids, which have their own bound.
     [[nodiscard]] std::size_t size() const;
 
     /// Writes this table's fields of the snapshot.
     void saveTo(StateSnapshot& snapshot) const;
-    /// Adds the draining nodes and ever-listed ids of the snapshot; its list comes as an input of its own.
+    /// Adds the draining nodes and ever-listed ids of the snapshot. Its endpoint list must be put in
+    /// separately, as an `EndpointListReceived`.
     void restoreFrom(const StateSnapshot& snapshot);
 
 private:
@@ -65,7 +68,7 @@
     std::map<std::string, NodeInfo, std::less<>> listed_;       // without overrides
     std::map<std::string, Micros, std::less<>> drainingSince_;  // with overrides
     std::set<std::string> everListed_;
-    std::deque<std::string> everListedOrder_;  // the oldest first
+    std::deque<std::string> everListedOrder_;  // oldest first
     AdminOverrides overrides_;
 };
 
--- a/src/core/final_answers.h
+++ b/src/core/final_answers.h
@@ -1,5 +1,5 @@
 /// \file
-/// The one final answer of each request, and the end of a request with its last attempt.
+/// Gives each request its one final answer, and removes it once its last attempt has ended as well.
 #pragma once
 
 #include <cstdint>
@@ -10,27 +10,28 @@
 
 namespace wingproxy::core {
 
-/// Gives final answers: counts them by class, and emits the effect. A request that has one, or whose client
-/// disconnected, gets no other. Owns nothing.
+/// Gives final answers: counts them by class and emits the effect. A request that already has its answer, or
+/// whose client disconnected, gets none. Owns no state.
 class FinalAnswers {
 public:
     /// \param context, requests outlive this object
     FinalAnswers(ReducerContext& context, RequestTable& requests) : context_(context), requests_(requests) {}
 
-    /// Answers as the result of an attempt demands: the first success is delivered, and a response that
-    /// breaks while it is forwarded is a failure. What follows from any other outcome is the policy's
-    /// decision. The request stays in the table.
+    /// Answers a request if the result of its attempt determines the answer: the first success is delivered,
+    /// and a response that breaks off while it is forwarded is a failure. After any other outcome the policy
+    /// decides. The request stays in the table.
     void answerFromAttempt(InFlightRequest& request, const AttemptFinished& result);
-    /// The policy rejected the request: nothing ran, and the client may try again.
+    /// Rejects the request, as the policy decided: nothing ran, and the client may try again. Does nothing if
+    /// the request already has its answer.
     void reject(const RejectRequest& action);
-    /// The request failed. Without effect where it has its answer.
+    /// Fails the request. Does nothing if it already has its answer.
     void fail(RequestId id, AnswerReason reason = AnswerReason::Unknown);
-    /// Removes a request that has its answer and no attempt in flight. Its deadline is cancelled as well: a
-    /// client may allow an hour, and an answered request must not keep a timer as long.
+    /// Removes a request that has its answer and no attempt in flight, and cancels its deadline timer: a
+    /// client may allow an hour, and an answered request must not keep a timer for that long.
     void eraseIfFinished(RequestId id);
 
 private:
-    /// A count of `ResponseCounts`.
+    /// A member of `ResponseCounts`.
     using Count = std::uint64_t ResponseCounts::*;
 
     void answer(RequestId id, Count count, AnswerReason reason, Effect effect);
--- a/src/core/inputs.h
+++ b/src/core/inputs.h
@@ -1,6 +1,6 @@
 /// \file
-/// The inputs of the reducer: what happened outside, as value types without behaviour. Inputs that concern
-/// the policy alone are its own event types (wingproxy/policy.h).
+/// The inputs of the reducer: what happened outside it, as plain value types. Inputs that the policy
+/// gets unchanged are its own event types (wingproxy/policy.h).
 #pragma once
 
 #include <compare>
@@ -14,15 +14,15 @@
 
 namespace wingproxy::core {
 
-/// An attempt ended at its node, or on the way there.
+/// An attempt ended, at its node or before it reached the node.
 struct AttemptFinished {
     RequestId id = 0;
     AttemptIndex attempt{0};
     Outcome outcome = Outcome::Ok;
-    double loadPercent = 0;          ///< how busy the node reports to be
-    double loadElsewhere = 0;        ///< units a second that other hosts send to the node, as it reports
-    std::vector<double> loadReport;  ///< the fields of Settings::reportColumns; empty: none came
-    bool requestSpent = false;       ///< the request's bytes are gone, so that no other attempt can send them
+    double loadPercent = 0;          ///< the node's load, as it reports it
+    double loadElsewhere = 0;        ///< units per second that other hosts send to the node, as it reports
+    std::vector<double> loadReport;  ///< one value per `Settings::reportColumns`; empty: no report
+    bool requestSpent = false;       ///< the request's bytes are gone: no other attempt can send them
 };
 
 /// The last byte of the request was sent to the attempt's node.
@@ -31,43 +31,45 @@
     AttemptIndex attempt{0};
 };
 
-/// The head of the node's response arrived while its body is still coming: the node has done its work.
+/// The head of the node's response arrived and its body is still arriving: the node has done its work.
 struct ResponseHeadReceived {
     RequestId id = 0;
     AttemptIndex attempt{0};
 };
 
-/// The first bytes of the node's response went to the client.
+/// The first bytes of the node's response were sent to the client.
 struct ResponseForwardingStarted {
     RequestId id = 0;
     AttemptIndex attempt{0};
-    bool unbounded = false;  ///< no deadline applies any more: the node has done its work, only bytes follow
+    /// No deadline applies any more: the node has done its work, and only bytes follow.
+    bool unbounded = false;
 };
 
-/// The client closed its connection before it had its final answer.
+/// The client closed its connection before it got its final answer.
 struct ClientDisconnected {
     RequestId id = 0;
 };
 
-/// An operator's order about one node. It takes precedence over every endpoint list until a newer order.
+/// An operator's override of the state of one node. It takes precedence over every endpoint list until a
+/// newer override.
 struct AdminOverride {
-    bool drained = true;  ///< under an administrative drain; false: that drain was ended
-    Micros at = 0;        ///< when it was given; of two orders the later one counts
-    /// Field by field, for equality; which of two orders counts is decided by `at`.
+    bool drained = true;  ///< the node is under an administrative drain; false: that drain was ended
+    Micros at = 0;        ///< when the operator gave it; of two overrides the later one applies
+    /// Compares all fields. Meant for equality: which of two overrides applies depends on `at` alone.
     auto operator<=>(const AdminOverride&) const = default;
 };
-/// The newest order for each node id.
+/// The newest override by node id.
 using AdminOverrides = std::map<std::string, AdminOverride, std::less<>>;
-/// An operator gave an order, here or at another process of this front.
+/// An operator set an override, at this process or at another one of the same front.
 struct AdminOverrideChanged {
     std::string node;
-    AdminOverride order;
+    AdminOverride newOverride;
 };
 
-/// The time that `FrontState::nextWake` named has come.
+/// The time returned by `FrontState::nextWake` was reached.
 struct TimerExpired {};
 
-/// All inputs that were ready in this turn of the event loop have been put in: the policy decides now.
+/// All inputs that were ready in this iteration of the event loop were handled: the policy decides now.
 struct BatchEnded {};
 
 /// Any input of the reducer.
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -56,7 +56,7 @@
     request->deadlineUs = input.deadlineUs;
     if (request->answered) return;
     context_.timers.schedule(Timer::requestDeadline(input.id, input.deadlineUs));
-    attempts_.extend(input.id, *request);
+    attempts_.extendTimeouts(input.id, *request);
     context_.notifyPolicy(input);
 }
 
@@ -95,9 +95,9 @@
     ++context_.counters.disconnected;
     requests_.markAnswered(*request);
     context_.notifyPolicy(RequestCancelled{input.id});
-    // An attempt whose bytes go to the client or come from it as they arrive ends with the client, and so
-    // does one whose request is not complete at its node: nobody waits for that work. The outcome of any
-    // other attempt still says something about its node.
+    // Stops the attempts that stream to or from the client, and those whose request was not sent completely:
+    // nobody waits for that work. Any other attempt runs on, because its outcome still tells something about
+    // its node.
     const bool endsWithClient = request->unbounded || request->bodyIncomplete;
     std::vector<AttemptIndex> cancelled;
     for (const auto& [number, attempt] : request->attempts) {
@@ -142,7 +142,7 @@
         context_.policyPending = false;
         ++context_.counters.batches;
         for (const auto& action : context_.policy.finish(context_.now))
-            std::visit([this](const auto& ordered) { apply(ordered); }, action);
+            std::visit([this](const auto& typed) { apply(typed); }, action);
         attempts_.notifyNotStarted();
     }
 }
@@ -169,7 +169,7 @@
 void FrontState::expireRequest(RequestId id) {
     const InFlightRequest* request = requests_.find(id);
     if (request == nullptr || request->answered || !request->attempts.empty()) return;
-    // The policy answers well before the deadline; this keeps the deadline even if it does not.
+    // The policy answers well before the deadline; this enforces the deadline even if it does not.
     ++context_.counters.deadlineExceeded;
     answers_.fail(id);
     context_.notifyPolicy(RequestCancelled{id});
@@ -179,7 +179,7 @@
 
 void FrontState::apply(const SetTimer& action) {
     const Micros delay = std::max<Micros>(1, action.delayUs);
-    context_.timers.schedule(Timer::ofPolicy(action.token, context_.now + delay));
+    context_.timers.schedule(Timer::policyTimer(action.token, context_.now + delay));
 }
 
 // ------------------------------------------------------------------------------------------------ responses
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -1,13 +1,13 @@
 /// \file
-/// The reducer: the one place where the state of a front changes, as (FrontState, Input) -> Effects.
+/// The reducer: the only place where the state of a front changes, as (FrontState, Input) -> Effects.
 ///
-/// It has no I/O, no clock and no knowledge of a wire format. The protocol fronts report requests, the node
-/// clients report how attempts ended; the `Policy`, which is fed in batches, decides. What is to be done
-/// outside is returned as effects, in order.
+/// It has no I/O, no clock and no knowledge of wire formats. Protocol code reports requests and the ends of
+/// attempts as inputs; the `Policy`, which gets its events in batches, decides. What the caller must do is
+/// returned as effects, in order.
 ///
 /// `FrontState` owns the request table, the endpoint table, and the timers, counters and policy of its
-/// context. It handles inputs, expired timers and the policy's actions; what attempts and final answers do is
-/// in attempt_lifecycle.h and final_answers.h. Not thread-safe: one event loop owns a `FrontState`.
+/// context. It handles inputs, expired timers and the policy's actions; attempts and final answers are
+/// handled in attempt_lifecycle.h and final_answers.h. Not thread-safe: one event loop owns a `FrontState`.
 #pragma once
 
 #include <cstddef>
@@ -27,15 +27,15 @@
 
 namespace wingproxy::core {
 
-/// Everything that one front knows and decides.
+/// The complete state of one front, and its transitions.
 class FrontState {
 public:
-    /// A time that does not come: no timer is set.
+    /// Returned by `nextWake` if no timer is set.
     static constexpr Micros kNoWake = INT64_MAX;
 
     /// \param now the start of this process, in microseconds since the Unix epoch
     FrontState(const Settings& settings, const AttemptLimits& limits, Micros now);
-    FrontState(const FrontState&) = delete;  // its parts refer to each other
+    FrontState(const FrontState&) = delete;  // its components refer to each other
     FrontState& operator=(const FrontState&) = delete;
 
     /// See `core::reduce`.
@@ -45,27 +45,29 @@
     /// See `core::restore`.
     [[nodiscard]] bool restore(const StateSnapshot& snapshot);
 
-    /// When `TimerExpired` must be put in, at the latest; kNoWake: not before another input.
+    /// When the caller must put in the next `TimerExpired`; `kNoWake`: not before another input.
     [[nodiscard]] Micros nextWake() const;
-    /// Since the start of the process. Valid as long as the state.
+    /// Counters since the start of the process. The reference is valid as long as this object.
     [[nodiscard]] const Counters& counters() const { return context_.counters; }
-    /// What was sent to nodes in slow start.
+    /// Counters of what was sent to nodes in slow start.
     [[nodiscard]] SlowStartCounters slowStartCounters() const {
         return context_.slowStart.counters(context_.now);
     }
-    /// Requests without their final answer.
+    /// Number of requests without a final answer.
     [[nodiscard]] std::size_t openRequests() const { return requests_.unanswered(); }
-    /// Entries in all tables, the policy's too, but for the ever-listed ids, which have their own bound.
+    /// Number of entries in the request, timer, endpoint and policy tables. The ever-listed ids, which have
+    /// their own bound, and the nodes of the slow start monitor are not included.
     [[nodiscard]] std::size_t tableEntries() const;
-    /// Listed nodes that get no requests: under an administrative drain, draining, or ejected by the policy.
+    /// Number of listed nodes that get no requests, or only trial ones: under an administrative drain,
+    /// draining, or suspected to be faulty by the policy.
     [[nodiscard]] std::size_t avoidedNodes() const { return context_.policy.avoidedNodes(); }
-    /// What this front may spend and lend after its start.
+    /// The recovery after the start: which leases this front may spend and grant.
     [[nodiscard]] const fleet::RestartRecovery& recovery() const { return context_.policy.recovery(); }
     /// Whether the node is listed or was listed before.
     [[nodiscard]] bool everListed(const std::string& node) const { return endpoints_.everListed(node); }
-    /// The newest operator's order for each node. Valid until the next input.
+    /// The newest admin override of each node. Valid until the next input.
     [[nodiscard]] const AdminOverrides& overrides() const { return endpoints_.overrides(); }
-    /// Nodes under an administrative drain.
+    /// Number of nodes under an administrative drain.
     [[nodiscard]] std::size_t adminDrainedNodes() const { return endpoints_.adminDrainedNodes(); }
 
 private:
@@ -86,7 +88,7 @@
     void handle(const TimerExpired& input);
     void handle(const BatchEnded& input);
 
-    /// Passes a list with the overrides applied to the policy.
+    /// Passes a list, to which the overrides have been applied, to the slow start monitor and the policy.
     void updateEndpoints(EndpointList list);
     void expire(const Timer& timer);
     void expireRequest(RequestId id);
@@ -102,7 +104,7 @@
     void apply(const WatchEndpointList& action) { context_.emit(action); }
     void apply(const LogLine& action) { context_.emit(action); }
 
-    /// The event that the node's response to this attempt started now.
+    /// The event that reports that the response to this attempt started now.
     [[nodiscard]] ResponseStarted responseStarted(RequestId id, AttemptIndex attempt,
                                                   const InFlightAttempt& inFlight) const;
 
@@ -113,13 +115,14 @@
     AttemptLifecycle attempts_;
 };
 
-/// Takes one input and returns what is to be done outside.
-/// \param now never falls; an earlier time counts as that of the last input
+/// Handles one input and returns what the caller must do.
+/// \param now microseconds since the Unix epoch; a time before that of the last input is replaced by that
 Effects reduce(FrontState& state, Micros now, Input input);
-/// What a successor starts from. It has all rights from then on; requests in flight are finished here.
+/// Takes the snapshot from which a successor process starts. From then on the successor alone spends and
+/// grants leases; this process only finishes its requests in flight, with the tokens reserved for them.
 StateSnapshot takeSnapshot(FrontState& state, Micros now);
-/// Takes over a snapshot; to be called before the first input, admin overrides excepted.
-/// \return false: the policy rejected its part; the rest is in force
+/// Restores a snapshot. Must be called before the first input, admin overrides excepted.
+/// \return false if the policy rejected its part; the rest is restored nevertheless
 bool restore(FrontState& state, const StateSnapshot& snapshot);
 
 }  // namespace wingproxy::core
--- a/src/core/reducer_context.h
+++ b/src/core/reducer_context.h
@@ -1,5 +1,6 @@
 /// \file
-/// What the parts of the reducer share: the time of the input, the policy, timers, counters and effects.
+/// State that the components of the reducer share: the time of the input, the policy, timers, counters and
+/// effects.
 #pragma once
 
 #include "core/attempt_deadlines.h"
@@ -11,21 +12,21 @@
 
 namespace wingproxy::core {
 
-/// Owned by `FrontState`; its parts refer to it as long as they live.
+/// Owned by `FrontState`; its other components hold references to it.
 struct ReducerContext {
     /// \param startedAt microseconds since the Unix epoch
     ReducerContext(const Settings& settings, const AttemptLimits& limits, Micros startedAt);
 
-    /// Puts an event into the batch that the policy decides at its end.
+    /// Passes an event to the policy, which returns its actions at the end of the batch.
     void notifyPolicy(const Event& event);
-    /// Adds an effect of the input that is being handled.
+    /// Appends an effect of the input that is being handled.
     void emit(Effect effect);
 
     Settings settings;
     AttemptLimits limits;
     Micros now;  ///< of the input that is being handled; never falls
     Policy policy;
-    bool policyPending = true;  ///< the policy has actions that were not taken; at the start its first ones
+    bool policyPending = true;  ///< the policy may have actions to return; at the start, its first ones
     TimerQueue timers;
     Counters counters;
     SlowStartMonitor slowStart{settings};
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -1,6 +1,6 @@
 /// \file
 /// The requests in flight and their attempts. A request stays in the table until it has its final answer and
-/// its last attempt has ended: an attempt may outlive the answer, and its outcome still concerns the policy.
+/// its last attempt has ended: an attempt may outlive the answer, and the policy still needs its outcome.
 #pragma once
 
 #include <cstddef>
@@ -18,30 +18,30 @@
     std::string node;
     Micros startedAt = 0;
     Micros timeoutAt = 0;
-    Micros lastByteBy = StartAttempt::kNever;  ///< after this time the last byte must not be written
-    bool requestSent = false;                  ///< the whole request is with the node
+    Micros lastByteBy = StartAttempt::kNever;  ///< the last byte must not be written later
+    bool requestSent = false;                  ///< the whole request was sent to the node
 };
 
 /// A request without a final answer, or with attempts that have not ended.
 struct InFlightRequest {
     Micros deadlineUs = 0;
-    double units = 0;             ///< of work
-    CellIndex cell;               ///< the cell that holds the object; none: any
-    ClassIndex classIndex;        ///< none: unknown
-    int attemptsOrdered = 0;      ///< by the policy, those that were not started too; the next one's number
-    bool answered = false;        ///< has its final answer, or its client disconnected
-    bool forwarding = false;      ///< a response is on its way to the client: no other answer is possible
+    double units = 0;             ///< units of work
+    CellIndex cell;               ///< the cell that holds the object; none: any cell
+    ClassIndex classIndex;        ///< none: unknown class
+    int attemptCount = 0;         ///< attempts that the policy ordered, started or not; the index of the next
+    bool answered = false;        ///< it has its final answer, or its client disconnected
+    bool forwarding = false;      ///< a response is being sent to the client: no other answer is possible
     bool unbounded = false;       ///< a response without a deadline is being forwarded
-    bool bodyIncomplete = false;  ///< its body is still coming
-    bool bodyStreamed = false;    ///< its body came after its head, so that it cannot be sent a second time
+    bool bodyIncomplete = false;  ///< its body is still arriving
+    bool bodyStreamed = false;    ///< its body arrived after its head, so that it cannot be sent twice
     std::map<AttemptIndex, InFlightAttempt> attempts;
 
-    /// Nothing is left to be done for it.
+    /// Whether it has its answer and no attempt in flight.
     [[nodiscard]] bool isFinished() const { return answered && attempts.empty(); }
 };
 
-/// An attempt together with its request; both null where the attempt is not in flight. The pointers are valid
-/// until the attempt ends.
+/// An attempt and its request; both null if the attempt is not in flight. The pointers are valid until the
+/// attempt ends.
 struct AttemptLookup {
     InFlightRequest* request = nullptr;
     InFlightAttempt* attempt = nullptr;
@@ -52,19 +52,19 @@
 /// Requests in flight by id.
 class RequestTable {
 public:
-    /// Adds a request; null where its id is in the table already.
+    /// Adds a request. Returns null if its id is in the table already.
     InFlightRequest* add(const Request& request);
-    /// The request of this id; null where it is not in flight. Valid until the request is erased.
+    /// The request with this id; null if it is not in flight. Valid until the request is erased.
     [[nodiscard]] InFlightRequest* find(RequestId id);
-    /// The attempt of this number of the request.
+    /// The attempt with this index of the request.
     [[nodiscard]] AttemptLookup findAttempt(RequestId id, AttemptIndex attempt);
-    /// Notes that the request, which had none, has its final answer or needs none any more.
+    /// Marks a request as having its final answer, or needing none any more. To be called once per request.
     void markAnswered(InFlightRequest& request);
-    /// Forgets a request that is finished (`InFlightRequest::isFinished`).
+    /// Removes a request that is finished (`InFlightRequest::isFinished`).
     void erase(RequestId id) { requests_.erase(id); }
-    /// Requests without their final answer.
+    /// Number of requests without a final answer.
     [[nodiscard]] std::size_t unanswered() const { return unanswered_; }
-    /// Requests in the table, answered ones with attempts in flight included.
+    /// Number of requests in the table, including answered ones with attempts in flight.
     [[nodiscard]] std::size_t size() const { return requests_.size(); }
 
 private:
--- a/src/core/slow_start_monitor.cpp
+++ b/src/core/slow_start_monitor.cpp
@@ -43,7 +43,7 @@
            now - info.startedUs < settings_.slowStartDurationUs;
 }
 
-double SlowStartMonitor::partOf(const WarmingNode& node, Micros now) const {
+double SlowStartMonitor::hostPart(const WarmingNode& node, Micros now) const {
     return slowStartBudget(settings_, now - node.startedAt) / std::max(settings_.hostCount, 1);
 }
 
@@ -59,8 +59,8 @@
     state.unitsInWindow += units;
     state.unitsSent += units;
     state.largestWindow = std::max(state.largestWindow, state.unitsInWindow);
-    if (state.unitsInWindow > partOf(state, now) && !state.exceededPart) {
-        state.exceededPart = true;
+    if (state.unitsInWindow > hostPart(state, now) && !state.exceededHostPart) {
+        state.exceededHostPart = true;
         ++counters_.nodesOverPart;
     }
     ++counters_.attempts;
@@ -99,7 +99,7 @@
     return fmt::format(
         "slow start of {} over: sent {:.1f} units, completed {:.1f}, at most {:.1f} in one window{}", node,
         state.unitsSent, state.unitsCompleted, state.largestWindow,
-        state.exceededPart ? ", more than this host's part" : "");
+        state.exceededHostPart ? ", more than this host's part" : "");
 }
 
 }  // namespace wingproxy::core
--- a/src/core/slow_start_monitor.h
+++ b/src/core/slow_start_monitor.h
@@ -1,5 +1,5 @@
 /// \file
-/// Observes what this host sends to nodes that are warming up, so that an overload can be traced afterwards.
+/// Records what this host sends to nodes that are warming up, so that an overload can be traced afterwards.
 #pragma once
 
 #include <cstdint>
@@ -12,34 +12,35 @@
 
 namespace wingproxy::core {
 
-/// Counts of slow start over all nodes, since the start of the process.
+/// Slow start counters over all nodes, since the start of the process.
 struct SlowStartCounters {
-    std::uint64_t nodesStarted = 0;    ///< nodes that were listed in slow start
-    std::uint64_t nodesWarmingUp = 0;  ///< of those, the ones that are in slow start now
-    std::uint64_t attempts = 0;        ///< attempts at them
+    std::uint64_t nodesStarted = 0;    ///< slow starts of listed nodes
+    std::uint64_t nodesWarmingUp = 0;  ///< nodes that are in slow start now
+    std::uint64_t attempts = 0;        ///< attempts at nodes in slow start
     std::uint64_t unitsSent = 0;       ///< units of work of those attempts
-    std::uint64_t unitsCompleted = 0;  ///< units of the attempts that they answered
-    std::uint64_t largestWindow = 0;   ///< most units that one node was sent within one window
-    std::uint64_t nodesOverPart = 0;   ///< nodes that were sent more than this host's even part of the budget
+    std::uint64_t unitsCompleted = 0;  ///< units of the attempts that these nodes answered
+    std::uint64_t largestWindow = 0;   ///< most units sent to one node within one window
+    std::uint64_t nodesOverPart = 0;   ///< slow starts with a window above this host's part of the budget
 };
 
-/// Decides nothing, and shares no state with the decisions, so that it can contradict them. Units are units
-/// of work. Bounded by the number of listed nodes and what is sent within a window.
+/// Takes no decisions and shares no state with the code that takes them, so that its figures are an
+/// independent check. A host's part of a node's budget is the budget divided by the number of hosts. Units
+/// are units of work. Memory is bounded by the number of listed nodes and by the attempts within a window.
 class SlowStartMonitor {
 public:
     /// \param settings must outlive the object
     explicit SlowStartMonitor(const Settings& settings) : settings_(settings) {}
 
-    /// The endpoint list as the policy sees it.
-    /// \return lines for the log: a node was listed in slow start, or its slow start is over
+    /// Handles an endpoint list with the admin overrides applied.
+    /// \return log lines for the nodes whose slow start began or ended
     std::vector<std::string> onEndpointList(const EndpointList& list, Micros now);
-    /// An attempt of so many units was started at a node.
+    /// Records that an attempt of `units` was started at a node.
     void onAttemptStarted(const std::string& node, double units, Micros now);
-    /// A node answered an attempt of so many units.
+    /// Records that a node answered an attempt of `units`.
     void onAttemptCompleted(const std::string& node, double units);
-    /// The counts as of `now`.
+    /// The counters as of `now`.
     [[nodiscard]] SlowStartCounters counters(Micros now) const;
-    /// Nodes that are observed.
+    /// Number of nodes that are monitored.
     [[nodiscard]] std::size_t size() const { return nodes_.size(); }
 
 private:
@@ -50,17 +51,17 @@
     struct WarmingNode {
         Micros startedAt = 0;
         Micros listedAt = 0;
-        std::deque<Sample> window;  // sent, the oldest first
+        std::deque<Sample> window;  // what was sent, oldest first
         double unitsInWindow = 0;
         double largestWindow = 0;
         double unitsSent = 0;
         double unitsCompleted = 0;
-        bool exceededPart = false;
+        bool exceededHostPart = false;
     };
     [[nodiscard]] bool isWarmingUp(const NodeInfo& info, Micros now) const;
     [[nodiscard]] std::string describeStart(const NodeInfo& info, Micros now) const;
     [[nodiscard]] std::string describeEnd(const std::string& node, const WarmingNode& state) const;
-    [[nodiscard]] double partOf(const WarmingNode& node, Micros now) const;
+    [[nodiscard]] double hostPart(const WarmingNode& node, Micros now) const;
 
     const Settings& settings_;
     std::map<std::string, WarmingNode, std::less<>> nodes_;
--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -1,5 +1,5 @@
 /// \file
-/// The timers of the reducer in the order in which they expire. Owns no clock: the time is passed in.
+/// The timers of the reducer, ordered by expiry. Has no clock: the time is passed in.
 #pragma once
 
 #include <cstddef>
@@ -11,50 +11,50 @@
 
 namespace wingproxy::core {
 
-/// What a timer is for. Timers of the same time expire in the order of the kinds here.
+/// What a timer is for. Timers that are due at the same time expire in the order of these kinds.
 enum class TimerKind {
-    Policy,           ///< set by the policy; `Timer::id` is its token
-    AttemptTimeout,   ///< an attempt has no response in time
+    Policy,           ///< set by the policy with `SetTimer`; `Timer::id` is its token
+    AttemptTimeout,   ///< an attempt must have ended
     RequestDeadline,  ///< a request must have its final answer
-    LastByte,         ///< the last byte of an attempt's request must be with the node
+    LastByte,         ///< the last byte of an attempt's request must have been sent to the node
 };
 
-/// One timer. Equal timers are the same one to `TimerQueue::cancel`.
+/// One timer. `TimerQueue::cancel` identifies it by the value of all its fields.
 struct Timer {
-    /// The deadline of a request without its final answer.
+    /// A timer for the deadline by which a request must have its final answer.
     static Timer requestDeadline(RequestId id, Micros at) { return {at, TimerKind::RequestDeadline, id, {}}; }
-    /// The end of an attempt without a response.
+    /// A timer that stops an attempt if it has not ended by then.
     static Timer attemptTimeout(RequestId id, AttemptIndex attempt, Micros at) {
         return {at, TimerKind::AttemptTimeout, id, attempt};
     }
-    /// The end of an attempt whose request is not complete at its node.
+    /// A timer that stops an attempt if its request was not sent completely by then.
     static Timer lastByte(RequestId id, AttemptIndex attempt, Micros at) {
         return {at, TimerKind::LastByte, id, attempt};
     }
-    /// A timer of the policy, which knows it by the token.
-    static Timer ofPolicy(std::uint64_t token, Micros at) { return {at, TimerKind::Policy, token, {}}; }
+    /// A timer of the policy, which identifies it by its token.
+    static Timer policyTimer(std::uint64_t token, Micros at) { return {at, TimerKind::Policy, token, {}}; }
 
     Micros at = 0;
     TimerKind kind = TimerKind::Policy;
-    std::uint64_t id = 0;  ///< a RequestId, or the policy's token
-    AttemptIndex attempt;  ///< none where the timer concerns no attempt
-    /// The order in which timers expire: by time, then kind, then owner.
+    std::uint64_t id = 0;  ///< a `RequestId`, or the policy's token
+    AttemptIndex attempt;  ///< none if the timer concerns no attempt
+    /// The order in which timers expire: by time, then kind, then id, then attempt.
     // NOLINTNEXTLINE(modernize-use-nullptr): false positive on the comparison with 0 that C++20 generates
     auto operator<=>(const Timer&) const = default;
 };
 
-/// Timers that have not expired yet.
+/// Pending timers.
 class TimerQueue {
 public:
-    /// Adds a timer, also beside an equal one: each expires by itself.
+    /// Adds a timer. Equal timers are kept apart, and each expires by itself.
     void schedule(const Timer& timer) { timers_.insert(timer); }
-    /// Removes one timer equal to this one, if there is any.
+    /// Removes one timer that is equal to `timer`, if there is one.
     void cancel(const Timer& timer);
-    /// Takes out the first timer that expires at `now` or before; nothing where none does.
+    /// Removes and returns the first timer that is due at `now`; empty if none is.
     std::optional<Timer> popExpired(Micros now);
-    /// When the first timer expires; nothing where there is none.
+    /// When the first timer expires; empty if there is none.
     [[nodiscard]] std::optional<Micros> nextExpiry() const;
-    /// Timers that have neither expired nor been cancelled.
+    /// Number of pending timers.
     [[nodiscard]] std::size_t size() const { return timers_.size(); }
 
 private:
