--- a/src/fleet/peer_incarnations.cpp
+++ b/src/fleet/peer_incarnations.cpp
@@ -5,7 +5,7 @@
 IncarnationStatus PeerIncarnations::observe(HostIndex peer, Incarnation incarnation, Micros now) {
     Peer& known = peers_.try_emplace(peer, Peer{incarnation, now}).first->second;
     const bool isEarlier = isBefore(incarnation, known.incarnation);
-    if (isEarlier && now - known.heardAt < kStaleIncarnationPeriod) return IncarnationStatus::Stale;
+    if (isEarlier && now - known.lastSeenAt < kStaleIncarnationPeriod) return IncarnationStatus::Stale;
     const bool isNew = known.incarnation != incarnation;
     known = {incarnation, now};
     return isNew ? IncarnationStatus::New : IncarnationStatus::Known;
--- a/src/fleet/peer_incarnations.h
+++ b/src/fleet/peer_incarnations.h
@@ -1,6 +1,6 @@
 /// \file
-/// Which incarnation of each peer this host heard of last. No I/O and no clock: the time is passed in and
-/// never falls.
+/// The current incarnation of each peer, as far as this host knows it. No I/O and no clock: the time is
+/// passed in and never decreases.
 #pragma once
 
 #include <cstddef>
@@ -11,28 +11,28 @@
 
 namespace wingproxy::fleet {
 
-/// The sender's incarnation compared with what is known of that host.
+/// How the incarnation in a message compares with the one known for its sender.
 enum class IncarnationStatus {
-    Known,  ///< the current one, or the first that was heard of
-    New,    ///< the host restarted: all leases of its earlier incarnation are over
+    Known,  ///< the current one, or the first one seen
+    New,    ///< the host restarted: all leases of its earlier incarnation have ended
     Stale,  ///< an earlier one: the message must be ignored
 };
 
-/// The current incarnation of every peer that was ever heard of; at most one entry for each host.
+/// The current incarnation of every peer from which a message was received; at most one entry per host.
 class PeerIncarnations {
 public:
-    /// A message of an earlier incarnation is ignored for so long after the newer one was last heard; later
-    /// it means that the peer's clock was set back.
+    /// How long after the last message of the current incarnation those of an earlier one are ignored. A
+    /// later one means that the peer restarted with its clock set back.
     static constexpr Micros kStaleIncarnationPeriod = 10'000'000;
 
-    /// Takes the incarnation that stands in a message of `peer`. A stale one changes nothing.
+    /// Records the incarnation in a message of `peer`. A stale one changes nothing.
     IncarnationStatus observe(HostIndex peer, Incarnation incarnation, Micros now);
-    /// Whether `incarnation` is the current one of `peer`; false for a peer that was never heard of.
+    /// Whether `incarnation` is the current one of `peer`; false for an unknown peer.
     [[nodiscard]] bool isCurrent(HostIndex peer, Incarnation incarnation) const;
-    /// Peers that were heard of.
+    /// Number of known peers.
     [[nodiscard]] std::size_t size() const { return peers_.size(); }
 
-    /// For the snapshot of a hot restart, which fixes the order and the types.
+    /// Serializes the snapshot of a hot restart, whose format fixes the order and types of the fields.
     template <typename Archive>
     void serialize(Archive& archive) {
         archive(peers_);
@@ -41,10 +41,10 @@
 private:
     struct Peer {
         Incarnation incarnation = 0;
-        Micros heardAt = 0;
+        Micros lastSeenAt = 0;
         template <typename Archive>
         void serialize(Archive& archive) {
-            archive(incarnation, heardAt);
+            archive(incarnation, lastSeenAt);
         }
     };
     std::map<HostIndex, Peer> peers_;
--- a/src/fleet/recovery_datagram.cpp
+++ b/src/fleet/recovery_datagram.cpp
@@ -8,13 +8,13 @@
 namespace wingproxy::fleet {
 namespace {
 
-constexpr unsigned char kFormat = 0xB1;
+constexpr unsigned char kFormatByte = 0xB1;
 constexpr std::size_t kSenderOffset = 1;
 constexpr std::size_t kTagOffset = 5;
 constexpr std::size_t kFieldsOffset = 6;
 constexpr std::size_t kFieldBytes = 4;
 
-/// The kinds of a datagram on the wire.
+/// Identifies the message of a datagram on the wire.
 enum class Tag : unsigned char { Query = 1, Reply = 2, ShutdownNotice = 3, ReplyWithNotice = 4 };
 
 void appendNumber(std::string& bytes, std::uint32_t value) {
@@ -34,7 +34,7 @@
 }
 
 std::string encode(Incarnation sender, Tag tag, std::initializer_list<std::uint32_t> fields) {
-    std::string bytes(1, static_cast<char>(kFormat));
+    std::string bytes(1, static_cast<char>(kFormatByte));
     appendNumber(bytes, sender);
     bytes += static_cast<char>(tag);
     for (const auto field : fields)
@@ -42,7 +42,7 @@
     return bytes;
 }
 
-/// Writes each kind of message with its tag.
+/// Encodes each message type with its tag.
 struct Encoder {
     Incarnation sender;
 
@@ -59,7 +59,7 @@
     }
 };
 
-/// The message of a datagram with this tag and number of fields; nothing where they do not belong together.
+/// Decodes the message of a datagram; empty if the number of fields is wrong for the tag.
 std::optional<RecoveryMessage> decodeMessage(const std::string& bytes, Tag tag, std::size_t fieldCount) {
     switch (tag) {
         case Tag::Query:
@@ -76,7 +76,7 @@
             return RecoveryReply{fieldAt(bytes, 0),
                                  EarlierNotice{fieldAt(bytes, 1), {fieldAt(bytes, 2), fieldAt(bytes, 3)}}};
     }
-    return {};  // a tag that this version does not know
+    return {};  // a tag unknown to this version
 }
 
 }  // namespace
@@ -86,7 +86,7 @@
 bool isBefore(std::uint32_t a, std::uint32_t b) { return static_cast<std::int32_t>(a - b) < 0; }
 
 bool isRecoveryDatagram(const std::string& bytes) {
-    return !bytes.empty() && static_cast<unsigned char>(bytes[0]) == kFormat;
+    return !bytes.empty() && static_cast<unsigned char>(bytes[0]) == kFormatByte;
 }
 
 std::string encode(const RecoveryDatagram& datagram) {
--- a/src/fleet/restart_recovery.cpp
+++ b/src/fleet/restart_recovery.cpp
@@ -5,11 +5,12 @@
 namespace wingproxy::fleet {
 namespace {
 
+/// The time of the last datagram before any was sent, so that the first one is due at once.
 constexpr Micros kLongAgo = -1'000'000'000'000'000;
 constexpr Micros kMicrosPerMilli = 1'000;
 constexpr int kMaxNoticeHolders = 3;
 
-/// The signed distance from one time of a datagram to another.
+/// The signed distance from one wire time to another, in milliseconds modulo 2^32.
 std::int32_t millisBetween(WireMillis from, WireMillis to) { return static_cast<std::int32_t>(to - from); }
 
 }  // namespace
@@ -21,7 +22,7 @@
       lastQueryAt_(kLongAgo),
       lastQueryToAllAt_(kLongAgo),
       lastNoticeAt_(kLongAgo),
-      incarnation_(toWireMillis(startedAt) | 1u),  // never 0, which names none
+      incarnation_(toWireMillis(startedAt) | 1u),  // never 0, which means none
       queriesAll_(options.hostCount <= kSmallFleet),
       cause_(options.hostCount > 1 ? RecoveryCause::LeaseExpired : RecoveryCause::AllPeersReplied) {}
 
@@ -49,12 +50,12 @@
 
 bool RestartRecovery::mayLend(Micros now) const {
     if (!isRecovered(now)) return false;
-    const bool leaseOutlastsShutdown = servesUntil_ != 0 && now + options_.leaseDuration > servesUntil_;
+    const bool leaseOutlastsShutdown = lastLeaseEnd_ != 0 && now + options_.leaseDuration > lastLeaseEnd_;
     return !leaseOutlastsShutdown && noticeHoldersKnowIncarnation(now);
 }
 
 void RestartRecovery::startShutdown(Micros until, Micros now) {
-    servesUntil_ = std::max(until, now + options_.leaseDuration);
+    lastLeaseEnd_ = std::max(until, now + options_.leaseDuration);
 }
 
 void RestartRecovery::recoverAt(Micros at, RecoveryCause cause) {
@@ -95,8 +96,8 @@
     if (result.status == IncarnationStatus::Stale) return result;
     if (std::holds_alternative<RecoveryQuery>(datagram->message)) {
         result.replies.push_back(datagramTo(from, replyTo(from, datagram->sender)));
-        // The sender has just started and may have missed this host's query; it is asked once more for each
-        // of its incarnations.
+        // The sender has just started and may have missed this host's query, so it is queried again, once per
+        // incarnation.
         if (isFirstContact && needsReplyOf(from, now))
             result.replies.push_back(datagramTo(from, RecoveryQuery{}));
     } else if (const auto* notice = std::get_if<ShutdownNotice>(&datagram->message)) {
@@ -127,9 +128,9 @@
     if (repliedPeers_.size() >= peerCount) recoverAt(now, RecoveryCause::AllPeersReplied);
     const auto earlier = reply.earlierNotice.value_or(EarlierNotice{});
     const auto ageMs = millisBetween(earlier.notice.sentMs, toWireMillis(now));
-    const bool counts =
+    const bool isValid =
         earlier.incarnation != 0 && ageMs >= 0 && Micros(ageMs) * kMicrosPerMilli < kNoticeRetention;
-    if (counts) {
+    if (isValid) {
         const auto leftMs = millisBetween(toWireMillis(now), earlier.notice.leasesExpiredMs);
         recoverAt(now + std::max(0, leftMs) * kMicrosPerMilli, RecoveryCause::ShutdownNotice);
     } else if (isNoticeHolder(from)) {
@@ -141,14 +142,15 @@
 
 std::vector<OutgoingDatagram> RestartRecovery::dueDatagrams(Micros now) {
     if (!options_.mayGossip || options_.hostCount < 2) return {};
-    return servesUntil_ != 0 ? dueNotices(now) : dueQueries(now);
+    return lastLeaseEnd_ != 0 ? dueNotices(now) : dueQueries(now);
 }
 
 std::vector<OutgoingDatagram> RestartRecovery::dueNotices(Micros now) {
     if (now - lastNoticeAt_ < kQueryInterval) return {};
     lastNoticeAt_ = now;
-    // Leases of the incarnation before this one may outlast its own. Rounded up to whole milliseconds.
-    const Micros leasesExpired = std::max(servesUntil_, recoveredAt_);
+    // Leases of an earlier incarnation, which have ended by recoveredAt_, may outlast those of this one. The
+    // time is rounded up to whole milliseconds.
+    const Micros leasesExpired = std::max(lastLeaseEnd_, recoveredAt_);
     const ShutdownNotice notice{toWireMillis(now), toWireMillis(leasesExpired) + 1};
     std::vector<OutgoingDatagram> due;
     for (const HostIndex host : noticeHolders())
@@ -156,10 +158,10 @@
     return due;
 }
 
-/// Everyone is asked where the notice holders cannot help; the notice holders also after that, until they
-/// know of this incarnation, so that no later one goes by a notice from before it.
+/// All peers are queried as long as `queriesAllPeers` holds. The notice holders are also queried after the
+/// recovery, until they know of this incarnation, so that no later one relies on a notice from before it.
 std::vector<OutgoingDatagram> RestartRecovery::dueQueries(Micros now) {
-    const bool toAll = queriesEveryone(now) && now - lastQueryToAllAt_ >= kQueryInterval;
+    const bool toAll = queriesAllPeers(now) && now - lastQueryToAllAt_ >= kQueryInterval;
     const bool toHolders = now - lastQueryAt_ >= kQueryInterval && !noticeHoldersKnowIncarnation(now);
     if (!toAll && !toHolders) return {};
     if (toAll) lastQueryToAllAt_ = now;
@@ -174,7 +176,7 @@
     return due;
 }
 
-bool RestartRecovery::queriesEveryone(Micros now) const {
+bool RestartRecovery::queriesAllPeers(Micros now) const {
     if (isRecovered(now) || cause_ == RecoveryCause::ShutdownNotice) return false;
     return queriesAll_ || now - startedAt_ >= kNoticeHoldersOnlyPeriod;
 }
--- a/src/fleet/restart_recovery.h
+++ b/src/fleet/restart_recovery.h
@@ -1,14 +1,14 @@
 /// \file
-/// Which leases a restarted host may spend and grant, and how it learns that sooner than by waiting until
-/// every lease has expired. No I/O and no clock: the time is passed in and never falls.
+/// Determines which leases a restarted host may spend and grant, usually sooner than after the longest lease
+/// duration. No I/O and no clock: the time is passed in and never decreases.
 ///
 /// A host grants its peers leases on chunks of its limits. After a restart it does not know the leases that
-/// its earlier incarnation granted. It has *recovered*, so that it may spend all its chunks, when
+/// its earlier incarnation granted. It has *recovered*, and may spend all its chunks, once
 ///  - all peers have replied that they hold no lease of an earlier incarnation,
-///  - the longest lease has passed since the start, or
-///  - the time has passed that the earlier incarnation named in its shutdown notice.
+///  - the longest lease duration has passed since the start, or
+///  - the time given in the shutdown notice of the earlier incarnation has passed.
 /// During a graceful shutdown a host sends that notice to a few peers, its *notice holders*, which return it
-/// to the next incarnation. docs/fleet.md has the proof that no chunk is ever with two hosts.
+/// to the next incarnation. docs/fleet.md proves that no chunk is ever held by two hosts.
 #pragma once
 
 #include <cstddef>
@@ -24,98 +24,101 @@
 
 namespace wingproxy::fleet {
 
-/// A datagram that the caller must send.
+/// A datagram for the caller to send.
 struct OutgoingDatagram {
     HostIndex to;
     std::string bytes;
 };
 
-/// The recovery of one host after its start, and its part in that of its peers. Owns what it knows of the
-/// incarnations of the peers and the shutdown notices that it stores for them.
+/// Runs the recovery of this host after its start, and answers the queries of recovering peers. Owns the
+/// known incarnations of the peers and the shutdown notices stored for them.
 ///
-/// A value type: copying it copies the whole state. Not thread-safe.
+/// A value type: a copy has its own state. Not thread-safe.
 class RestartRecovery {
 public:
-    /// A shutdown notice counts until it is this old. For as long after its start a host grants no lease
-    /// while a notice holder has not replied, as that holder might return an older notice to a later
-    /// incarnation.
+    /// How long a shutdown notice is valid after it was sent. For the same time after its start, a host
+    /// grants no lease until all its notice holders have replied: one that has not might return an older
+    /// notice to a later incarnation.
     static constexpr Micros kNoticeRetention = 10'000'000;
-    /// Between two queries, or two notices, to the same host. A lease of 2 s leaves time for three repeats.
+    /// Interval between queries, or notices, to the same host. It allows three repeats within a lease of 2 s.
     static constexpr Micros kQueryInterval = 500'000;
-    /// After its start a host asks only the notice holders for so long, and then everyone: more than a round
-    /// trip within a site.
+    /// How long after its start a host queries only its notice holders; after that it queries all peers.
+    /// Longer than a round trip within a site.
     static constexpr Micros kNoticeHoldersOnlyPeriod = 50'000;
-    /// Up to this number of hosts, all peers are asked at once.
+    /// Fleets of up to this number of hosts query all peers from the start.
     static constexpr int kSmallFleet = 8;
 
-    /// What is fixed for one run of a host.
+    /// Options that are fixed for one run of a host.
     struct Options {
-        HostIndex hostIndex{0};    ///< of this host
-        int hostCount = 1;         ///< of the fleet, this host included
-        Micros leaseDuration = 0;  ///< the longest lease on a chunk
-        bool mayGossip = true;     ///< hosts may send each other messages
+        HostIndex hostIndex{0};    ///< index of this host
+        int hostCount = 1;         ///< hosts of the fleet, this one included
+        Micros leaseDuration = 0;  ///< longest duration of a lease on a chunk
+        bool mayGossip = true;     ///< whether hosts may send each other messages
     };
-    /// Counted since the start of the process. They are not in the snapshot of a hot restart.
+    /// Counters since the start of the process. They are not part of the snapshot of a hot restart.
     struct Counters {
-        std::uint64_t stale = 0;            ///< messages of an earlier incarnation, which changed nothing
-        std::uint64_t malformed = 0;        ///< datagrams that could not be read, which changed nothing
-        std::uint64_t newIncarnations = 0;  ///< restarts of peers that were observed
-        std::uint64_t storedNotices = 0;    ///< shutdown notices stored here for peers
+        std::uint64_t stale = 0;            ///< ignored messages of an earlier incarnation of a peer
+        std::uint64_t malformed = 0;        ///< ignored datagrams that were malformed or came from no peer
+        std::uint64_t newIncarnations = 0;  ///< observed restarts of peers
+        std::uint64_t storedNotices = 0;    ///< incarnations of peers whose shutdown notice was stored here
     };
-    /// What made it certain that no lease of an earlier incarnation is out.
+    /// What established that no peer holds a lease of an earlier incarnation.
     enum class RecoveryCause {
         NotRecovered,     ///< nothing yet
-        ShutdownNotice,   ///< the time that the earlier incarnation named in its notice
-        AllPeersReplied,  ///< no peer holds a lease of it
-        LeaseExpired,     ///< the longest lease has passed since the start
+        ShutdownNotice,   ///< the time in the earlier incarnation's notice passed
+        AllPeersReplied,  ///< all peers replied that they hold none
+        LeaseExpired,     ///< the longest lease duration passed since the start
     };
 
-    /// A host that is alone.
+    /// A host without peers.
     RestartRecovery() = default;
-    /// \param startedAt the start of this run, by this machine's clock, which later calls go on with; the
+    /// \param startedAt the start of this run, by the same clock as the times of later calls; the
     ///        incarnation is derived from it
     RestartRecovery(const Options& options, Micros startedAt);
 
-    /// This run of the host. A later run has a higher number unless the machine's clock is set back.
+    /// The incarnation of this run. A later run has a higher number unless the machine's clock is set back.
     [[nodiscard]] Incarnation incarnation() const { return incarnation_; }
     /// Counts a datagram that is neither of this protocol nor of the policy's gossip.
     void countMalformed() { ++counters_.malformed; }
 
-    /// What a received datagram led to.
+    /// The result of handling a datagram.
     struct DatagramResult {
-        IncarnationStatus status = IncarnationStatus::Stale;  ///< of its sender; Stale also if malformed
-        std::vector<OutgoingDatagram> replies;                ///< to be sent in this order
+        IncarnationStatus status = IncarnationStatus::Stale;  ///< of the sender; Stale also if malformed
+        std::vector<OutgoingDatagram> replies;                ///< to be sent by the caller, in this order
     };
     /// Handles a datagram for which `isRecoveryDatagram` holds. One that is malformed or comes from no peer
-    /// is counted and changes nothing. \param from the sender's host index, as the transport reports it
+    /// is counted and otherwise ignored.
+    /// \param from the sender's host index, as the transport reports it
     DatagramResult handleDatagram(HostIndex from, const std::string& bytes, Micros now);
-    /// Notes the incarnation that stands in any message of a peer.
+    /// Records the incarnation given in a message of a peer, of this protocol or another.
     IncarnationStatus observeIncarnation(HostIndex from, Incarnation incarnation, Micros now);
-    /// The queries and shutdown notices that are due; to be called a few times a second.
+    /// Returns the queries or shutdown notices that are due. To be called a few times a second.
     std::vector<OutgoingDatagram> dueDatagrams(Micros now);
 
     /// Whether this host may spend all its own chunks.
     [[nodiscard]] bool isRecovered(Micros now) const { return now >= recoveredAt_; }
     /// Whether this host may grant a lease of the longest duration.
     [[nodiscard]] bool mayLend(Micros now) const;
-    /// What the end of the recovery goes back to, as far as is known now: `LeaseExpired` until a reply brings
-    /// it forward. It holds once `isRecovered` does.
+    /// The reason of the recovery, final once `isRecovered` returns true. Before that it is the reason of the
+    /// earliest recovery known so far: `LeaseExpired` until a reply allows an earlier one.
     [[nodiscard]] RecoveryCause recoveryCause() const { return cause_; }
-    /// Begins a graceful shutdown: the notice holders are notified, and no lease is granted beyond `until`,
-    /// or beyond those that may be out at `now`, whichever is later.
+    /// Begins a graceful shutdown: from now on `dueDatagrams` notifies the notice holders, and no lease is
+    /// granted that ends after `until` or after a lease granted at `now` would, whichever is later.
     void startShutdown(Micros until, Micros now);
-    /// Valid as long as this object.
+    /// The reference is valid as long as this object.
     [[nodiscard]] const Counters& counters() const { return counters_; }
-    /// Entries of all tables, for the check that none grows without bound; two for each host at the most.
+    /// Number of entries in the tables of incarnations and notices, to check that they are bounded: at most
+    /// two per host.
     [[nodiscard]] std::size_t tableEntries() const { return peers_.size() + notices_.size(); }
-    /// The peers that store this host's shutdown notice: three at the most, spread over the host indices.
+    /// The peers that store this host's shutdown notice: at most three, spread over the host indices.
     [[nodiscard]] std::vector<HostIndex> noticeHolders() const;
 
-    /// For the snapshot of a hot restart, which fixes the order and the types; counters are not in it.
+    /// Serializes the snapshot of a hot restart, whose format fixes the order and types of the fields.
+    /// Counters are not included.
     template <typename Archive>
     void serialize(Archive& archive) {
         archive(options_.hostIndex, options_.hostCount, options_.leaseDuration, options_.mayGossip,
-                startedAt_, recoveredAt_, lastQueryAt_, lastQueryToAllAt_, lastNoticeAt_, servesUntil_,
+                startedAt_, recoveredAt_, lastQueryAt_, lastQueryToAllAt_, lastNoticeAt_, lastLeaseEnd_,
                 incarnation_, queriesAll_, cause_, peers_, repliedPeers_, notices_);
     }
 
@@ -123,12 +126,14 @@
     void handle(HostIndex from, Incarnation sender, const ShutdownNotice& notice);
     void handle(HostIndex from, const RecoveryReply& reply, Micros now);
     [[nodiscard]] RecoveryReply replyTo(HostIndex from, Incarnation sender) const;
-    /// Whether a reply of `peer` is still missing that would let this host spend or lend sooner.
+    /// Whether a reply that is still missing from `peer` would let this host spend or lend sooner.
     [[nodiscard]] bool needsReplyOf(HostIndex peer, Micros now) const;
 
     std::vector<OutgoingDatagram> dueNotices(Micros now);
     std::vector<OutgoingDatagram> dueQueries(Micros now);
-    [[nodiscard]] bool queriesEveryone(Micros now) const;
+    /// Whether all peers must be queried, as the notice holders have no valid notice or did not reply in
+    /// time.
+    [[nodiscard]] bool queriesAllPeers(Micros now) const;
     [[nodiscard]] OutgoingDatagram datagramTo(HostIndex host, const RecoveryMessage& message) const;
 
     void recoverAt(Micros at, RecoveryCause cause);
@@ -142,12 +147,12 @@
     Micros lastQueryAt_ = 0;
     Micros lastQueryToAllAt_ = 0;
     Micros lastNoticeAt_ = 0;
-    Micros servesUntil_ = 0;  // 0: no shutdown has begun
+    Micros lastLeaseEnd_ = 0;  // no lease is granted beyond it; 0: no shutdown has begun
     Incarnation incarnation_ = 0;
-    bool queriesAll_ = false;  // the notice holders cannot help: all peers are asked
+    bool queriesAll_ = false;  // a notice holder has no valid notice, or the fleet is small: all are queried
     RecoveryCause cause_ = RecoveryCause::NotRecovered;
     PeerIncarnations peers_;
-    std::set<HostIndex> repliedPeers_;  // they hold no lease of an earlier incarnation
+    std::set<HostIndex> repliedPeers_;  // peers that hold no lease of an earlier incarnation
     ShutdownNoticeStore notices_;
     Counters counters_;
 };
