--- a/tests/core/endpoint_table_test.cpp
+++ b/tests/core/endpoint_table_test.cpp
@@ -18,12 +18,12 @@
 constexpr Micros kSlowStart = 10 * kSecond;
 
 /// A table that lists n0 as ready.
-struct ListedNode {
-    ListedNode() { update(node("n0", 0), kStart); }
+struct TableWithNode {
+    TableWithNode() { update(node("n0", 0), kStart); }
     NodeInfo update(const NodeInfo& changed, Micros now) {
         return table.update(nodes({changed}, EndpointListKind::Delta), now).nodes.at(0);
     }
-    std::optional<NodeInfo> override(bool drained, Micros at) {
+    std::optional<NodeInfo> setOverride(bool drained, Micros at) {
         return table.update(AdminOverrideChanged{"n0", {drained, at}}, at);
     }
     EndpointTable table{kSlowStart};
@@ -39,7 +39,7 @@
     CHECK(table.find("n1") == nullptr);
 }
 
-TEST_CASE("endpoint table: a complete list replaces the one before") {
+TEST_CASE("endpoint table: a full or cached list replaces the previous one") {
     for (const auto kind : {EndpointListKind::Full, EndpointListKind::Cached}) {
         EndpointTable table(kSlowStart);
         (void)table.update(nodes({node("n0", 0), node("n1", 1)}), kStart);
@@ -49,30 +49,30 @@
     }
 }
 
-TEST_CASE("endpoint table: a list that did not come changes nothing") {
-    ListedNode listed;
-    (void)listed.table.update(nodes({}, EndpointListKind::Unavailable), kStart);
-    CHECK(listed.table.find("n0") != nullptr);
+TEST_CASE("endpoint table: an unavailable list changes nothing") {
+    TableWithNode fixture;
+    (void)fixture.table.update(nodes({}, EndpointListKind::Unavailable), kStart);
+    CHECK(fixture.table.find("n0") != nullptr);
 }
 
-TEST_CASE("endpoint table: a drain counts from when it was first read, and ends with it") {
-    ListedNode listed;
-    CHECK(!listed.table.drainingSince("n0"));
-    listed.update(node("n0", 0, NodeState::Draining), kStart + 1);
-    listed.update(node("n0", 0, NodeState::Draining), kStart + 2);
-    CHECK(listed.table.drainingSince("n0") == kStart + 1);
-    listed.update(node("n0", 0), kStart + 3);
-    CHECK(!listed.table.drainingSince("n0"));
+TEST_CASE("endpoint table: a drain is dated from when it was first read until it ends") {
+    TableWithNode fixture;
+    CHECK(!fixture.table.drainingSince("n0"));
+    fixture.update(node("n0", 0, NodeState::Draining), kStart + 1);
+    fixture.update(node("n0", 0, NodeState::Draining), kStart + 2);
+    CHECK(fixture.table.drainingSince("n0") == kStart + 1);
+    fixture.update(node("n0", 0), kStart + 3);
+    CHECK(!fixture.table.drainingSince("n0"));
 }
 
 TEST_CASE("endpoint table: a node that was removed stays ever-listed") {
-    ListedNode listed;
-    listed.update(node("n0", 0, NodeState::Removed), kStart);
-    CHECK(listed.table.everListed("n0"));
-    CHECK(!listed.table.everListed("n9"));
+    TableWithNode fixture;
+    fixture.update(node("n0", 0, NodeState::Removed), kStart);
+    CHECK(fixture.table.everListed("n0"));
+    CHECK(!fixture.table.everListed("n9"));
 }
 
-TEST_CASE("endpoint table: of the ever-listed ids the oldest are dropped first") {
+TEST_CASE("endpoint table: the oldest ever-listed ids are dropped first") {
     EndpointTable table(kSlowStart);
     for (std::size_t i = 0; i <= EndpointTable::kMaxEverListed; ++i)
         (void)table.update(nodes({node(std::string("n").append(std::to_string(i)), 0)}), kStart);
@@ -81,58 +81,58 @@
 }
 
 TEST_CASE("endpoint table: a node under an administrative drain is draining in every list") {
-    ListedNode listed;
-    const auto changed = listed.override(true, kStart);
+    TableWithNode fixture;
+    const auto changed = fixture.setOverride(true, kStart);
     REQUIRE(changed);
     CHECK(changed->state == NodeState::Draining);
-    CHECK(listed.table.drainingSince("n0") == kStart);
-    CHECK(listed.table.adminDrainedNodes() == 1);
-    CHECK(listed.update(node("n0", 0), kStart + 1).state == NodeState::Draining);
-    CHECK(listed.update(node("n0", 0, NodeState::Removed), kStart + 2).state == NodeState::Removed);
+    CHECK(fixture.table.drainingSince("n0") == kStart);
+    CHECK(fixture.table.adminDrainedNodes() == 1);
+    CHECK(fixture.update(node("n0", 0), kStart + 1).state == NodeState::Draining);
+    CHECK(fixture.update(node("n0", 0, NodeState::Removed), kStart + 2).state == NodeState::Removed);
 }
 
-TEST_CASE("endpoint table: a node whose administrative drain ended has started then, or later by the list") {
-    ListedNode listed;
-    listed.override(true, kStart);
-    const auto changed = listed.override(false, kStart + kSecond);
+TEST_CASE("endpoint table: a node starts when its administrative drain ends, or later if the list says so") {
+    TableWithNode fixture;
+    fixture.setOverride(true, kStart);
+    const auto changed = fixture.setOverride(false, kStart + kSecond);
     REQUIRE(changed);
     CHECK(changed->state == NodeState::Ready);
     CHECK(changed->startedUs == kStart + kSecond);
     const Micros later = kStart + 2 * kSecond;
-    CHECK(listed.update(node("n0", 0, NodeState::Ready, later), later).startedUs == later);
+    CHECK(fixture.update(node("n0", 0, NodeState::Ready, later), later).startedUs == later);
 }
 
-TEST_CASE("endpoint table: of two overrides the later one counts") {
-    ListedNode listed;
-    listed.override(true, kStart + 2);
-    CHECK(!listed.override(false, kStart + 1));
-    CHECK(!listed.override(false, kStart + 2));
-    CHECK(listed.override(false, kStart + 3));
+TEST_CASE("endpoint table: of two overrides the later one applies") {
+    TableWithNode fixture;
+    fixture.setOverride(true, kStart + 2);
+    CHECK(!fixture.setOverride(false, kStart + 1));
+    CHECK(!fixture.setOverride(false, kStart + 2));
+    CHECK(fixture.setOverride(false, kStart + 3));
 }
 
-TEST_CASE("endpoint table: an override of a node that is not listed applies once a list names it") {
+TEST_CASE("endpoint table: an override of an unlisted node applies when a list names the node") {
     EndpointTable table(kSlowStart);
     CHECK(!table.update(AdminOverrideChanged{"n0", {true, kStart}}, kStart));
     CHECK(table.overrides().contains("n0"));
     CHECK(table.update(nodes({node("n0", 0)}), kStart).nodes.at(0).state == NodeState::Draining);
 }
 
-TEST_CASE("endpoint table: an ended administrative drain is kept for slow start and a minute more") {
-    ListedNode listed;
-    listed.override(true, kStart);
-    listed.override(false, kStart + 1);
+TEST_CASE("endpoint table: an ended administrative drain is kept for 60 s after slow start") {
+    TableWithNode fixture;
+    fixture.setOverride(true, kStart);
+    fixture.setOverride(false, kStart + 1);
     const Micros kept = kStart + 1 + kSlowStart + 60 * kSecond;
-    listed.update(node("n0", 0), kept);
-    CHECK(listed.table.overrides().size() == 1);
-    listed.update(node("n0", 0), kept + 1);
-    CHECK(listed.table.overrides().empty());
+    fixture.update(node("n0", 0), kept);
+    CHECK(fixture.table.overrides().size() == 1);
+    fixture.update(node("n0", 0), kept + 1);
+    CHECK(fixture.table.overrides().empty());
 }
 
-TEST_CASE("endpoint table: a snapshot has the list as discovery reported it, drains and ever-listed ids") {
-    ListedNode listed;
-    listed.override(true, kStart);
+TEST_CASE("endpoint table: a snapshot holds the reported list, the drains and the ever-listed ids") {
+    TableWithNode fixture;
+    fixture.setOverride(true, kStart);
     StateSnapshot snapshot;
-    listed.table.saveTo(snapshot);
+    fixture.table.saveTo(snapshot);
     REQUIRE(snapshot.endpoints.size() == 1);
     CHECK(snapshot.endpoints[0].state == NodeState::Ready);
     CHECK(snapshot.drainingSince.at("n0") == kStart);
--- a/tests/core/reducer_fixture.h
+++ b/tests/core/reducer_fixture.h
@@ -1,5 +1,5 @@
 /// \file
-/// A front's state without sockets and without a clock, for tests of the reducer: one input at a time.
+/// A front's state without sockets or a clock, for tests of the reducer that put in one input at a time.
 #pragma once
 
 #include <utility>
@@ -10,7 +10,7 @@
 
 namespace wingproxy::test {
 
-/// Puts in one input and the end of its batch.
+/// Puts in one input and ends its batch.
 inline core::Effects reduceBatch(core::FrontState& state, Micros now, core::Input input) {
     auto effects = core::reduce(state, now, std::move(input));
     for (auto& effect : core::reduce(state, now, core::BatchEnded{}))
@@ -27,7 +27,7 @@
     return found;
 }
 
-/// An attempt's result without a load report.
+/// The result of an attempt, without a load report.
 inline core::AttemptFinished finished(RequestId id, AttemptIndex attempt, Outcome outcome) {
     return {id, attempt, outcome, 0, 0, {}};
 }
--- a/tests/core/reducer_scale_test.cpp
+++ b/tests/core/reducer_scale_test.cpp
@@ -1,4 +1,5 @@
-// The reducer over long days and in large fleets: its tables stay bounded, its messages follow the work.
+// The reducer over a long time and in large fleets: its tables stay bounded, and the number of messages that
+// it sends depends on the number of requests.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -10,8 +11,8 @@
 using namespace wingproxy::core;
 using namespace wingproxy::test;
 
-// Nodes are replaced under new ids, volumes and clients are always new, and some clients allow an hour.
-TEST_CASE("reducer at scale: over a long day no table keeps what is gone") {
+// Nodes are replaced by nodes with new ids, each request is for a new volume, and clients allow an hour.
+TEST_CASE("reducer at scale: entries of removed nodes, old volumes and ended requests are dropped") {
     ReducerFixture front;
     std::size_t entriesEarly = 0;
     for (RequestId id = 1; id <= 6'000; ++id) {
@@ -46,7 +47,7 @@
     return large;
 }
 
-/// One of 300 fronts, which hears nothing of the others.
+/// One of 300 fronts, which receives no messages from the others.
 struct LargeFleetFront {
     LargeFleetFront() : state(settingsOfLargeFleet(), AttemptLimits{250 * kMs}, kStart) {
         std::vector<NodeInfo> list;
@@ -64,7 +65,7 @@
         }
         return effects;
     }
-    /// Returns how many times a timer woke the front.
+    /// Expires timers until then. Returns how many times the front woke up.
     std::size_t runTo(Micros until) {
         std::size_t wakeUps = 0;
         for (; state.nextWake() <= until; ++wakeUps) {
@@ -74,14 +75,14 @@
         now = until;
         return wakeUps;
     }
-    /// The recovery after the start ends within 11 s.
+    /// Runs for 11 s, within which the recovery after the start ends.
     void runThroughRecovery() {
         runTo(now + 11'000 * kMs);
         messagesInRecovery = messagesSent;
         messagesSent = 0;
         bytesSent = 0;
     }
-    /// Requests over all nodes and volumes, each answered after 2 ms.
+    /// Sends requests that are spread over all nodes and volumes, each answered after 2 ms.
     void serveRequests() {
         for (RequestId id = 1; id <= kRequests; ++id) {
             auto received = request(id, 0, int(id % 2), now, 2, int(id * 7 % kNodes), 3);
@@ -103,25 +104,24 @@
 
 }  // namespace
 
-// Queries to silent peers, every 0.5 s: to all for 2 s, to the three notice holders for 10 s.
-TEST_CASE("reducer at scale: a start queries silent peers only until leases have expired") {
+// Peers that do not reply are queried every 0.5 s: all of them for 2 s, the three notice holders for 10 s.
+TEST_CASE("reducer at scale: after a start all silent peers are queried only until leases have expired") {
     LargeFleetFront front;
     front.runThroughRecovery();
     CHECK(front.messagesInRecovery <= 4 * (kHosts - 1) + 3 * 21);
 }
 
-TEST_CASE(
-    "reducer at scale: an idle front sends nothing and wakes up once a tick, however many nodes there are") {
+TEST_CASE("reducer at scale: an idle front of 200 nodes sends nothing and wakes up once per tick") {
     LargeFleetFront front;
     front.runThroughRecovery();
     CHECK(front.runTo(front.now + 1'000 * kMs) <= 101);
     CHECK(front.messagesSent == 0);
 }
 
-// What is harmless in one of 4 fronts must be so in one of 300 with 200 nodes: what a front stores and sends
-// follows the requests that it gets, not the size of the fleet. At most 256 bytes a request, three entries
-// for each node and volume, and two for each request in flight.
-TEST_CASE("reducer at scale: state and messages of one of 300 fronts follow its requests") {
+// Guards against costs that grow with the size of the fleet: what a front stores and sends depends on the
+// requests that it gets, also as one of 300 fronts with 200 nodes. Bounds: 256 bytes sent per request, three
+// table entries per node and volume, and two per request in flight.
+TEST_CASE("reducer at scale: state and messages of one of 300 fronts depend on its requests alone") {
     LargeFleetFront front;
     front.runThroughRecovery();
     front.runTo(front.now + 1'000 * kMs);
--- a/tests/core/reducer_test.cpp
+++ b/tests/core/reducer_test.cpp
@@ -1,4 +1,4 @@
-// The reducer alone: how requests, attempts, timers and the endpoint list act together.
+// The reducer as a whole: how requests, attempts, timers and the endpoint list interact.
 #include "core/reducer.h"
 
 #include <doctest/doctest.h>
@@ -9,7 +9,7 @@
 using namespace wingproxy::core;
 using namespace wingproxy::test;
 
-TEST_CASE("reducer: the first successful attempt gives the final answer, and only once") {
+TEST_CASE("reducer: the first successful attempt is delivered as the final answer, and only once") {
     ReducerFixture front;
     const auto starts = effectsOf<StartAttempt>(front.receive(1));
     REQUIRE(starts.size() == 1);
@@ -44,7 +44,7 @@
     CHECK(total.rejected + total.failed == 1);  // exactly one final answer
 }
 
-TEST_CASE("reducer: a time-out stops the attempt, and its late result is dropped") {
+TEST_CASE("reducer: a time-out stops the attempt, and its late result is only counted") {
     ReducerFixture front;
     front.receive(1, 0, 300 * kMs);
     const auto effects = front.expireTimersAt(front.now + 300 * kMs);
@@ -65,7 +65,7 @@
     CHECK(effectsOf<SendFailure>(effects).size() == 1);
 }
 
-TEST_CASE("reducer: an attempt that is complete at its node runs on after its client disconnected") {
+TEST_CASE("reducer: an attempt whose request was sent completely continues after its client disconnected") {
     ReducerFixture front;
     front.receive(1);
     front.put(AttemptRequestSent{1, AttemptIndex(0)});
@@ -78,7 +78,8 @@
     CHECK(front.state.counters().disconnected == 1);
 }
 
-TEST_CASE("reducer: an attempt that is not complete at its node is stopped when its client disconnects") {
+TEST_CASE(
+    "reducer: an attempt whose request was not sent completely is stopped when its client disconnects") {
     ReducerFixture front;
     front.receive(1);
     const auto effects = front.put(ClientDisconnected{1});
@@ -87,7 +88,7 @@
     CHECK(front.state.counters().outcomes[std::size_t(Outcome::Cancelled)] == 1);
 }
 
-TEST_CASE("reducer: a response that breaks while it is forwarded is a final failure") {
+TEST_CASE("reducer: a response that breaks off while it is forwarded is a final failure") {
     ReducerFixture front;
     front.receive(1);
     front.put(ResponseForwardingStarted{1, AttemptIndex(0)});
@@ -98,7 +99,7 @@
     CHECK(effectsOf<StartAttempt>(front.expireTimersAt(front.now + 500 * kMs)).empty());
 }
 
-TEST_CASE("reducer: an unbounded response that is forwarded has no deadline") {
+TEST_CASE("reducer: an unbounded response has no deadline once it is forwarded") {
     ReducerFixture front;
     front.receive(1, 0, 300 * kMs);
     front.put(ResponseForwardingStarted{1, AttemptIndex(0), true});
@@ -107,7 +108,7 @@
     CHECK(effectsOf<DeliverResponse>(front.put(finished(1, 0, Outcome::Ok))).size() == 1);
 }
 
-TEST_CASE("reducer: the deadline of a request is counted anew from the end of its body") {
+TEST_CASE("reducer: a request gets a new deadline when its body is complete") {
     ReducerFixture front;
     auto received = request(1, 0, 1, front.now);
     received.bodyIncomplete = true;
@@ -120,14 +121,14 @@
     CHECK(effectsOf<StopAttempt>(front.expireTimersAt(deadline)).size() == 1);
 }
 
-TEST_CASE("reducer: an attempt may write its first byte only well within the drain grace") {
+TEST_CASE("reducer: an attempt must write its first byte within half of the drain grace") {
     ReducerFixture front;
     const auto start = effectsOf<StartAttempt>(front.receive(1)).at(0);
     CHECK(start.firstByteBy - front.now <= settings().drainGraceUs / 2);
     CHECK(start.timeoutAt == front.now + 2'000 * kMs);
 }
 
-TEST_CASE("reducer: the drain grace of a node counts from when its drain was first read") {
+TEST_CASE("reducer: the drain grace of a node starts when its drain was first read") {
     ReducerFixture front;
     const auto drainRead = front.now;
     front.list(node("n0", 0, NodeState::Draining));
@@ -149,7 +150,7 @@
     }
 }
 
-TEST_CASE("reducer: a node under an administrative drain gets no requests, whatever list comes") {
+TEST_CASE("reducer: a node under an administrative drain gets no requests, whatever endpoint lists say") {
     ReducerFixture front;
     front.put(AdminOverrideChanged{"n0", {true, front.now}});
     front.put(AdminOverrideChanged{"n0", {true, front.now}});
@@ -163,7 +164,7 @@
     CHECK(effectsOf<StartAttempt>(front.receive(1)).empty());
 }
 
-TEST_CASE("reducer: a node whose administrative drain ended starts slowly") {
+TEST_CASE("reducer: a node whose administrative drain ended is in slow start") {
     ReducerFixture front;
     front.put(AdminOverrideChanged{"n0", {true, front.now}});
     front.now += 2'000 * kMs;
@@ -171,20 +172,20 @@
     front.put(AdminOverrideChanged{"n0", {false, front.now}});
     CHECK(front.state.avoidedNodes() == 0);
     CHECK(effectsOf<StartAttempt>(front.receive(2)).size() == 1);
-    // The units that any starting node completes in one window, at 2 units a request.
+    // At 2 units per request, no more than the units that a node in slow start completes within one window.
     std::size_t sent = 0;
     for (RequestId id = 10; id < 60; ++id)
         sent += effectsOf<StartAttempt>(front.receive(id)).size();
     CHECK(sent * 2 <= 12);
 }
 
-TEST_CASE("reducer: an input stamped earlier than the last one counts as made at the same time") {
+TEST_CASE("reducer: an input with a time before that of the last input is handled at the last time") {
     ReducerFixture front;
     front.now -= 5 * kMs;
     CHECK(effectsOf<StartAttempt>(front.receive(1)).size() == 1);
 }
 
-TEST_CASE("reducer: a successor has the draining nodes, the ever-listed ids and the policy's state") {
+TEST_CASE("reducer: a snapshot restores the draining nodes, the ever-listed ids and the policy's state") {
     ReducerFixture front;
     front.list(node("n0", 0, NodeState::Draining));
     front.list(node("n9", 0));
@@ -198,7 +199,8 @@
     CHECK(!successor.everListed("n8"));
 }
 
-TEST_CASE("reducer: a snapshot whose policy part is damaged is rejected, and the rest is in force") {
+TEST_CASE(
+    "reducer: of a snapshot with a damaged policy part the rest is restored, and restore returns false") {
     ReducerFixture front;
     auto snapshot = takeSnapshot(front.state, front.now);
     snapshot.policySnapshot = "damaged";
--- a/tests/core/request_table_test.cpp
+++ b/tests/core/request_table_test.cpp
@@ -8,7 +8,7 @@
 using namespace wingproxy::core;
 using test::kStart;
 
-TEST_CASE("request table: a request is added with the figures of its head") {
+TEST_CASE("request table: a request is added with the fields of its head") {
     RequestTable table;
     auto received = test::request(1, 2, 0, kStart, 2, 5);
     received.bodyIncomplete = true;
@@ -30,7 +30,7 @@
     CHECK(table.unanswered() == 1);
 }
 
-TEST_CASE("request table: an attempt is found by its request and number only") {
+TEST_CASE("request table: an attempt is found by its request id and index") {
     RequestTable table;
     InFlightRequest* request = table.add(test::request(1, 0, 0, kStart));
     request->attempts.emplace(AttemptIndex(0), InFlightAttempt{"n0", kStart, kStart + 1});
--- a/tests/core/slow_start_monitor_test.cpp
+++ b/tests/core/slow_start_monitor_test.cpp
@@ -1,5 +1,5 @@
-// What is observed of nodes in slow start: each start and end is a log line, and a window that is larger than
-// this host's part of the budget is counted.
+// The monitor logs the start and end of each slow start, and counts nodes that were sent more within a window
+// than this host's part of the budget.
 #include "core/slow_start_monitor.h"
 
 #include <doctest/doctest.h>
@@ -18,26 +18,26 @@
 
 }  // namespace
 
-TEST_CASE("slow start monitor: a node is reported once when it starts, and once when it is warm") {
+TEST_CASE("slow start monitor: the start and the end of a slow start are each logged once") {
     const Settings s = settings(0, 3);
     SlowStartMonitor monitor(s);
     const auto listed = listOf({node("old", 0), node("new", 1, NodeState::Ready, kNow - kSecond)});
-    const auto begun = monitor.onEndpointList(listed, kNow);
-    REQUIRE(begun.size() == 1);
-    CHECK(begun[0].starts_with("slow start of new in cell 1: started 1.000 s ago, budget "));
+    const auto startLines = monitor.onEndpointList(listed, kNow);
+    REQUIRE(startLines.size() == 1);
+    CHECK(startLines[0].starts_with("slow start of new in cell 1: started 1.000 s ago, budget "));
     CHECK(monitor.onEndpointList(listed, kNow + kSecond).empty());
     CHECK(monitor.counters(kNow).nodesWarmingUp == 1);
     monitor.onAttemptStarted("new", 2, kNow);
     monitor.onAttemptCompleted("new", 2);
     const Micros warmAt = kNow + s.slowStartDurationUs;
-    const auto ended = monitor.onEndpointList(listed, warmAt);
-    REQUIRE(ended.size() == 1);
-    CHECK(ended[0] == "slow start of new over: sent 2.0 units, completed 2.0, at most 2.0 in one window");
+    const auto endLines = monitor.onEndpointList(listed, warmAt);
+    REQUIRE(endLines.size() == 1);
+    CHECK(endLines[0] == "slow start of new over: sent 2.0 units, completed 2.0, at most 2.0 in one window");
     CHECK(monitor.counters(warmAt).nodesWarmingUp == 0);
     CHECK(monitor.size() == 0);
 }
 
-TEST_CASE("slow start monitor: a window over this host's part is counted, and forgets what is older") {
+TEST_CASE("slow start monitor: a window above this host's part is counted, without older attempts") {
     const Settings s = settings(0, 3);
     SlowStartMonitor monitor(s);
     (void)monitor.onEndpointList(listOf({node("new", 1, NodeState::Ready, kNow)}), kNow);
--- a/tests/core/timer_queue_test.cpp
+++ b/tests/core/timer_queue_test.cpp
@@ -37,7 +37,7 @@
     CHECK(!queue.nextExpiry());
 }
 
-TEST_CASE("timer queue: cancelling takes out one of several equal timers") {
+TEST_CASE("timer queue: cancelling removes only one of several equal timers") {
     TimerQueue queue;
     const Timer timer{10, TimerKind::Policy, 1, {}};
     queue.schedule(timer);
@@ -46,7 +46,7 @@
     CHECK(queue.size() == 1);
 }
 
-TEST_CASE("timer queue: cancelling a timer that is not there changes nothing") {
+TEST_CASE("timer queue: cancelling an unknown timer changes nothing") {
     TimerQueue queue;
     queue.schedule({10, TimerKind::AttemptTimeout, 1, AttemptIndex(0)});
     queue.cancel({10, TimerKind::AttemptTimeout, 1, AttemptIndex(1)});
