--- a/tests/fleet/fleet_process_test.cpp
+++ b/tests/fleet/fleet_process_test.cpp
@@ -1,5 +1,5 @@
-// Whole processes with faults between them: what a fleet guarantees while datagrams are lost, late and
-// duplicated, and how a front that is started again learns what it may spend.
+// Real processes with an unreliable network between them: the limits hold while datagrams are lost, delayed
+// and duplicated, and a restarted front recovers the right to spend and grant leases.
 #include "support/fleet_support.h"
 
 using namespace wingproxy;
@@ -9,17 +9,17 @@
 
 constexpr std::size_t kRequestsInFlightPerFront = 4;
 
-/// Sends requests to all fronts as fast as they answer, until the condition holds. The limit of the volume
-/// must hold at every moment.
+/// Sends requests to all fronts as fast as they answer, until the condition holds. Checks the limit of the
+/// volume at every step.
 void loadUntil(Fleet& fleet, const std::function<bool()>& condition, const char* what) {
-    const auto mayAsk = [&] {
+    const auto maySend = [&] {
         return fleet.pendingConnections.size() < kRequestsInFlightPerFront * fleet.fronts.size();
     };
     fleet.fixture.waitUntil(
         [&] {
             fleet.collectResponses();
             REQUIRE(fleet.units() <= fleet.allowed());
-            for (std::size_t i = 0; i < fleet.fronts.size() && mayAsk(); ++i)
+            for (std::size_t i = 0; i < fleet.fronts.size() && maySend(); ++i)
                 if (fleet.fronts[i] && fleet.fronts[i]->running()) fleet.sendRequest(i);
             return condition();
         },
@@ -39,22 +39,20 @@
         fleet, [&] { return fleet.served >= target; }, "the volume is served");
 }
 
-/// 30% of datagrams lost, 10% duplicated, 2 ms of delay and up to 20 ms of jitter.
+/// 30% of the datagrams are lost and 10% duplicated; 2 ms of delay and up to 20 ms of jitter.
 const Link kLossyLink{30, 10, std::chrono::milliseconds(2), std::chrono::milliseconds(20), false};
 
 }  // namespace
 
-// Guards the shutdown notice on real sockets: without it the front would wait until its leases have expired,
-// as front 3, which died and knows of no earlier incarnation of front 0, never replies.
+// Guards the shutdown notice on real sockets: without it, front 0 would wait until its leases have expired,
+// because front 3 was killed and never replies.
 TEST_CASE(
-    "fleet processes: after a graceful shutdown a front recovers by its notice, though a peer is dead and "
-    "links "
-    "lose 30%") {
+    "fleet processes: a front recovers by its shutdown notice while a peer is dead and links lose 30%") {
     Fleet fleet(4, 5);
     fleet.relay->all(kLossyLink);
     startAll(fleet);
     loadUntilServed(fleet, 40);
-    const auto openConnection = fleet.client(0);  // the front serves it until the time that its notice names
+    const auto openConnection = fleet.client(0);  // the front serves it until the time in its notice
     openConnection->send("GET /up HTTP/1.1\r\nHost: f\r\n\r\n");
     fleet.fixture.waitUntil([&] { return openConnection->hasReceived("up\n"); });
     fleet.fronts[3]->signal(SIGKILL);
@@ -66,20 +64,19 @@
     fleet.start(0);
     fleet.waitUntilCountersShow(0, "recovered_by=shutdown_notice");
     CHECK(std::chrono::steady_clock::now() - restartedAt < std::chrono::seconds(10));
-    // Not before front 3, which is a notice holder too, knows of this incarnation.
+    // It may not lend before front 3, which is also one of its notice holders, has replied.
     CHECK(!fleet.fronts[0]->hasLogged("may_lend=true"));
     fleet.start(3);
     loadUntil(
-        fleet, [&] { return fleet.countersShow(0, "may_lend=true"); }, "it lends again");
+        fleet, [&] { return fleet.countersShow(0, "may_lend=true"); }, "the front may lend again");
     CHECK(fleet.relay->counters().lost > 0);
     CHECK(fleet.relay->counters().doubled > 0);
     CHECK(fleet.relay->counters().largest <= 256);
 }
 
+// The volume's limit is checked over all incarnations of the front together.
 TEST_CASE(
-    "fleet processes: a front that is killed while a link is cut recovers by lease expiry, and the limit "
-    "holds "
-    "over all incarnations") {
+    "fleet processes: a front killed while a link is cut recovers by lease expiry, and the limit holds") {
     Fleet fleet(3, 7);
     fleet.relay->all(kLossyLink);
     startAll(fleet);
@@ -88,7 +85,7 @@
     for (int restart = 0; restart < 2; ++restart) {
         fleet.fronts[0]->signal(SIGKILL);
         loadUntil(
-            fleet, [&] { return !fleet.fronts[0]->running(); }, "it is dead");
+            fleet, [&] { return !fleet.fronts[0]->running(); }, "the front is dead");
         fleet.start(0);
         loadUntil(
             fleet, [&] { return fleet.countersShow(0, "recovered_by=lease_expired"); },
--- a/tests/fleet/peer_incarnations_test.cpp
+++ b/tests/fleet/peer_incarnations_test.cpp
@@ -1,4 +1,4 @@
-// Which run of a peer a message is from.
+// Classifies the incarnation in a message as known, new or stale.
 #include "fleet/peer_incarnations.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-TEST_CASE("peer incarnations: the first one that is heard of is known") {
+TEST_CASE("peer incarnations: the first one that is seen is known") {
     PeerIncarnations peers;
     CHECK(!peers.isCurrent(kPeer, 100));
     CHECK(peers.observe(kPeer, 100, kStart) == IncarnationStatus::Known);
@@ -20,7 +20,7 @@
     CHECK(peers.size() == 1);
 }
 
-TEST_CASE("peer incarnations: a later one is new and takes the place of the earlier one") {
+TEST_CASE("peer incarnations: a later one is new and replaces the earlier one") {
     PeerIncarnations peers;
     peers.observe(kPeer, 100, kStart);
     CHECK(peers.observe(kPeer, 200, kStart) == IncarnationStatus::New);
@@ -29,7 +29,7 @@
     CHECK(peers.size() == 1);
 }
 
-TEST_CASE("peer incarnations: an earlier one is stale for 10 s after the later one was last heard") {
+TEST_CASE("peer incarnations: an earlier one is stale for 10 s after the later one was last seen") {
     PeerIncarnations peers;
     peers.observe(kPeer, 200, kStart);
     const Micros end = kStart + PeerIncarnations::kStaleIncarnationPeriod;
@@ -39,7 +39,7 @@
     CHECK(peers.isCurrent(kPeer, 100));
 }
 
-TEST_CASE("peer incarnations: each peer has its own") {
+TEST_CASE("peer incarnations: those of different peers are independent") {
     PeerIncarnations peers;
     peers.observe(kPeer, 200, kStart);
     CHECK(peers.observe(kPeer.next(), 100, kStart) == IncarnationStatus::Known);
--- a/tests/fleet/recovery_datagram_test.cpp
+++ b/tests/fleet/recovery_datagram_test.cpp
@@ -1,4 +1,4 @@
-// The wire form of the recovery protocol. Bytes that an earlier version wrote are in tests/golden.
+// The wire format of the recovery protocol. Datagrams written by an earlier version are in tests/golden.
 #include "fleet/recovery_datagram.h"
 
 #include <doctest/doctest.h>
@@ -25,8 +25,7 @@
 
 }  // namespace
 
-TEST_CASE(
-    "recovery datagram: numbers are written lowest byte first, after the format, the sender and the tag") {
+TEST_CASE("recovery datagram: format byte, sender, tag and fields are encoded in little-endian order") {
     CHECK(encode(kOneOfEachKind[0]) == bytesOf({0xB1, 4, 3, 2, 1, 1}));
     CHECK(encode(kOneOfEachKind[1]) == bytesOf({0xB1, 4, 3, 2, 1, 2, 0x0D, 0x0C, 0x0B, 0x0A}));
     CHECK(encode(kOneOfEachKind[2]) == bytesOf({0xB1, 4, 3, 2, 1, 3, 7, 0, 0, 0, 0xFF, 0xFF, 0xFF, 0xFF}));
@@ -34,7 +33,7 @@
           bytesOf({0xB1, 4, 3, 2, 1, 4, 1, 0, 0, 0, 2, 0, 0, 0, 3, 0, 0, 0, 4, 0, 0, 0}));
 }
 
-TEST_CASE("recovery datagram: each kind is decoded to what was encoded") {
+TEST_CASE("recovery datagram: decoding an encoded datagram of each kind gives the same datagram") {
     for (const auto& datagram : kOneOfEachKind) {
         const auto decoded = decode(encode(datagram));
         REQUIRE(decoded);
--- a/tests/fleet/restart_recovery_model_test.cpp
+++ b/tests/fleet/restart_recovery_model_test.cpp
@@ -1,9 +1,10 @@
-// Explores every interleaving of a small fleet: a home host that crashes, shuts down and starts again, and a
-// borrower, with messages that are lost, late and out of order.
+// Model check of the recovery protocol: explores every interleaving of a small fleet in which the owner of a
+// chunk crashes, shuts down and restarts while another host borrows the chunk, and in which messages are
+// lost, delayed and reordered.
 //
-// Host 0 is the home of one chunk (of several, each could only be lent in fewer ways). Host 1 borrows it, in
-// some cases host 2 too, and hosts 1 and 2 are host 0's notice holders. Whatever happens, nobody else may
-// hold the chunk while the home spends it.
+// Host 0 owns one chunk (with several chunks, each could only be lent in fewer ways). Host 1 borrows it, in
+// some tests host 2 too; hosts 1 and 2 are host 0's notice holders. Invariant: at most one host holds the
+// chunk, where the owner counts as its holder while it may spend it.
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
@@ -46,26 +47,26 @@
     MessageKind kind = MessageKind::Recovery;
     int from = 0;
     int to = 0;
-    std::string bytes;            // of Recovery
-    Incarnation incarnation = 0;  // of LeaseGrant
-    Micros requestedAt = 0;       // of LeaseRequest and LeaseGrant
+    std::string bytes;            // the datagram of a Recovery message
+    Incarnation incarnation = 0;  // the lender's, in a LeaseGrant
+    Micros requestedAt = 0;       // in a LeaseRequest and a LeaseGrant
     template <typename Archive>
     void serialize(Archive& archive) {
         archive(kind, from, to, bytes, incarnation, requestedAt);
     }
 };
 
-/// One state of the fleet.
-struct World {
+/// One state of the model.
+struct FleetState {
     Micros now = kStart;
-    bool homeAlive = true;
-    bool homeShutsDown = false;
+    bool ownerAlive = true;
+    bool ownerShutsDown = false;
     int starts = 0;
     int shutdowns = 0;
     int leaseRequests = 0;
     RestartRecovery hosts[kHosts] = {hostStartedAt(0, kLongBefore), hostStartedAt(1, kLongBefore),
                                      hostStartedAt(2, kLongBefore)};
-    int lentTo = 0;  // by the home's current incarnation
+    int lentTo = 0;  // borrower to which the owner's current incarnation lent the chunk; 0: none
     Micros lentUntil = 0;
     Micros requestedAt[kHosts] = {};
     Micros heldUntil[kHosts] = {};
@@ -73,8 +74,8 @@
 
     template <typename Archive>
     void serialize(Archive& archive) {
-        archive(now, homeAlive, homeShutsDown, starts, shutdowns, leaseRequests, hosts[0], hosts[1], hosts[2],
-                lentTo, lentUntil);
+        archive(now, ownerAlive, ownerShutsDown, starts, shutdowns, leaseRequests, hosts[0], hosts[1],
+                hosts[2], lentTo, lentUntil);
         for (int i = 0; i < kHosts; ++i)
             archive(requestedAt[i], heldUntil[i]);
         archive(delayed);
@@ -85,59 +86,62 @@
         archive(*this);
         return out.str();
     }
-    bool homeSpends() const { return homeAlive && hosts[0].isRecovered(now) && lentUntil <= now; }
-    bool chunkIsWithTwo() const {
-        return int(heldUntil[1] > now) + int(heldUntil[2] > now) + int(homeSpends()) > 1;
+    bool ownerMaySpend() const { return ownerAlive && hosts[0].isRecovered(now) && lentUntil <= now; }
+    bool chunkHasTwoHolders() const {
+        return int(heldUntil[1] > now) + int(heldUntil[2] > now) + int(ownerMaySpend()) > 1;
     }
 };
 
-using Worlds = std::vector<World>;
+using FleetStates = std::vector<FleetState>;
 
-void append(Worlds& to, Worlds from) { std::move(from.begin(), from.end(), std::back_inserter(to)); }
+void append(FleetStates& to, FleetStates from) {
+    std::move(from.begin(), from.end(), std::back_inserter(to));
+}
 
-/// Rules of the protocol that the model can leave out, so that the test sees their violation found.
+/// Rules of the protocol that the model can violate, to show that the explorer finds the consequences.
 enum class BrokenRule {
     None,
     LendsBeforeHoldersReplied,
     LendsWhileShuttingDown,
     AcceptsStaleGrants,
-    LendsWhatIsLent,
+    LendsLentChunk,
 };
 
-/// What may happen in the fleet, besides what always may.
+/// Bounds of the exploration, and events that are off by default.
 struct ExplorerOptions {
     BrokenRule brokenRule = BrokenRule::None;
     bool duplicatesMessages = false;  ///< a delayed message may arrive any number of times
-    int borrowers = 1;                ///< 1: host 1 asks for the chunk; 2: host 2 does so too
-    int maxStarts = 2;                ///< of the home
-    int maxLeaseRequests = 1;         ///< of all borrowers together
+    int borrowers = 1;                ///< 1: host 1 requests the chunk; 2: hosts 1 and 2 do
+    int maxStarts = 2;                ///< starts of the owner
+    int maxLeaseRequests = 1;         ///< lease requests of all borrowers together
 };
 
 class Explorer {
 public:
     explicit Explorer(const ExplorerOptions& options = {}) : options_(options) {}
 
-    /// Visits all states that can be reached, breadth first, up to a violation.
+    /// Visits all reachable states, breadth first, until a violation is found or `kMaxStates` states were
+    /// seen.
     void run() {
         std::unordered_set<std::string> seen;
-        std::deque<World> open{World{}};
+        std::deque<FleetState> open{FleetState{}};
         seen.insert(open.front().key());
         for (; !open.empty() && violation.empty() && seen.size() < kMaxStates; open.pop_front())
-            for (auto& world : successors(open.front())) {
-                if (world.chunkIsWithTwo()) {
+            for (auto& state : successors(open.front())) {
+                if (state.chunkHasTwoHolders()) {
                     violation = fmt::format("at {} ms after {} starts, {} shutdowns",
-                                            (world.now - kStart) / kMs, world.starts, world.shutdowns);
+                                            (state.now - kStart) / kMs, state.starts, state.shutdowns);
                     break;
                 }
-                if (seen.insert(world.key()).second) open.push_back(std::move(world));
+                if (seen.insert(state.key()).second) open.push_back(std::move(state));
             }
         states = seen.size();
         complete = open.empty() && violation.empty();
     }
 
     std::size_t states = 0;
-    bool complete = false;  // every state that can be reached was visited
-    std::string violation;  // empty: none was found
+    bool complete = false;  // all reachable states were visited
+    std::string violation;  // empty if none was found
 
 private:
     static constexpr int kMaxShutdowns = 1;
@@ -145,154 +149,155 @@
     static constexpr Micros kTick = kSecond;
     static constexpr Micros kEnd = kStart + 3 * kSecond;
 
-    Worlds successors(const World& world) const {
-        Worlds all;
-        append(all, afterDelayedMessages(world));
-        if (world.now < kEnd) append(all, afterTick(world));
+    FleetStates successors(const FleetState& state) const {
+        FleetStates all;
+        append(all, afterDelayedMessages(state));
+        if (state.now < kEnd) append(all, afterTick(state));
         for (int borrower = 1; borrower <= options_.borrowers; ++borrower) {
-            const bool mayRequest = world.leaseRequests < options_.maxLeaseRequests;
-            if (mayRequest && world.requestedAt[borrower] < world.now)
-                append(all, afterLeaseRequest(world, borrower));
+            const bool mayRequest = state.leaseRequests < options_.maxLeaseRequests;
+            if (mayRequest && state.requestedAt[borrower] < state.now)
+                append(all, afterLeaseRequest(state, borrower));
         }
-        if (world.homeAlive && world.starts < options_.maxStarts) append(all, afterEndOfHome(world));
-        if (!world.homeAlive) append(all, afterStart(world));
+        if (state.ownerAlive && state.starts < options_.maxStarts) append(all, afterOwnerStops(state));
+        if (!state.ownerAlive) append(all, afterStart(state));
         return all;
     }
-    Worlds afterDelayedMessages(const World& world) const {
-        Worlds all;
-        for (std::size_t i = 0; i < world.delayed.size(); ++i) {
-            auto arrived = world;
+    FleetStates afterDelayedMessages(const FleetState& state) const {
+        FleetStates all;
+        for (std::size_t i = 0; i < state.delayed.size(); ++i) {
+            auto arrived = state;
             arrived.delayed.erase(arrived.delayed.begin() + std::ptrdiff_t(i));
-            append(all, deliver(arrived, world.delayed[i]));
-            if (options_.duplicatesMessages) append(all, deliver(world, world.delayed[i]));
+            append(all, deliver(arrived, state.delayed[i]));
+            if (options_.duplicatesMessages) append(all, deliver(state, state.delayed[i]));
         }
         return all;
     }
-    Worlds afterTick(const World& world) const {
-        auto later = world;
+    FleetStates afterTick(const FleetState& state) const {
+        auto later = state;
         later.now += kTick;
         for (const int borrower : {1, 2})
             if (later.heldUntil[borrower] <= later.now) later.heldUntil[borrower] = 0;
-        Worlds all{later};
-        if (!later.homeAlive) return all;
+        FleetStates all{later};
+        if (!later.ownerAlive) return all;
         const auto due = all[0].hosts[0].dueDatagrams(later.now);
         send(all, 0, due);
         return all;
     }
-    Worlds afterLeaseRequest(const World& world, int borrower) const {
-        Worlds all{world};
+    FleetStates afterLeaseRequest(const FleetState& state, int borrower) const {
+        FleetStates all{state};
         ++all[0].leaseRequests;
-        all[0].requestedAt[borrower] = world.now;
-        send(all, {MessageKind::LeaseRequest, borrower, 0, {}, 0, world.now});
+        all[0].requestedAt[borrower] = state.now;
+        send(all, {MessageKind::LeaseRequest, borrower, 0, {}, 0, state.now});
         return all;
     }
-    /// The home crashes, or begins a graceful shutdown.
-    Worlds afterEndOfHome(const World& world) const {
-        auto crashed = world;
-        crashed.homeAlive = false;
-        crashed.homeShutsDown = false;
-        Worlds all{crashed};
-        if (world.homeShutsDown || world.shutdowns >= kMaxShutdowns) return all;
-        auto shutsDown = world;
-        shutsDown.homeShutsDown = true;
+    /// The owner crashes, or begins a graceful shutdown.
+    FleetStates afterOwnerStops(const FleetState& state) const {
+        auto crashed = state;
+        crashed.ownerAlive = false;
+        crashed.ownerShutsDown = false;
+        FleetStates all{crashed};
+        if (state.ownerShutsDown || state.shutdowns >= kMaxShutdowns) return all;
+        auto shutsDown = state;
+        shutsDown.ownerShutsDown = true;
         ++shutsDown.shutdowns;
-        shutsDown.hosts[0].startShutdown(world.now + kSecond, world.now);
+        shutsDown.hosts[0].startShutdown(state.now + kSecond, state.now);
         all.push_back(shutsDown);
         return all;
     }
-    Worlds afterStart(const World& world) const {
-        auto started = world;
-        started.homeAlive = true;
+    FleetStates afterStart(const FleetState& state) const {
+        auto started = state;
+        started.ownerAlive = true;
         ++started.starts;
-        const Micros startedAt = world.now + started.starts * kMs;  // incarnations differ
+        const Micros startedAt = state.now + started.starts * kMs;  // so that incarnations differ
         started.hosts[0] = hostStartedAt(0, startedAt);
         started.lentTo = 0;
         started.lentUntil = 0;
         const auto due = started.hosts[0].dueDatagrams(startedAt);
-        Worlds all{started};
+        FleetStates all{started};
         send(all, 0, due);
         return all;
     }
 
-    /// A message is lost, or arrives at once, or is delayed for any time.
-    void send(Worlds& worlds, const Message& message) const {
-        Worlds all;
-        for (auto& world : worlds) {
-            append(all, deliver(world, message));
-            if (world.delayed.size() < kMaxDelayed) {
-                all.push_back(world);
+    /// A message arrives at once, is delayed for any time, or is lost.
+    void send(FleetStates& fleetStates, const Message& message) const {
+        FleetStates all;
+        for (auto& state : fleetStates) {
+            append(all, deliver(state, message));
+            if (state.delayed.size() < kMaxDelayed) {
+                all.push_back(state);
                 all.back().delayed.push_back(message);
             }
-            all.push_back(std::move(world));
+            all.push_back(std::move(state));
         }
-        worlds = std::move(all);
+        fleetStates = std::move(all);
     }
-    /// Messages between the borrowers do not matter to the chunk and are left out.
-    void send(Worlds& worlds, int from, const std::vector<fleet::OutgoingDatagram>& datagrams) const {
+    /// Messages between the borrowers have no effect on the chunk and are left out.
+    void send(FleetStates& fleetStates, int from,
+              const std::vector<fleet::OutgoingDatagram>& datagrams) const {
         for (const auto& datagram : datagrams)
             if (from == 0 || datagram.to == HostIndex(0))
-                send(worlds, {MessageKind::Recovery, from, datagram.to.value(), datagram.bytes, 0, 0});
+                send(fleetStates, {MessageKind::Recovery, from, datagram.to.value(), datagram.bytes, 0, 0});
     }
 
-    Worlds deliver(const World& world, const Message& message) const {
-        if (message.to == 0 && !world.homeAlive) return {world};
+    FleetStates deliver(const FleetState& state, const Message& message) const {
+        if (message.to == 0 && !state.ownerAlive) return {state};
         switch (message.kind) {
             case MessageKind::Recovery:
-                return deliverRecovery(world, message);
+                return deliverRecovery(state, message);
             case MessageKind::LeaseRequest:
-                return deliverLeaseRequest(world, message);
+                return deliverLeaseRequest(state, message);
             case MessageKind::LeaseGrant:
-                return deliverLeaseGrant(world, message);
+                return deliverLeaseGrant(state, message);
         }
-        return {world};
+        return {state};
     }
-    Worlds deliverRecovery(World world, const Message& message) const {
+    FleetStates deliverRecovery(FleetState state, const Message& message) const {
         const auto result =
-            world.hosts[message.to].handleDatagram(HostIndex(message.from), message.bytes, world.now);
-        if (message.to != 0 && result.status == IncarnationStatus::New) world.heldUntil[message.to] = 0;
-        Worlds all{world};
+            state.hosts[message.to].handleDatagram(HostIndex(message.from), message.bytes, state.now);
+        if (message.to != 0 && result.status == IncarnationStatus::New) state.heldUntil[message.to] = 0;
+        FleetStates all{state};
         send(all, message.to, result.replies);
         return all;
     }
-    Worlds deliverLeaseRequest(const World& world, const Message& message) const {
-        Worlds all{world};
-        const bool renews = world.lentTo == message.from && world.lentUntil > world.now;
+    FleetStates deliverLeaseRequest(const FleetState& state, const Message& message) const {
+        FleetStates all{state};
+        const bool isRenewal = state.lentTo == message.from && state.lentUntil > state.now;
         const bool ignoresLease =
-            breaks(BrokenRule::LendsWhatIsLent) && world.hosts[0].isRecovered(world.now);
-        if (!(world.homeSpends() || renews || ignoresLease) || !homeMayLend(world)) return all;
+            isBroken(BrokenRule::LendsLentChunk) && state.hosts[0].isRecovered(state.now);
+        if (!(state.ownerMaySpend() || isRenewal || ignoresLease) || !ownerMayLend(state)) return all;
         all[0].lentTo = message.from;
-        all[0].lentUntil = world.now + kLease;
+        all[0].lentUntil = state.now + kLease;
         send(all, {MessageKind::LeaseGrant,
                    0,
                    message.from,
                    {},
-                   world.hosts[0].incarnation(),
+                   state.hosts[0].incarnation(),
                    message.requestedAt});
         return all;
     }
-    Worlds deliverLeaseGrant(World world, const Message& message) const {
+    FleetStates deliverLeaseGrant(FleetState state, const Message& message) const {
         const auto status =
-            world.hosts[message.to].observeIncarnation(HostIndex(0), message.incarnation, world.now);
-        if (status == IncarnationStatus::Stale && !breaks(BrokenRule::AcceptsStaleGrants)) return {world};
-        Micros& heldUntil = world.heldUntil[message.to];
+            state.hosts[message.to].observeIncarnation(HostIndex(0), message.incarnation, state.now);
+        if (status == IncarnationStatus::Stale && !isBroken(BrokenRule::AcceptsStaleGrants)) return {state};
+        Micros& heldUntil = state.heldUntil[message.to];
         if (status == IncarnationStatus::New) heldUntil = 0;
-        if (world.requestedAt[message.to] == message.requestedAt)
+        if (state.requestedAt[message.to] == message.requestedAt)
             heldUntil = std::max(heldUntil, message.requestedAt + kLease);
-        return {world};
+        return {state};
     }
-    bool homeMayLend(const World& world) const {
-        const auto& home = world.hosts[0];
-        const bool ignoresRule = breaks(world.homeShutsDown ? BrokenRule::LendsWhileShuttingDown
-                                                            : BrokenRule::LendsBeforeHoldersReplied);
-        return ignoresRule ? home.isRecovered(world.now) : home.mayLend(world.now);
+    bool ownerMayLend(const FleetState& state) const {
+        const auto& owner = state.hosts[0];
+        const bool ignoresRule = isBroken(state.ownerShutsDown ? BrokenRule::LendsWhileShuttingDown
+                                                               : BrokenRule::LendsBeforeHoldersReplied);
+        return ignoresRule ? owner.isRecovered(state.now) : owner.mayLend(state.now);
     }
 
-    [[nodiscard]] bool breaks(BrokenRule rule) const { return options_.brokenRule == rule; }
+    [[nodiscard]] bool isBroken(BrokenRule rule) const { return options_.brokenRule == rule; }
 
     ExplorerOptions options_;
 };
 
-/// Explores with these options and checks that no chunk is ever with two hosts.
+/// Explores with these options and checks that two hosts never hold the chunk at once.
 void checkNoViolation(const ExplorerOptions& options) {
     Explorer explorer(options);
     explorer.run();
@@ -301,7 +306,7 @@
     CHECK(explorer.complete);
 }
 
-/// Explores with these options and checks that the explorer finds a chunk with two hosts.
+/// Explores with these options and checks that the explorer finds a state in which two hosts hold the chunk.
 void checkViolationIsFound(const ExplorerOptions& options) {
     Explorer explorer(options);
     explorer.run();
@@ -311,25 +316,26 @@
 
 }  // namespace
 
-TEST_CASE("restart recovery model: in every interleaving of a small fleet no chunk is with two hosts") {
+TEST_CASE("restart recovery model: in no interleaving of a small fleet do two hosts hold a chunk") {
     checkNoViolation({});
 }
 
-// With one start: two take 1,455,334 states and a minute, of which none has a violation.
-TEST_CASE("restart recovery model: where delayed messages are duplicated no chunk is with two hosts") {
+// Explores one start only: two starts take 1,455,334 states and a minute, and none of them violates the
+// invariant.
+TEST_CASE("restart recovery model: with duplicated messages two hosts never hold a chunk") {
     checkNoViolation({.duplicatesMessages = true, .maxStarts = 1});
 }
 
-TEST_CASE("restart recovery model: where two hosts borrow no chunk is with two of the three") {
+TEST_CASE("restart recovery model: with two borrowers no two of three hosts hold a chunk") {
     checkNoViolation({.borrowers = 2, .maxStarts = 1, .maxLeaseRequests = 2});
 }
 
-TEST_CASE("restart recovery model: without each of its rules a violation is found") {
+TEST_CASE("restart recovery model: a violation is found if any one rule is broken") {
     for (const auto rule : {BrokenRule::AcceptsStaleGrants, BrokenRule::LendsWhileShuttingDown,
                             BrokenRule::LendsBeforeHoldersReplied})
         checkViolationIsFound({.brokenRule = rule});
 }
 
-TEST_CASE("restart recovery model: a chunk that is lent to both borrowers is found") {
-    checkViolationIsFound({.brokenRule = BrokenRule::LendsWhatIsLent, .borrowers = 2, .maxLeaseRequests = 2});
+TEST_CASE("restart recovery model: a chunk lent to both borrowers is found as a violation") {
+    checkViolationIsFound({.brokenRule = BrokenRule::LendsLentChunk, .borrowers = 2, .maxLeaseRequests = 2});
 }
--- a/tests/fleet/restart_recovery_test.cpp
+++ b/tests/fleet/restart_recovery_test.cpp
@@ -1,5 +1,5 @@
-// What a restarted host may spend and lend, in fleets whose datagrams arrive at once. Every interleaving of a
-// small fleet is in restart_recovery_model_test.cpp.
+// When a restarted host may spend and lend, in fleets whose datagrams arrive without delay.
+// restart_recovery_model_test.cpp explores all interleavings of a small fleet.
 #include "fleet/restart_recovery.h"
 
 #include <doctest/doctest.h>
@@ -25,13 +25,13 @@
     return {HostIndex(host), hostCount, kLease, true};
 }
 
-/// Hosts whose datagrams arrive at once; those in `dead` neither send nor receive.
+/// Hosts whose datagrams arrive without delay; those in `dead` neither send nor receive.
 struct ConnectedFleet {
     explicit ConnectedFleet(int hostCount) {
         for (int i = 0; i < hostCount; ++i)
             hosts.emplace_back(optionsOf(i, hostCount), now);
     }
-    /// Sends what is due and delivers it with all replies. Returns the number of datagrams sent.
+    /// Delivers the due datagrams of all hosts and all replies. Returns the number of datagrams sent.
     std::size_t deliverDue() {
         std::deque<Sent> network;
         for (int i = 0; i < int(hosts.size()); ++i) {
@@ -51,7 +51,7 @@
         }
         return sentCount;
     }
-    /// Returns the number of datagrams sent.
+    /// Advances the time in steps of 10 ms. Returns the number of datagrams sent.
     std::size_t run(Micros duration) {
         std::size_t sentCount = 0;
         for (const auto end = now + duration; now < end; now += 10 * kMs)
@@ -78,7 +78,7 @@
 
 }  // namespace
 
-TEST_CASE("restart recovery: a fleet that starts together recovers at once and is silent from then on") {
+TEST_CASE("restart recovery: a fleet that starts together recovers at once and sends nothing after that") {
     ConnectedFleet fleet(300);
     fleet.run(kSecond);
     for (const auto& host : fleet.hosts)
@@ -87,8 +87,7 @@
     CHECK(fleet.largest <= fleet::kMaxRecoveryDatagramBytes);
 }
 
-TEST_CASE(
-    "restart recovery: during a graceful shutdown three holders are notified, and lending ends in time") {
+TEST_CASE("restart recovery: a graceful shutdown notifies three notice holders and ends lending in time") {
     ConnectedFleet fleet(300);
     fleet.run(kSecond);
     fleet.host(7).startShutdown(fleet.now + 3 * kSecond, fleet.now);
@@ -97,9 +96,7 @@
     CHECK(!fleet.mayLend(7));            // a lease would outlast the shutdown
 }
 
-TEST_CASE(
-    "restart recovery: after a graceful shutdown the first reply is enough, with six datagrams of 300 "
-    "hosts") {
+TEST_CASE("restart recovery: after a graceful shutdown a host of 300 recovers with six datagrams") {
     ConnectedFleet fleet(300);
     fleet.run(kSecond);
     fleet.host(7).startShutdown(fleet.now + 3 * kSecond, fleet.now);
@@ -114,7 +111,7 @@
     CHECK(fleet.largest <= fleet::kMaxRecoveryDatagramBytes);
 }
 
-TEST_CASE("restart recovery: a restart before the notice's time waits for it, and no longer than a lease") {
+TEST_CASE("restart recovery: a restart before the notice's time waits for that time, at most for a lease") {
     for (const Micros until : {500 * kMs, 9 * kSecond}) {
         ConnectedFleet fleet(40);
         fleet.run(kSecond);
@@ -126,18 +123,18 @@
         CHECK(!fleet.isRecovered(0));
         const auto expected = shutdownAt + kLease;
         CHECK(!fleet.host(0).isRecovered(expected - 1));
-        CHECK(fleet.host(0).isRecovered(expected + 3 * kMs));  // notices have whole milliseconds
+        CHECK(fleet.host(0).isRecovered(expected + 3 * kMs));  // notices are rounded to whole milliseconds
     }
 }
 
-TEST_CASE("restart recovery: three hosts hold the notice of each host") {
+TEST_CASE("restart recovery: each host has three other hosts as its notice holders") {
     ConnectedFleet fleet(40);
     CHECK(fleet.host(5).noticeHolders().size() == 3);
     for (const HostIndex holder : fleet.host(5).noticeHolders())
         CHECK(holder != HostIndex(5));
 }
 
-TEST_CASE("restart recovery: after a crash the replies of all peers are enough") {
+TEST_CASE("restart recovery: after a crash a host recovers once all peers have replied") {
     ConnectedFleet fleet(40);
     fleet.run(kSecond);
     fleet.restart(5);
@@ -146,8 +143,7 @@
     CHECK(fleet.mayLend(5));
 }
 
-TEST_CASE(
-    "restart recovery: while a notice holder is dead a crashed host spends after a lease and lends not") {
+TEST_CASE("restart recovery: with a dead notice holder a crashed host may spend after a lease but not lend") {
     ConnectedFleet fleet(40);
     fleet.run(kSecond);
     const auto holders = fleet.host(5).noticeHolders();
@@ -158,12 +154,12 @@
     fleet.run(200 * kMs);
     CHECK(fleet.isRecovered(5));
     CHECK(!fleet.mayLend(5));
-    fleet.restart(holders[1].value());  // it has no notice, and so cannot mislead a later incarnation
+    fleet.restart(holders[1].value());  // it lost any notice, so that it cannot mislead a later incarnation
     fleet.run(600 * kMs);
     CHECK(fleet.mayLend(5));
 }
 
-TEST_CASE("restart recovery: once every earlier notice is too old a dead notice holder no longer matters") {
+TEST_CASE("restart recovery: a dead notice holder no longer prevents lending when all notices are too old") {
     ConnectedFleet fleet(40);
     fleet.run(kSecond);
     fleet.dead = {fleet.host(5).noticeHolders()[2].value()};
@@ -172,7 +168,7 @@
     CHECK(fleet.mayLend(5));
 }
 
-TEST_CASE("restart recovery: a notice does not count after a crash in between") {
+TEST_CASE("restart recovery: a notice is invalid for the second incarnation after its writer") {
     ConnectedFleet fleet(3);
     fleet.run(kSecond);
     fleet.host(0).startShutdown(fleet.now, fleet.now);
@@ -189,7 +185,7 @@
     CHECK(!fleet.isRecovered(0));
 }
 
-TEST_CASE("restart recovery: a notice does not count once it is older than its retention") {
+TEST_CASE("restart recovery: a notice is invalid once it is as old as its retention") {
     ConnectedFleet fleet(3);
     fleet.run(kSecond);
     fleet.host(0).startShutdown(fleet.now, fleet.now);
@@ -201,7 +197,8 @@
     CHECK(!fleet.isRecovered(0));
 }
 
-TEST_CASE("restart recovery: a host that just started is asked once whether it missed the query to it") {
+TEST_CASE(
+    "restart recovery: the first query of a peer's incarnation is answered with a reply and one query") {
     RestartRecovery host(optionsOf(0, 3), kStart);
     RestartRecovery started(optionsOf(1, 3), kStart + kMs);
     const auto query = started.dueDatagrams(kStart + kMs).at(0).bytes;
@@ -210,7 +207,7 @@
 }
 
 TEST_CASE(
-    "restart recovery: a message of an earlier incarnation is stale until the newer one is long unheard") {
+    "restart recovery: a message of an earlier incarnation is stale until kStaleIncarnationPeriod is over") {
     RestartRecovery host(optionsOf(0, 3), kStart);
     CHECK(host.observeIncarnation(HostIndex(1), 100, kStart) == IncarnationStatus::Known);
     CHECK(host.observeIncarnation(HostIndex(1), 200, kStart + 1) == IncarnationStatus::New);
@@ -224,7 +221,7 @@
     CHECK(host.counters().newIncarnations == 3);
 }
 
-TEST_CASE("restart recovery: malformed datagrams and those of no peer are counted and change nothing") {
+TEST_CASE("restart recovery: datagrams that are malformed or come from no peer are counted and ignored") {
     RestartRecovery host(optionsOf(0, 3), kStart);
     RestartRecovery peer(optionsOf(1, 3), kStart);
     const auto query = peer.dueDatagrams(kStart).at(0).bytes;
@@ -242,7 +239,7 @@
     CHECK(host.tableEntries() == 0);
 }
 
-TEST_CASE("restart recovery: a reply to another incarnation changes nothing") {
+TEST_CASE("restart recovery: a reply to an earlier incarnation is ignored") {
     RestartRecovery host(optionsOf(0, 3), kStart);
     RestartRecovery peer(optionsOf(1, 3), kStart);
     const auto query = peer.dueDatagrams(kStart).at(0).bytes;
@@ -254,7 +251,7 @@
     CHECK(!restarted.isRecovered(kStart + kSecond));
 }
 
-TEST_CASE("restart recovery: hosts that may not gossip send nothing and recover after a lease") {
+TEST_CASE("restart recovery: a host that may not gossip sends nothing and recovers after a lease") {
     RestartRecovery host({HostIndex(0), 3, kLease, false}, kStart);
     CHECK(host.dueDatagrams(kStart).empty());
     CHECK(!host.isRecovered(kStart + kLease - 1));
@@ -262,7 +259,7 @@
     CHECK(host.recoveryCause() == RecoveryCause::LeaseExpired);
 }
 
-TEST_CASE("restart recovery: a host that is alone has recovered from the start") {
+TEST_CASE("restart recovery: a host without peers is recovered from the start") {
     RestartRecovery host({HostIndex(0), 1, kLease, true}, kStart);
     CHECK(host.isRecovered(kStart));
     CHECK(host.mayLend(kStart));
--- a/tests/fleet/shutdown_notice_store_test.cpp
+++ b/tests/fleet/shutdown_notice_store_test.cpp
@@ -1,4 +1,4 @@
-// What a notice holder keeps for its peers, and for which of their incarnations.
+// Which shutdown notices a notice holder stores for its peers, and to which incarnations it returns them.
 #include "fleet/shutdown_notice_store.h"
 
 #include <doctest/doctest.h>
@@ -33,7 +33,7 @@
     CHECK(!notices.findEarlier(kPeer.next(), kWriter + 1));
 }
 
-TEST_CASE("shutdown notice store: only the first notice of an incarnation is reported as such") {
+TEST_CASE("shutdown notice store: store returns true for the first notice of an incarnation only") {
     ShutdownNoticeStore notices;
     CHECK(notices.store(kPeer, kWriter, kNotice));
     CHECK(!notices.store(kPeer, kWriter, kLaterNotice));
@@ -48,7 +48,7 @@
     CHECK(notices.findEarlier(kPeer, kWriter + 1) == EarlierNotice{kWriter, kLaterNotice});
 }
 
-TEST_CASE("shutdown notice store: a notice is dropped with the second incarnation after its writer") {
+TEST_CASE("shutdown notice store: a notice is dropped when the second incarnation after its writer is seen") {
     auto notices = storeWithNotice();
     notices.observeIncarnation(kPeer, kWriter);
     notices.observeIncarnation(kPeer, kWriter + 1);
--- a/tests/fleet/slow_start_process_test.cpp
+++ b/tests/fleet/slow_start_process_test.cpp
@@ -1,20 +1,19 @@
-// What happened: six processes served a customer's run with injected faults when a node that had just started
-// was sent more than it can bear, by the sum of all processes, and went down. No process by itself sent
-// anything unusual, and none logged anything. Requests whose data only that node holds failed from then on.
+// Guards against an overload of a node in slow start by the sum of six processes, none of which sends an
+// unusual number of requests or logs anything. It was seen while nodes were replaced after an outage of
+// discovery: all processes learn of a new node within a few milliseconds, and a surge of requests for data
+// that only this node holds reaches all of them at once. The node goes down, and these requests fail from
+// then on.
 //
-// In order: nodes were being replaced after an outage of discovery; all processes learnt of a new node within
-// a few milliseconds; a surge of requests for it reached all of them at once.
+// The fault: each process had two allowances, its part of the node's budget and a credit that grew with
+// demand, and what was sent under one was not charged to the other. The credit was 1.75 times the budget,
+// whatever the node completed. It was divided according to the demand that the processes had heard of from
+// each other, so that each had all of it if it had heard of little. Debts beyond one request were forgiven,
+// and a restarted process got its part again.
 //
-// Cause: each process had two allowances, its part of the node's budget and a credit that grew with demand,
-// and what one allowed was not held against the other. The credit was 1.75 times the budget, whatever the
-// node completed; it was shared by what the processes had heard of each other's demand, so that each of them
-// had all of it where that was little; and debts beyond one request were forgiven. A process that started
-// anew had its part once more.
-//
-// Evidence: the tests below, with real processes, sent the node more within one window than it bears: by 4 to
-// 30 requests where it was silent and the processes did not hear of each other, or where they started anew,
-// and by 320 to 470 where it failed each request at once. A counter of a single process showed 165 units in a
-// window of which the budget for all six was 51.
+// With this fault, real processes exceeded what the node bears within one window by 4 to 30 requests if the
+// node was silent and the processes did not hear of each other, or if they were restarted, and by 320 to 470
+// if the node failed each request at once. The counter of a single process showed 165 units in a window with
+// a budget of 51 for all six.
 #include "support/fleet_support.h"
 #include "support/slow_start_budget_check.h"
 
@@ -24,14 +23,14 @@
 namespace {
 
 constexpr std::size_t kFronts = 6;
-constexpr std::chrono::milliseconds kRequestInterval{8};  // for each front
+constexpr std::chrono::milliseconds kRequestInterval{8};  // between requests to one front
 constexpr int kMaxUnits = 6;
-const std::string kNodeIsOld = R"("startedAtMs":0)";
-// Shorter than a customer's, so that a test sees several windows of one slow start.
-const std::string kCustomerWindow = R"("fallUs":3000000,"startCapacity":0.28,"warmAfterUs":15000000)";
-const std::string kTestWindow = R"("fallUs":1000000,"startCapacity":0.28,"warmAfterUs":6000000)";
+const std::string kNodeStartedLongAgo = R"("startedAtMs":0)";
+// Shorter than the configured ones, so that a test covers several windows of one slow start.
+const std::string kConfiguredSlowStart = R"("fallUs":3000000,"startCapacity":0.28,"warmAfterUs":15000000)";
+const std::string kTestSlowStart = R"("fallUs":1000000,"startCapacity":0.28,"warmAfterUs":6000000)";
 
-/// A fleet whose only node has just started, under more requests than the node can bear.
+/// A fleet whose only node has just started, under a load of more requests than the node can bear.
 class StartingNodeLoad {
 public:
     using Clock = std::chrono::steady_clock;
@@ -41,7 +40,7 @@
         fleet_.fixture.node().connections.clear();
         settings_ = config::parseConfig(configOf(0, 1)).settings;
     }
-    /// Starts all processes; the node's process starts in the same moment.
+    /// Starts all fronts. The node counts as started at the same moment.
     void start() {
         startedAt_ = Clock::now();
         startedAtMs_ = std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -52,11 +51,11 @@
             fleet_.start(i);
         }
     }
-    /// The node answers what it got, one after another, as quickly as its settings promise of any node.
-    void answerAtGuaranteedSpeed() { answersAtGuaranteedSpeed_ = true; }
-    /// The node answers each request at once with this; it does none of the work.
+    /// The node answers its requests one after another, at the speed that the settings promise of any node.
+    void answerAtPromisedSpeed() { answersAtPromisedSpeed_ = true; }
+    /// The node answers each request at once with this response and does none of the work.
     void answerAtOnceWith(std::string response) { immediateResponse_ = std::move(response); }
-    /// Sends requests to all fronts for so long.
+    /// Sends requests to all fronts for this time.
     void runFor(std::chrono::milliseconds duration) {
         const auto end = Clock::now() + duration;
         auto nextRequestAt = Clock::now();
@@ -69,24 +68,25 @@
             },
             "the time is over");
     }
-    /// Kills all processes at once and starts new ones.
+    /// Kills all fronts at once and starts them again.
     void restartAll() {
         for (auto& front : fleet_.fronts)
             front->signal(SIGKILL);
         for (std::size_t i = 0; i < kFronts; ++i) {
-            fleet_.fixture.waitUntil([&] { return !fleet_.fronts[i]->running(); }, "it is dead");
+            fleet_.fixture.waitUntil([&] { return !fleet_.fronts[i]->running(); }, "the front is dead");
             fleet_.start(i);
         }
     }
-    /// Requests of mean work by which the fullest window passed what the node bears.
+    /// By how many requests of mean work the fullest window exceeded what the node bears; below 0 if none
+    /// did.
     double largestExcess() const { return record_.largestExcess(settings_, 0); }
     std::size_t arrivals() const { return record_.size(); }
     Fleet& fleet() { return fleet_; }
 
 private:
     std::string configOf(std::size_t front, std::int64_t nodeStartedAtMs) {
-        auto json = replaced(fleet_.config(front, kFronts), kCustomerWindow, kTestWindow);
-        return replaced(json, kNodeIsOld, fmt::format(R"("startedAtMs":{})", nodeStartedAtMs));
+        auto json = replaced(fleet_.config(front, kFronts), kConfiguredSlowStart, kTestSlowStart);
+        return replaced(json, kNodeStartedLongAgo, fmt::format(R"("startedAtMs":{})", nodeStartedAtMs));
     }
     Micros sinceStart() const {
         return std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - startedAt_).count();
@@ -104,7 +104,7 @@
         std::erase_if(clients_,
                       [](const TestConnectionPtr& client) { return client->hasReceived("\r\n\r\n"); });
     }
-    /// Notes what has arrived at the node, and answers where it is time.
+    /// Records the requests that arrived at the node, and sends the responses that are due.
     void observeNode() {
         for (const auto& connection : fleet_.fixture.node().connections) {
             if (!connection->hasReceived("\r\n\r\n")) continue;
@@ -116,7 +116,7 @@
                                      double(settings_.slowStartWindowUs) / settings_.slowStartOverloadFactor;
                 idleAt_ = std::max(idleAt_, Clock::now()) + std::chrono::duration_cast<Clock::duration>(
                                                                 std::chrono::duration<double>(units / speed));
-                if (answersAtGuaranteedSpeed_) due_.push_back({idleAt_, connection});
+                if (answersAtPromisedSpeed_) due_.push_back({idleAt_, connection});
                 if (!immediateResponse_.empty()) connection->send(immediateResponse_);
             }
             connection->clearReceived();
@@ -140,7 +140,7 @@
     std::map<std::string, double> unitsById_;
     std::vector<TestConnectionPtr> clients_;
     std::uint64_t lastId_ = 0;
-    bool answersAtGuaranteedSpeed_ = false;
+    bool answersAtPromisedSpeed_ = false;
     std::string immediateResponse_;
     Clock::time_point idleAt_{};
     std::deque<DueAnswer> due_;
@@ -151,11 +151,13 @@
 
 }  // namespace
 
-TEST_CASE("slow start processes: a node is not overloaded by the sum of six processes, however it answers") {
+TEST_CASE("slow start processes: six processes together do not overload a node, however it answers") {
     StartingNodeLoad load(11);
-    SUBCASE("it is silent") {}
-    SUBCASE("it is silent, and processes do not hear of each other") { load.fleet().relay->all(kCutLink); }
-    SUBCASE("it answers at the speed that its settings promise") { load.answerAtGuaranteedSpeed(); }
+    SUBCASE("it does not answer") {}
+    SUBCASE("it does not answer, and the processes do not receive each other's datagrams") {
+        load.fleet().relay->all(kCutLink);
+    }
+    SUBCASE("it answers at the speed that its settings promise") { load.answerAtPromisedSpeed(); }
     SUBCASE("it declines") { load.answerAtOnceWith(status(503, "Srv-Declined: 1\r\n")); }
     SUBCASE("it fails") { load.answerAtOnceWith(status(500)); }
     load.start();
@@ -164,7 +166,7 @@
     CHECK(load.largestExcess() <= 0);
 }
 
-TEST_CASE("slow start processes: processes that start anew do not spend the budget of a window again") {
+TEST_CASE("slow start processes: restarted processes do not spend the budget of a window again") {
     StartingNodeLoad load(14);
     load.start();
     for (int restart = 0; restart < 2; ++restart) {
