--- a/src/fleet/recovery_datagram.h
+++ b/src/fleet/recovery_datagram.h
@@ -38,7 +38,7 @@
 /// A host that shuts down gracefully announces when the last lease that it granted expires.
 struct ShutdownNotice {
     WireMillis sentMs = 0;           ///< when it was sent, by the sender's clock
-    WireMillis leasesExpiredMs = 0;  ///< when all leases have expired, by the sender's clock
+    WireMillis leasesExpiredMs = 0;  ///< when all leases that it granted have expired, by the same clock
     /// Compares all fields.
     bool operator==(const ShutdownNotice&) const = default;
 };
--- a/src/fleet/restart_recovery.h
+++ b/src/fleet/restart_recovery.h
@@ -42,8 +42,8 @@
     static constexpr Micros kNoticeRetention = 10'000'000;
     /// Interval between queries, or notices, to the same host. It allows three repeats within a lease of 2 s.
     static constexpr Micros kQueryInterval = 500'000;
-    /// How long after its start a host queries only its notice holders; after that it queries all peers.
-    /// Longer than a round trip within a site.
+    /// How long after its start a host queries only its notice holders. Without a valid notice it then
+    /// queries all peers. Longer than a round trip within a site.
     static constexpr Micros kNoticeHoldersOnlyPeriod = 50'000;
     /// Fleets of up to this number of hosts query all peers from the start.
     static constexpr int kSmallFleet = 8;
