--- a/tests/support/process_support.h
+++ b/tests/support/process_support.h
@@ -12,6 +12,8 @@
 #include <csignal>
 #include <cstdlib>
 #include <fstream>
+#include <string>
+#include <string_view>
 
 #include "support/net_support.h"
 #include "support/temporary_folder.h"
@@ -44,6 +46,24 @@
     return 0;
 }
 
+/// The program that a process of a test runs: the one that was built with the tests, unless the environment
+/// names another build.
+///
+/// WINGPROXY_TEST_BINARY is the path of the other build. WINGPROXY_TEST_BINARY_PROCESSES says which processes
+/// run it: `all` (the default), or those with an `even` or an `odd` index, so that both builds run beside
+/// each other.
+/// \param index the process's, as `Process` takes it
+inline std::string binaryOf(int index) {
+    const char* const otherBuild = std::getenv("WINGPROXY_TEST_BINARY");
+    const char* const selection = std::getenv("WINGPROXY_TEST_BINARY_PROCESSES");
+    const std::string_view processes = selection == nullptr ? "all" : selection;
+    if (processes != "all" && processes != "even" && processes != "odd")
+        FAIL(fmt::format("WINGPROXY_TEST_BINARY_PROCESSES is '{}', not all, even or odd", processes));
+    const bool isEven = index % 2 == 0;
+    const bool runsOtherBuild = processes == "all" || (processes == "even") == isEven;
+    return otherBuild != nullptr && runsOtherBuild ? otherBuild : WINGPROXY_BINARY;
+}
+
 /// A running front. It is killed, unless it has ended, when this object is destroyed.
 class Process {
 public:
@@ -64,8 +84,7 @@
         for (auto& variable : environment)
             environmentPointers.push_back(variable.data());
         environmentPointers.push_back(nullptr);
-        const char* const otherBuild = std::getenv("WINGPROXY_TEST_BINARY");  // to compare two builds
-        std::string binary = otherBuild == nullptr ? WINGPROXY_BINARY : otherBuild;
+        std::string binary = binaryOf(index);
         std::array<char*, 2> arguments{binary.data(), nullptr};
         posix_spawn_file_actions_t files;
         posix_spawn_file_actions_init(&files);
