--- a/src/config/endpoint_listing.cpp
+++ b/src/config/addressed_endpoint_list.cpp
@@ -1,4 +1,4 @@
-#include "config/endpoint_listing.h"
+#include "config/addressed_endpoint_list.h"
 
 #include <cstdint>
 #include <utility>
@@ -38,8 +38,8 @@
 
 }  // namespace
 
-EndpointListing readEndpointListing(const JsonObject& object) {
-    EndpointListing listing;
+AddressedEndpointList readEndpointList(const JsonObject& object) {
+    AddressedEndpointList listing;
     bool full = false;
     object.flag("reset", full);
     listing.list.kind = full ? EndpointListKind::Full : EndpointListKind::Delta;
@@ -52,9 +52,9 @@
     return listing;
 }
 
-EndpointListing parseEndpointListing(std::string_view json) {
+AddressedEndpointList parseEndpointList(std::string_view json) {
     simdjson::dom::parser parser;
-    return readEndpointListing(parseJsonObject(parser, json, "list"));
+    return readEndpointList(parseJsonObject(parser, json, "list"));
 }
 
 }  // namespace wingproxy::config
--- a/src/config/endpoint_listing.h
+++ b/src/config/addressed_endpoint_list.h
@@ -13,15 +13,15 @@
 class JsonObject;
 
 /// An endpoint list for the policy, and the address of each node, which the policy does not need.
-struct EndpointListing {
+struct AddressedEndpointList {
     EndpointList list;
     std::vector<Endpoint> addresses;  ///< parallel to list.nodes; empty for a removed node without an address
 };
 
 /// Reads one answer of discovery.
 /// \throws ConfigError if it is no JSON or a field of it is wrong
-EndpointListing parseEndpointListing(std::string_view json);
+AddressedEndpointList parseEndpointList(std::string_view json);
 /// As above, from an object of a document that is already parsed.
-EndpointListing readEndpointListing(const JsonObject& object);
+AddressedEndpointList readEndpointList(const JsonObject& object);
 
 }  // namespace wingproxy::config
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -52,9 +52,9 @@
 }
 
 /// Whatever kind the file says: what an earlier run knew may be old.
-EndpointListing readCachedEndpoints(const JsonObject& root) {
-    EndpointListing cached;
-    if (root.has("known")) cached = readEndpointListing(root.child("known"));
+AddressedEndpointList readCachedEndpoints(const JsonObject& root) {
+    AddressedEndpointList cached;
+    if (root.has("known")) cached = readEndpointList(root.child("known"));
     cached.list.kind = EndpointListKind::Cached;
     return cached;
 }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -8,28 +8,28 @@
 #include <string_view>
 #include <vector>
 
+#include "config/addressed_endpoint_list.h"
 #include "config/config_error.h"
 #include "config/endpoint.h"
-#include "config/endpoint_listing.h"
 #include "wingproxy/policy.h"
 
 namespace wingproxy::config {
 
 /// One configuration. An endpoint with port 0 is absent.
 struct Config {
-    std::string name;                 ///< this front's name, in logs and in the names of its files
-    Endpoint listen;                  ///< for clients
-    Endpoint discovery;               ///< where the endpoint list comes from
-    Settings settings;                ///< of the policy
-    EndpointListing cachedEndpoints;  ///< of an earlier run; its kind is Cached
-    std::vector<Endpoint> peers;      ///< by host index, this host included
-    Endpoint peerListen;              ///< for messages of peers
-    Endpoint peersAll;                ///< reaches every peer
-    Endpoint adminListen;             ///< for operators
-    int inheritedListenerFd = -1;     ///< a descriptor that already listens for clients; -1: none
-    int maxDescriptors = 1024;        ///< that the process may open; the system's own limit may be lower
-    int memoryMb = 192;               ///< memory that the process may use, in MiB
-    Micros connIdleUs = 30'000'000;   ///< after which an unused connection to a node is closed
+    std::string name;                       ///< this front's name, in logs and in the names of its files
+    Endpoint listen;                        ///< for clients
+    Endpoint discovery;                     ///< where the endpoint list comes from
+    Settings settings;                      ///< of the policy
+    AddressedEndpointList cachedEndpoints;  ///< of an earlier run; its kind is Cached
+    std::vector<Endpoint> peers;            ///< by host index, this host included
+    Endpoint peerListen;                    ///< for messages of peers
+    Endpoint peersAll;                      ///< reaches every peer
+    Endpoint adminListen;                   ///< for operators
+    int inheritedListenerFd = -1;           ///< a descriptor that already listens for clients; -1: none
+    int maxDescriptors = 1024;       ///< that the process may open; the system's own limit may be lower
+    int memoryMb = 192;              ///< memory that the process may use, in MiB
+    Micros connIdleUs = 30'000'000;  ///< after which an unused connection to a node is closed
 };
 
 /// Reads a configuration.
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -104,7 +104,7 @@
     if (result != HttpExchange::Result::Completed) return fail(DiscoveryError::ConnectionLost);
     if (response.result_int() != kStatusOk) return fail(DiscoveryError::UnexpectedStatus);
     try {
-        engine_.endpointListReceived(config::parseEndpointListing(response.body()));
+        engine_.endpointListReceived(config::parseEndpointList(response.body()));
     } catch (const config::ConfigError& error) {
         ++counters_.malformed;
         engine_.logger().warn("discovery: malformed endpoint list dropped, {}", error.what());
--- a/src/net/engine.cpp
+++ b/src/net/engine.cpp
@@ -53,7 +53,7 @@
     process(core::ClientDisconnected{id});
 }
 
-void Engine::endpointListReceived(config::EndpointListing listing) {
+void Engine::endpointListReceived(config::AddressedEndpointList listing) {
     if (listing.list.kind != EndpointListKind::Delta) addresses_.clear();
     for (std::size_t i = 0; i < listing.list.nodes.size(); ++i) {
         const auto& node = listing.list.nodes[i];
--- a/src/net/engine.h
+++ b/src/net/engine.h
@@ -121,7 +121,7 @@
     /// this call returns.
     void attemptFinished(core::AttemptFinished result) { process(std::move(result)); }
     /// Applies a complete endpoint list, or changes to the last one.
-    void endpointListReceived(config::EndpointListing listing);
+    void endpointListReceived(config::AddressedEndpointList listing);
     /// The endpoint list could not be fetched: informs the policy, and the last list stays in use.
     void endpointListUnavailable();
     /// A datagram arrived from another host.
@@ -222,7 +222,7 @@
     Clock clock_;
     ByteBudget bodyBudget_;
     Settings settings_;
-    config::EndpointListing initialEndpoints_;
+    config::AddressedEndpointList initialEndpoints_;
     core::FrontState state_;
     PauseDetector pauseDetector_{std::chrono::steady_clock::now()};
     boost::asio::steady_timer timer_;
--- a/tests/config/endpoint_listing_test.cpp
+++ b/tests/config/addressed_endpoint_list_test.cpp
@@ -1,5 +1,5 @@
 // The endpoint list of discovery: which nodes it becomes, and which field an error names.
-#include "config/endpoint_listing.h"
+#include "config/addressed_endpoint_list.h"
 
 #include "config_test_support.h"
 
@@ -18,7 +18,7 @@
 }  // namespace
 
 TEST_CASE("endpoint list: kind, version and nodes are read") {
-    const auto listing = config::parseEndpointListing(listOf(kEntry));
+    const auto listing = config::parseEndpointList(listOf(kEntry));
     CHECK(listing.list.kind == EndpointListKind::Delta);
     CHECK(listing.list.version == 9);
     CHECK(listing.list.nodes[0].state == NodeState::Draining);
@@ -28,25 +28,25 @@
 }
 
 TEST_CASE("endpoint list: a list with \"reset\" is full") {
-    const auto listing = config::parseEndpointListing(replaced(listOf(kEntry), "false", "true"));
+    const auto listing = config::parseEndpointList(replaced(listOf(kEntry), "false", "true"));
     CHECK(listing.list.kind == EndpointListKind::Full);
 }
 
 TEST_CASE("endpoint list: only a removed node may lack its address") {
     const auto entry = replaced(kEntry, R"("hostPort":"127.0.0.1:80",)", "");
-    const auto removed = config::parseEndpointListing(listOf(replaced(entry, "draining", "removed")));
+    const auto removed = config::parseEndpointList(listOf(replaced(entry, "draining", "removed")));
     CHECK(removed.list.nodes[0].state == NodeState::Removed);
     CHECK(removed.addresses[0] == config::Endpoint{});
-    CHECK(errorOf([&] { config::parseEndpointListing(listOf(entry)); }) == "instances.0.hostPort: missing");
+    CHECK(errorOf([&] { config::parseEndpointList(listOf(entry)); }) == "instances.0.hostPort: missing");
 }
 
 TEST_CASE("endpoint list: a document without the list's fields is rejected") {
     for (const char* invalid : {"", "[]", "{}", R"({"generation":1,"instances":[{}]})", "{\"generation\":1}"})
-        CHECK(errorOf([&] { config::parseEndpointListing(invalid); }) != "");
+        CHECK(errorOf([&] { config::parseEndpointList(invalid); }) != "");
 }
 
 TEST_CASE("endpoint list: an error names the node's invalid field") {
     const InvalidChange cases[] = {{"draining", "asleep", "instances.0.lifecycle"},
                                    {"\"cell\":3", "\"cell\":-3", "instances.0.cell"}};
-    checkErrors(listOf(kEntry), cases, [](const std::string& json) { config::parseEndpointListing(json); });
+    checkErrors(listOf(kEntry), cases, [](const std::string& json) { config::parseEndpointList(json); });
 }
--- a/tests/http/streaming_bodies_test.cpp
+++ b/tests/http/streaming_bodies_test.cpp
@@ -89,7 +89,7 @@
     // A node that stores nothing: the stub server's reader would buffer the whole body.
     std::shared_ptr<ByteStream> receivingNode, sendingNode;
     tcp::acceptor plain(fixture.io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
-    auto list = config::EndpointListing{
+    auto list = config::AddressedEndpointList{
         {EndpointListKind::Delta, 2, {{"s-0", "z", CellIndex(0), 1, NodeState::Ready, 1}}},
         {{"127.0.0.1", plain.local_endpoint().port()}}};
     fixture.engine.endpointListReceived(std::move(list));
