--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -72,7 +72,7 @@
     config.settings.seed = readSeed(root);
     config.peers = readPeers(root);
     readOptionalEndpoint(root, "peer_listen", config.peerListen);
-    readOptionalEndpoint(root, "peers_all", config.peersAll);
+    readOptionalEndpoint(root, "peers_all", config.peerBroadcast);
     readOptionalEndpoint(root, "mgmt", config.adminListen);
     readLimits(root, config);
     config.cachedEndpoints = readCachedEndpoints(root);
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -24,7 +24,7 @@
     AddressedEndpointList cachedEndpoints;  ///< of an earlier run; its kind is Cached
     std::vector<Endpoint> peers;            ///< by host index, this host included
     Endpoint peerListen;                    ///< for messages of peers
-    Endpoint peersAll;                      ///< reaches every peer
+    Endpoint peerBroadcast;                 ///< address that reaches every peer
     Endpoint adminListen;                   ///< for operators
     int inheritedListenerFd = -1;           ///< a descriptor that already listens for clients; -1: none
     int maxDescriptors = 1024;       ///< that the process may open; the system's own limit may be lower
--- a/src/net/peer_transport.cpp
+++ b/src/net/peer_transport.cpp
@@ -31,7 +31,7 @@
 }
 
 void PeerTransport::setPeers(const config::Config& config) {
-    broadcast_ = udpEndpoint(config.peersAll);
+    broadcast_ = udpEndpoint(config.peerBroadcast);
     peerIndexes_.clear();
     peers_.clear();
     for (const auto& peer : config.peers) {
