--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -20,11 +20,11 @@
 
 }  // namespace
 
-HotRestart::HotRestart(boost::asio::io_context& io, std::string folder, std::string front,
+HotRestart::HotRestart(boost::asio::io_context& io, std::string folder, std::string gatewayName,
                        log::Logger& logger)
     : retryTimer_(io),
       folder_(std::move(folder)),
-      front_(std::move(front)),
+      gatewayName_(std::move(gatewayName)),
       logger_(logger),
       serving_(path("serving")),
       successor_(path("successor")),
@@ -75,7 +75,7 @@
         logger_.warn("hot restart: the previous process left no snapshot; starting as after a crash");
         return std::nullopt;
     }
-    auto decoded = decode(*bytes, front_, net::Clock().now());
+    auto decoded = decode(*bytes, gatewayName_, net::Clock().now());
     std::optional<Snapshot> snapshot;
     if (const auto* error = std::get_if<SnapshotError>(&decoded)) {
         ++counters_.rejected;
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -43,8 +43,8 @@
     using TakeOverHandler = std::function<void(std::optional<Snapshot>)>;
 
     /// \param folder exists; both processes name the same one
-    /// \param front the gateway's configured name
-    HotRestart(boost::asio::io_context& io, std::string folder, std::string front, log::Logger& logger);
+    /// \param gatewayName the gateway's configured name
+    HotRestart(boost::asio::io_context& io, std::string folder, std::string gatewayName, log::Logger& logger);
 
     /// Settles the role: `First`, where no other process serves, and the handler is never called. Otherwise
     /// `Successor`, and the handler is called as soon as the service is free: perhaps within this call.
@@ -79,7 +79,7 @@
 
     boost::asio::steady_timer retryTimer_;
     std::string folder_;
-    std::string front_;
+    std::string gatewayName_;
     log::Logger& logger_;
     FileLock serving_;
     FileLock successor_;
--- a/src/hot_restart/snapshot.cpp
+++ b/src/hot_restart/snapshot.cpp
@@ -35,7 +35,7 @@
 
 template <typename Archive>
 void serialize(Archive& archive, Snapshot& snapshot) {
-    archive(snapshot.front, snapshot.takenAt, snapshot.engine.core, snapshot.engine.addresses,
+    archive(snapshot.gatewayName, snapshot.takenAt, snapshot.engine.core, snapshot.engine.addresses,
             snapshot.engine.listVersion, snapshot.openRequestIds);
 }
 
@@ -72,11 +72,13 @@
 
 std::string encode(const Snapshot& snapshot) { return encodeValue(kSnapshotMagic, snapshot); }
 
-std::variant<Snapshot, SnapshotError> decode(std::string_view bytes, std::string_view front, Micros now) {
+std::variant<Snapshot, SnapshotError> decode(std::string_view bytes, std::string_view gatewayName,
+                                             Micros now) {
     auto decoded = decodeValue<Snapshot>(kSnapshotMagic, bytes);
     const auto* snapshot = std::get_if<Snapshot>(&decoded);
     if (!snapshot) return decoded;
-    if (snapshot->front != front) return SnapshotError{SnapshotErrorCode::OtherInstance, snapshot->front};
+    if (snapshot->gatewayName != gatewayName)
+        return SnapshotError{SnapshotErrorCode::OtherInstance, snapshot->gatewayName};
     if (now - snapshot->takenAt > kMaxSnapshotAge) return SnapshotError{SnapshotErrorCode::Expired};
     if (snapshot->engine.addresses.size() != snapshot->engine.core.endpoints.size())
         return SnapshotError{SnapshotErrorCode::InconsistentAddresses};
--- a/src/hot_restart/snapshot.h
+++ b/src/hot_restart/snapshot.h
@@ -16,7 +16,7 @@
 
 /// The state that passes to the successor when the service is transferred to it.
 struct Snapshot {
-    std::string front;                        ///< the gateway's configured name
+    std::string gatewayName;                  ///< the gateway's configured name
     Micros takenAt = 0;                       ///< Unix microseconds
     net::EngineSnapshot engine;               ///< endpoint list, drains, and the policy's state
     std::vector<std::string> openRequestIds;  ///< Req-Ids that the old process has not answered yet
@@ -34,10 +34,10 @@
 
 /// The snapshot of a file that is complete, fresh and of this gateway; else the first check that failed.
 /// Checks format and checksum before the payload, and the payload before its values. \param bytes the
-/// complete file \param front the name of this gateway; a snapshot of another one is rejected \param now Unix
-/// microseconds
-[[nodiscard]] std::variant<Snapshot, SnapshotError> decode(std::string_view bytes, std::string_view front,
-                                                           Micros now);
+/// complete file \param gatewayName the name of this gateway; a snapshot of another one is rejected \param
+/// now Unix microseconds
+[[nodiscard]] std::variant<Snapshot, SnapshotError> decode(std::string_view bytes,
+                                                           std::string_view gatewayName, Micros now);
 
 /// The complete file with these orders.
 [[nodiscard]] std::string encodeOverrides(const core::AdminOverrides& overrides);
--- a/tests/golden/golden_stored_data_test.cpp
+++ b/tests/golden/golden_stored_data_test.cpp
@@ -77,7 +77,7 @@
     host.reduce(kSnapshotAt, PeerMessageReceived{HostIndex(1), message});
     host.reduce(kSnapshotAt, core::AdminOverrideChanged{"b", {true, kSnapshotAt}});
     hot_restart::Snapshot snapshot;
-    snapshot.front = "front-0";
+    snapshot.gatewayName = "front-0";
     snapshot.takenAt = kSnapshotAt;
     snapshot.engine.core = core::takeSnapshot(host.state, kSnapshotAt);
     for (std::uint16_t port = 8'001; snapshot.engine.addresses.size() < snapshot.engine.core.endpoints.size();
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -56,7 +56,7 @@
     }
     [[nodiscard]] static Snapshot snapshot() {
         Snapshot taken;
-        taken.front = "n0";
+        taken.gatewayName = "n0";
         taken.takenAt = net::Clock().now();
         taken.openRequestIds = {"0000000000000001"};
         return taken;
@@ -156,7 +156,7 @@
     TwoInstances both;
     both.startBoth();
     Snapshot foreign = TwoInstances::snapshot();
-    foreign.front = "n1";
+    foreign.gatewayName = "n1";
     both.first.hotRestart->transfer(foreign);
     both.untilTakenOver();
     CHECK(!both.second.received);
