--- a/src/config/addressed_endpoint_list.h
+++ b/src/config/addressed_endpoint_list.h
@@ -1,5 +1,5 @@
 /// \file
-/// The endpoint list as discovery sends it and as the configuration's "known" holds it.
+/// The endpoint list in the format of discovery's responses and of the configuration's "known".
 #pragma once
 
 #include <string_view>
@@ -12,16 +12,17 @@
 
 class JsonObject;
 
-/// An endpoint list for the policy, and the address of each node, which the policy does not need.
+/// An endpoint list for the policy, and the addresses of its nodes, which the policy does not need.
 struct AddressedEndpointList {
     EndpointList list;
     std::vector<Endpoint> addresses;  ///< parallel to list.nodes; empty for a removed node without an address
 };
 
-/// Reads one answer of discovery.
-/// \throws ConfigError if it is no JSON or a field of it is wrong
+/// Parses one response of discovery.
+/// \throws ConfigError if it is not a JSON object or one of its fields is missing or invalid
 AddressedEndpointList parseEndpointList(std::string_view json);
-/// As above, from an object of a document that is already parsed.
+/// Reads a list from an object of a document that is already parsed.
+/// \throws ConfigError if a field is missing or invalid
 AddressedEndpointList readEndpointList(const JsonObject& object);
 
 }  // namespace wingproxy::config
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -13,7 +13,7 @@
 namespace wingproxy::config {
 namespace {
 
-/// Below it no descriptors are left for clients beside those of the listeners, discovery and the log.
+/// With fewer descriptors the listeners, discovery and the log would leave none for clients.
 constexpr int kMinDescriptors = 32;
 constexpr int kMinMemoryMb = 16;
 /// Descriptors 0 to 2 are the standard streams.
@@ -29,7 +29,7 @@
 
 std::uint64_t readSeed(const JsonObject& root) {
     const auto seed = parseHexadecimal<std::uint64_t>(root.text("seed"));
-    if (!seed) root.fail("seed", "not a hexadecimal number");
+    if (!seed) root.fail("seed", "not a 64-bit hexadecimal number");
     return *seed;
 }
 
@@ -46,12 +46,14 @@
     const auto limits = root.child("limits");
     limits.number("sockets", config.maxDescriptors);
     if (config.maxDescriptors < kMinDescriptors)
-        limits.fail("sockets", fmt::format("below {}", kMinDescriptors));
+        limits.fail("sockets",
+                    fmt::format("{} is below the minimum of {}", config.maxDescriptors, kMinDescriptors));
     limits.number("memory_mb", config.memoryMb);
-    if (config.memoryMb < kMinMemoryMb) limits.fail("memory_mb", fmt::format("below {}", kMinMemoryMb));
+    if (config.memoryMb < kMinMemoryMb)
+        limits.fail("memory_mb", fmt::format("{} is below the minimum of {}", config.memoryMb, kMinMemoryMb));
 }
 
-/// Whatever kind the file says: what an earlier run knew may be old.
+/// The list's kind is always Cached, whatever the file says: endpoints of an earlier run may be outdated.
 AddressedEndpointList readCachedEndpoints(const JsonObject& root) {
     AddressedEndpointList cached;
     if (root.has("known")) cached = readEndpointList(root.child("known"));
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,6 +1,6 @@
 /// \file
-/// The configuration file of a front, decoded into plain values. The program reads it at its start and again
-/// on SIGHUP. No other module sees the file's format.
+/// The configuration file of a front, decoded into plain values. The program reads it at startup and again on
+/// SIGHUP. No other module depends on the file's format.
 #pragma once
 
 #include <algorithm>
@@ -17,32 +17,33 @@
 
 /// One configuration. An endpoint with port 0 is absent.
 struct Config {
-    std::string name;                       ///< this front's name, in logs and in the names of its files
-    Endpoint listen;                        ///< for clients
-    Endpoint discovery;                     ///< where the endpoint list comes from
+    std::string name;                       ///< this front's name, in logs and in hot restart snapshots
+    Endpoint listen;                        ///< where clients connect
+    Endpoint discovery;                     ///< where the endpoint list is fetched
     Settings settings;                      ///< of the policy
-    AddressedEndpointList cachedEndpoints;  ///< of an earlier run; its kind is Cached
+    AddressedEndpointList cachedEndpoints;  ///< known from an earlier run; the list's kind is Cached
     std::vector<Endpoint> peers;            ///< by host index, this host included
-    Endpoint peerListen;                    ///< for messages of peers
+    Endpoint peerListen;                    ///< where messages of peers arrive
     Endpoint peerBroadcast;                 ///< address that reaches every peer
-    Endpoint adminListen;                   ///< for operators
-    int inheritedListenerFd = -1;           ///< a descriptor that already listens for clients; -1: none
-    int maxDescriptors = 1024;       ///< that the process may open; the system's own limit may be lower
-    int memoryMb = 192;              ///< memory that the process may use, in MiB
-    Micros connIdleUs = 30'000'000;  ///< after which an unused connection to a node is closed
+    Endpoint adminListen;                   ///< where admin requests arrive
+    int inheritedListenerFd = -1;           ///< socket that already listens for clients; -1: none
+    int maxDescriptors = 1024;              ///< most open descriptors; the system's own limit may be lower
+    int memoryMb = 192;                     ///< memory that the process may use, in MiB
+    /// Idle timeout of connections to nodes; this front closes them after half of it.
+    Micros connIdleUs = 30'000'000;
 };
 
-/// Reads a configuration.
+/// Parses the text of a configuration file.
 /// \throws ConfigError for the first field that is missing or wrong
 Config parseConfig(std::string_view json);
 
-/// Adds what the environment says.
-/// \param adminListen value of PROXY_MGMT, which counts where the file has no such address; null if not set
+/// Applies the environment variables that supplement the file.
+/// \param adminListen value of PROXY_MGMT, used only if the file has no admin address; null if not set
 /// \param listenerFd value of PROXY_FD; null if not set
 /// \throws ConfigError if one of them is malformed
 void applyEnvironment(Config& config, const char* adminListen, const char* listenerFd);
 
-/// The index of the class or plan with this name, if there is one.
+/// The index of the class or plan with this name; none if the list does not have it.
 /// \tparam IndexType `ClassIndex` or `PlanIndex`
 template <typename IndexType, typename List>
 IndexType indexOf(const List& list, std::string_view name) {
--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -1,5 +1,5 @@
 /// \file
-/// The error of everything that reads a configuration: which field is wrong, and why.
+/// The error that all configuration readers throw: which field is invalid, and why.
 #pragma once
 
 #include <stdexcept>
@@ -7,12 +7,12 @@
 
 namespace wingproxy::config {
 
-/// A configuration, an endpoint list or an environment variable cannot be used. `what()` is one line,
-/// "FIELD: reason".
+/// A configuration, an endpoint list or an environment variable is invalid. `what()` is one line,
+/// "FIELD: REASON".
 struct ConfigError : std::runtime_error {
     /// \param fieldPath the field as in the file, e.g. "limits.sockets", or an environment variable's name;
-    ///     where no single field is at fault, the name of the document or file
-    /// \param reason what is wrong with it
+    ///     the name of the document or file if no single field is invalid
+    /// \param reason which rule the value breaks
     ConfigError(std::string fieldPath, std::string reason);
 
     const std::string fieldPath;
--- a/src/config/endpoint.h
+++ b/src/config/endpoint.h
@@ -1,5 +1,5 @@
 /// \file
-/// Network addresses as the configuration and discovery write them.
+/// Network addresses in the notation of the configuration and of discovery.
 #pragma once
 
 #include <compare>
@@ -9,18 +9,18 @@
 
 namespace wingproxy::config {
 
-/// An IPv4 address in dotted form and a port. Port 0 of an optional address: there is none.
+/// An IPv4 address in dotted-decimal notation and a port. An optional address with port 0 is absent.
 struct Endpoint {
     std::string host;
     std::uint16_t port = 0;
-    /// Orders by the address as text, then by port; made for equality and for ordered containers.
-    // clang-tidy 14 takes the 0 of the defaulted comparison for a null pointer.
+    /// Orders by the address as text, then by port; meant for equality and for ordered containers.
+    // clang-tidy 14 mistakes the 0 of the defaulted comparison for a null pointer.
     auto operator<=>(const Endpoint&) const = default;  // NOLINT(modernize-use-nullptr)
 };
 
-/// Reads "ADDRESS:PORT".
-/// \param field names the text in the error
-/// \throws ConfigError if `text` is no IPv4 address and port
+/// Parses "ADDRESS:PORT".
+/// \param field name of the field, for the error
+/// \throws ConfigError if `text` is not an IPv4 address and a port
 Endpoint parseEndpoint(std::string_view text, std::string_view field);
 
 }  // namespace wingproxy::config
--- a/src/config/json_object.cpp
+++ b/src/config/json_object.cpp
@@ -22,7 +22,7 @@
 
 std::string JsonObject::text(std::string_view key) const {
     std::string_view value;
-    if (required(key).get(value)) fail(key, "not a text");
+    if (required(key).get(value)) fail(key, "not a string");
     return std::string(value);
 }
 
@@ -56,7 +56,7 @@
 
 std::vector<element> JsonObject::list(std::string_view key) const {
     simdjson::dom::array array;
-    if (required(key).get(array)) fail(key, "not a list");
+    if (required(key).get(array)) fail(key, "not an array");
     return {array.begin(), array.end()};
 }
 
@@ -75,7 +75,7 @@
     std::vector<std::string> texts;
     for (const auto& item : list(key)) {
         std::string_view value;
-        if (item.get(value)) fail(fmt::format("{}.{}", key, texts.size()), "not a text");
+        if (item.get(value)) fail(fmt::format("{}.{}", key, texts.size()), "not a string");
         texts.emplace_back(value);
     }
     return texts;
--- a/src/config/named_values.h
+++ b/src/config/named_values.h
@@ -1,5 +1,5 @@
 /// \file
-/// The values of an enumeration by the names that a file or wire format has for them, as a constant table.
+/// Constant tables that map the names of a file or wire format to the values of an enumeration.
 /// Header-only, so that every module may use it.
 #pragma once
 
@@ -10,20 +10,20 @@
 
 namespace wingproxy::config {
 
-/// One value of an enumeration and its name in the format.
+/// An enumeration value and its name in the format.
 template <typename T>
 struct NamedValue {
     std::string_view name;
     T value;
 };
 
-/// All values that the format knows.
+/// All names of the format for one enumeration.
 template <typename T, std::size_t Count>
 struct NamedValues {
-    std::string_view kind;  ///< what is named, for errors: "unknown KIND"
+    std::string_view kind;  ///< what the names stand for, in the error "unknown KIND"
     std::array<NamedValue<T>, Count> entries;
 
-    /// The value of this name; empty if the format has no such name.
+    /// The value with this name; empty if the format has no such name.
     constexpr std::optional<T> find(std::string_view name) const {
         for (const auto& entry : entries)
             if (entry.name == name) return entry.value;
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -9,10 +9,10 @@
 namespace wingproxy::config {
 namespace {
 
-/// What a class must allow so that transfers of one direction may run as it.
+/// The retry safety that a class needs to be used for transfers in one direction.
 struct TransferRequirement {
     RetrySafety retrySafety;
-    std::string_view description;  ///< for errors
+    std::string_view description;  ///< of a class that meets it, for errors
 };
 /// A pull only reads, so it may be retried at any time.
 constexpr TransferRequirement kPull{RetrySafety::Idempotent, "an idempotent class"};
@@ -40,28 +40,28 @@
 CellIndex readCell(const JsonObject& object, const Settings& settings) {
     const int cell = static_cast<int>(object.real("cell"));
     if (cell < 0 || (settings.cellCount > 0 && cell >= settings.cellCount))
-        object.fail("cell", "no such cell");
+        object.fail("cell", fmt::format("cell {} does not exist", cell));
     return CellIndex(cell);
 }
 
 Micros readDeadline(const JsonObject& object) {
     Micros deadlineUs = 60'000'000;
     object.milliseconds("deadline_ms", deadlineUs);
-    if (deadlineUs <= 0) object.fail("deadline_ms", "not above 0");
+    if (deadlineUs <= 0) object.fail("deadline_ms", "must be above 0");
     return deadlineUs;
 }
 
 void readNames(const JsonObject& object, RsyncModule& module) {
-    // In rsync's protocol a name ends at white space, "/" begins a path, "#" a command and "@" an answer.
-    constexpr std::string_view kReserved = "/ \t\r\n#@";
+    // In the rsync protocol white space ends a name, "/" begins a path, "#" a command and "@" a response.
+    constexpr std::string_view kReservedCharacters = "/ \t\r\n#@";
     module.name = object.text("name");
-    if (module.name.empty() || module.name.find_first_of(kReserved) != std::string::npos)
-        object.fail("name", "not a module's name");
+    if (module.name.empty() || module.name.find_first_of(kReservedCharacters) != std::string::npos)
+        object.fail("name", fmt::format("'{}' is not a valid module name", module.name));
     object.text("comment", module.comment);
     module.nodeModule = module.name;
     object.text("node_module", module.nodeModule);
     module.volume = object.text("volume");
-    if (module.volume.empty()) object.fail("volume", "empty");
+    if (module.volume.empty()) object.fail("volume", "must not be empty");
 }
 
 RsyncModule readModule(const JsonObject& object, const Settings& settings) {
@@ -70,14 +70,14 @@
     module.plan = readPlan(object, settings);
     module.cell = readCell(object, settings);
     object.number("hosts", module.hosts);
-    if (module.hosts < 1) object.fail("hosts", "below 1");
+    if (module.hosts < 1) object.fail("hosts", fmt::format("{} is below 1", module.hosts));
     object.number("units", module.units);
-    if (module.units <= 0) object.fail("units", "not above 0");
+    if (module.units <= 0) object.fail("units", fmt::format("{} is not above 0", module.units));
     module.deadlineUs = readDeadline(object);
     module.pullClass = readClass(object, "pull_class", settings, kPull);
     module.pushClass = readClass(object, "push_class", settings, kPush);
     if (module.pullClass.isNone() && module.pushClass.isNone())
-        object.fail("pull_class", "missing, and so is push_class");
+        object.fail("pull_class", "missing, and push_class too: a module needs at least one of them");
     return module;
 }
 
@@ -85,7 +85,7 @@
     constexpr int kMaxPort = 65'535;
     int port = 0;
     object.number(key, port);
-    if (port < 0 || port > kMaxPort) object.fail(key, "not a port");
+    if (port < 0 || port > kMaxPort) object.fail(key, fmt::format("{} is not a port number", port));
     return static_cast<std::uint16_t>(port);
 }
 
@@ -93,7 +93,8 @@
     for (std::size_t i = 0; i < modules.size(); ++i)
         for (std::size_t j = 0; j < i; ++j)
             if (modules[i].name == modules[j].name)
-                rsync.fail(fmt::format("modules.{}.name", i), "given twice");
+                rsync.fail(fmt::format("modules.{}.name", i),
+                           fmt::format("duplicate module name '{}'", modules[i].name));
 }
 
 Endpoint readListen(const JsonObject& object) {
--- a/src/config/operator_config.h
+++ b/src/config/operator_config.h
@@ -1,5 +1,5 @@
 /// \file
-/// The operator's configuration file: the optional fronts that the platform's configuration does not know
+/// The operator's configuration file: the optional listeners that the platform's configuration does not cover
 /// (rsync, health checks, agent).
 #pragma once
 
@@ -14,11 +14,11 @@
 
 namespace wingproxy::config {
 
-/// An rsync module that clients see, and the requests that its transfers become.
+/// An rsync module that is offered to clients, and the properties of the requests that its transfers become.
 struct RsyncModule {
     std::string name;
-    std::string comment;     ///< in the list of modules
-    std::string nodeModule;  ///< the module's name at the nodes
+    std::string comment;     ///< shown in the list of modules
+    std::string nodeModule;  ///< name of the module on the nodes
     std::string volume;
     PlanIndex plan;
     CellIndex cell{0};      ///< the cell that holds the module's files
@@ -26,26 +26,27 @@
     ClassIndex pullClass;   ///< none: clients may not pull
     ClassIndex pushClass;   ///< none: clients may not push
     double units = 1;       ///< units of work of a transfer
-    Micros deadlineUs = 0;  ///< duration of a transfer at the most
+    Micros deadlineUs = 0;  ///< longest duration of a transfer
 };
 
 /// The front for rsync clients: where it listens and the modules that it offers.
 struct RsyncFront {
     Endpoint listen;
-    std::uint16_t nodePort = 0;  ///< rsync port of the nodes; 0: the port that discovery gives
-    std::string motd;            ///< sent to each client first; empty: nothing
+    std::uint16_t nodePort = 0;  ///< rsync port of the nodes; 0: the port from the endpoint list
+    std::string motd;            ///< message of the day, sent to each client first; empty: none
     std::vector<RsyncModule> modules;
 };
 
-/// The fronts that are configured; each is empty if it is not to be started.
+/// The listeners that the file configures; those that it omits are empty and not started.
 struct OperatorConfig {
     std::optional<RsyncFront> rsync;
     std::optional<Endpoint> health;
     std::optional<Endpoint> agent;
 };
 
-/// Reads the operator's file.
-/// \param settings of the front's configuration; the file names classes, plans and cells of it
+/// Parses the operator's file.
+/// \param settings of the front's configuration, which defines the classes, plans and cells that the file
+///     refers to
 /// \throws ConfigError for the first field that is missing or wrong
 OperatorConfig parseOperatorConfig(std::string_view json, const Settings& settings);
 
--- a/src/config/parse_number.h
+++ b/src/config/parse_number.h
@@ -1,5 +1,5 @@
 /// \file
-/// Reading numbers from text that holds nothing else. Header-only, so that every module may use it.
+/// Parses text that consists of one number. Header-only, so that every module may use it.
 #pragma once
 
 #include <charconv>
@@ -21,7 +21,7 @@
     return value;
 }
 
-/// As above, with hexadecimal digits and no prefix.
+/// Like `parseNumber`, for an integer in hexadecimal digits without a prefix.
 template <std::integral T>
 std::optional<T> parseHexadecimal(std::string_view text) {
     constexpr int kBase = 16;
--- a/src/config/settings_fields.h
+++ b/src/config/settings_fields.h
@@ -1,11 +1,10 @@
 /// \file
-/// The fields of the policy's settings: the name of each field and the member of `Settings` that it fills.
-/// Two formats have these fields, the JSON configuration (settings_reader.cpp) and the simulator's wire
-/// (adapter/wire_settings.cpp); both readers use this one description. Header-only, so that the adapter needs
-/// no JSON library.
+/// Maps the field names of the policy's settings to the members of `Settings`. Two formats share these
+/// functions: the JSON configuration (settings_reader.cpp) and the simulator's wire format
+/// (adapter/wire_settings.cpp). Header-only, so that the adapter needs no JSON library.
 ///
-/// A `Reader` stands for one object of either format. Its functions leave the target as it is where the field
-/// is missing, and throw the format's own error where it is malformed:
+/// A `Reader` reads one object of either format. Its functions leave the target unchanged if the field is
+/// missing, and throw the format's own error if it is malformed:
 ///
 ///     void number(std::string_view key, T& into) const;   // T: any arithmetic type
 ///     void flag(std::string_view key, bool& into) const;
@@ -30,13 +29,13 @@
 inline constexpr NamedValues<KeyScope, 3> kKeyScopeNames{
     "scope", {{{"all", KeyScope::Global}, {"zone", KeyScope::Zone}, {"cell", KeyScope::Cell}}}};
 
-/// Value of "report.how" where load reports come only with health checks; any other value: with each answer
-/// too.
+/// Value of "report.how" if nodes report their load only with health checks. With any other value they report
+/// it with each response too.
 inline constexpr std::string_view kReportsOnlyByHealthCheck = "probe";
-/// Value of "registryMode" where the endpoint list must be polled; any other value: it is pushed.
+/// Value of "registryMode" if the endpoint list must be polled. With any other value it is pushed.
 inline constexpr std::string_view kPolledEndpointList = "on_request";
 
-/// Fields of one entry of "classes" but for its name.
+/// Reads the fields of one entry of "classes", except its name.
 template <typename Reader>
 void readClassFields(const Reader& reader, ClassInfo& info) {
     reader.number("aimUs", info.latencyObjectiveUs);
@@ -50,7 +49,7 @@
     reader.choice("keyScope", info.keyScope, kKeyScopeNames);
 }
 
-/// Fields of one entry of "serviceLevels" but for its name.
+/// Reads the fields of one entry of "serviceLevels", except its name.
 template <typename Reader>
 void readPlanFields(const Reader& reader, PlanInfo& plan) {
     reader.number("baseRate", plan.baseRate);
@@ -62,7 +61,7 @@
     reader.number("limitSlack", plan.limitSlack);
 }
 
-/// Fields of the settings themselves that say which host this is.
+/// Reads the top-level fields that identify this host: its index, the number of hosts and its zone.
 template <typename Reader>
 void readHostFields(const Reader& reader, Settings& settings) {
     int hostIndex = settings.hostIndex.value();
@@ -72,7 +71,7 @@
     reader.text("zone", settings.zone);
 }
 
-/// Field "how" of "report".
+/// Reads "how" of "report".
 template <typename Reader>
 void readLoadReportMode(const Reader& report, Settings& settings) {
     std::string how;
@@ -80,7 +79,7 @@
     settings.loadReportsOnlyByHealthCheck = how == kReportsOnlyByHealthCheck;
 }
 
-/// Field "registryMode" of the settings themselves.
+/// Reads the top-level field "registryMode".
 template <typename Reader>
 void readEndpointListMode(const Reader& reader, Settings& settings) {
     std::string mode;
@@ -88,13 +87,13 @@
     settings.pollsEndpointList = mode == kPolledEndpointList;
 }
 
-/// Field "roundUs" of the settings themselves.
+/// Reads the top-level field "roundUs".
 template <typename Reader>
 void readRoundField(const Reader& reader, Settings& settings) {
     reader.number("roundUs", settings.roundUs);
 }
 
-/// Fields of "allowed": what the deployment permits.
+/// Reads the fields of "allowed": what the deployment permits.
 template <typename Reader>
 void readAllowedFields(const Reader& allowed, Settings& settings) {
     allowed.number("tryLimit", settings.maxAttempts);
@@ -107,7 +106,7 @@
     allowed.number("connectTimeoutUs", settings.connectTimeoutUs);
 }
 
-/// Fields of "obligations": what the deployment demands.
+/// Reads the fields of "obligations": what the deployment requires.
 template <typename Reader>
 void readObligationFields(const Reader& obligations, Settings& settings) {
     obligations.number("answerSlackUs", settings.responseSlackUs);
@@ -123,7 +122,8 @@
     obligations.number("warmAfterUs", settings.slowStartDurationUs);
 }
 
-/// Fields of "extra" but for "changesData": sizes of requests and of the tier.
+/// Reads the fields of "extra", except "changesData": units in slow start, request sizes, weights, the
+/// metering window and the number of cells.
 template <typename Reader>
 void readExtraFields(const Reader& extra, Settings& settings) {
     extra.number("coldBears", settings.slowStartUnits);
--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -7,7 +7,8 @@
 namespace wingproxy::config {
 namespace {
 
-/// The policy sizes a table by the number of cells: a damaged file must not exhaust the memory.
+/// The policy sizes a table by the number of cells, so an invalid file with a huge one must not exhaust the
+/// memory.
 constexpr int kMaxCells = 100'000;
 
 ClassInfo readClass(const JsonObject& object) {
@@ -31,13 +32,13 @@
     readLoadReportMode(report, settings);
 }
 
-/// "changesData" says of each class, by its index, whether its requests write. It may be shorter or longer
-/// than the list of classes.
+/// "changesData" has a boolean for each class index: whether requests of the class write. The array may be
+/// shorter or longer than that of the classes.
 void readWritingClasses(const JsonObject& extra, std::vector<ClassInfo>& classes) {
     if (!extra.has("changesData")) return;
     const auto writes = extra.list("changesData");
     for (std::size_t i = 0; i < writes.size() && i < classes.size(); ++i)
-        if (writes[i].get(classes[i].writes)) extra.fail("changesData", "not a list of true or false");
+        if (writes[i].get(classes[i].writes)) extra.fail("changesData", "not an array of true or false");
 }
 
 }  // namespace
@@ -49,8 +50,8 @@
         settings.classes.push_back(readClass(entry));
     for (const auto& entry : object.objects("serviceLevels"))
         settings.plans.push_back(readPlan(entry));
-    if (settings.classes.empty()) object.fail("classes", "empty");
-    if (settings.plans.empty()) object.fail("serviceLevels", "empty");
+    if (settings.classes.empty()) object.fail("classes", "must not be empty");
+    if (settings.plans.empty()) object.fail("serviceLevels", "must not be empty");
     readLoadReport(object, settings);
     readEndpointListMode(object, settings);
     readRoundField(object, settings);
@@ -59,8 +60,11 @@
     const auto extra = object.child("extra");
     readExtraFields(extra, settings);
     readWritingClasses(extra, settings.classes);
-    if (!settings.hostIndex.isBelow(settings.hostCount)) object.fail("me", "not below replicasOfMe");
-    if (settings.cellCount < 0 || settings.cellCount > kMaxCells) extra.fail("shards", "out of range");
+    if (!settings.hostIndex.isBelow(settings.hostCount))
+        object.fail("me", fmt::format("{} is not between 0 and replicasOfMe - 1 = {}",
+                                      settings.hostIndex.value(), settings.hostCount - 1));
+    if (settings.cellCount < 0 || settings.cellCount > kMaxCells)
+        extra.fail("shards", fmt::format("{} is not between 0 and {}", settings.cellCount, kMaxCells));
     return settings;
 }
 
--- a/src/config/settings_reader.h
+++ b/src/config/settings_reader.h
@@ -1,6 +1,5 @@
 /// \file
-/// Reads the policy's settings from "settings" of the JSON configuration. Only for the sources of this
-/// folder.
+/// Reads the policy's settings from "settings" of the JSON configuration. Private to this folder.
 #pragma once
 
 #include "config/json_object.h"
@@ -8,8 +7,8 @@
 
 namespace wingproxy::config {
 
-/// Reads all settings but the seed, which stands outside this object.
-/// \throws ConfigError if a required field is missing or a field is wrong
+/// Reads all settings except the seed, which is not part of this object.
+/// \throws ConfigError if a required field is missing or a field is invalid
 Settings readSettings(const JsonObject& object);
 
 }  // namespace wingproxy::config
--- a/tests/cli/cli_test.cpp
+++ b/tests/cli/cli_test.cpp
@@ -53,7 +53,7 @@
         {"--config " + config + " check --operator " + operatorFile, 0, "0 known nodes\n"},
         {"check", 2, "PROXY_CONFIG: not set"},
         {"check --config " + missing, 2, "none.json"},
-        {"check --config " + invalid, 2, "discovery: not a text"},
+        {"check --config " + invalid, 2, "discovery: not a string"},
         {"check --config " + config + " --operator " + invalidOperatorFile, 2, "health.listen"},
         {"detach", 2, "ID is required"},
         {"detach a b", 2, "not expected: b"},
--- a/tests/config/addressed_endpoint_list_test.cpp
+++ b/tests/config/addressed_endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint list of discovery: which nodes it becomes, and which field an error names.
+// The endpoint list of discovery: the nodes that are read, and the field that an error names.
 #include "config/addressed_endpoint_list.h"
 
 #include "config_test_support.h"
@@ -18,18 +18,18 @@
 }  // namespace
 
 TEST_CASE("endpoint list: kind, version and nodes are read") {
-    const auto listing = config::parseEndpointList(listOf(kEntry));
-    CHECK(listing.list.kind == EndpointListKind::Delta);
-    CHECK(listing.list.version == 9);
-    CHECK(listing.list.nodes[0].state == NodeState::Draining);
-    CHECK(listing.list.nodes[0].rating == 1.5);
-    CHECK(listing.list.nodes[0].startedUs == 7000);
-    CHECK(listing.addresses[0] == config::Endpoint{"127.0.0.1", 80});
+    const auto result = config::parseEndpointList(listOf(kEntry));
+    CHECK(result.list.kind == EndpointListKind::Delta);
+    CHECK(result.list.version == 9);
+    CHECK(result.list.nodes[0].state == NodeState::Draining);
+    CHECK(result.list.nodes[0].rating == 1.5);
+    CHECK(result.list.nodes[0].startedUs == 7000);
+    CHECK(result.addresses[0] == config::Endpoint{"127.0.0.1", 80});
 }
 
-TEST_CASE("endpoint list: a list with \"reset\" is full") {
-    const auto listing = config::parseEndpointList(replaced(listOf(kEntry), "false", "true"));
-    CHECK(listing.list.kind == EndpointListKind::Full);
+TEST_CASE("endpoint list: a list with \"reset\" has the kind Full") {
+    const auto result = config::parseEndpointList(replaced(listOf(kEntry), "false", "true"));
+    CHECK(result.list.kind == EndpointListKind::Full);
 }
 
 TEST_CASE("endpoint list: only a removed node may lack its address") {
@@ -40,7 +40,7 @@
     CHECK(errorOf([&] { config::parseEndpointList(listOf(entry)); }) == "instances.0.hostPort: missing");
 }
 
-TEST_CASE("endpoint list: a document without the list's fields is rejected") {
+TEST_CASE("endpoint list: a document without the required fields is rejected") {
     for (const char* invalid : {"", "[]", "{}", R"({"generation":1,"instances":[{}]})", "{\"generation\":1}"})
         CHECK(errorOf([&] { config::parseEndpointList(invalid); }) != "");
 }
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -1,4 +1,4 @@
-// The configuration file and the environment: which values the program gets, and which field an error names.
+// The configuration file and the environment: the values that are read, and the field that an error names.
 #include "config/config.h"
 
 #include "config_test_support.h"
@@ -29,7 +29,7 @@
     checkErrors(testConfigText(), cases, [](const std::string& json) { config::parseConfig(json); });
 }
 
-TEST_CASE("config: the settings reach the policy") {
+TEST_CASE("config: the policy's settings are read") {
     const auto config = testConfig();
     CHECK(config.settings.seed == 0x8c1f30d27a5be964ull);
     CHECK(config.settings.classes[1].retrySafety == RetrySafety::IdempotentWithKey);
@@ -39,7 +39,7 @@
     CHECK(config.settings.pollsEndpointList);
 }
 
-TEST_CASE("config: endpoints of an earlier run are cached ones, even if their list was full") {
+TEST_CASE("config: the endpoint list of an earlier run has the kind Cached, even if it was full") {
     REQUIRE(testConfigText().find("\"reset\":true") != std::string::npos);
     CHECK(testConfig().cachedEndpoints.list.kind == EndpointListKind::Cached);
 }
@@ -53,7 +53,7 @@
     CHECK(config.adminListen.port == 0);
 }
 
-TEST_CASE("config: PROXY_MGMT counts where the file has no address for operators") {
+TEST_CASE("config: PROXY_MGMT is used only if the file has no admin address") {
     config::Config config;
     config::applyEnvironment(config, "127.0.0.1:9", nullptr);
     CHECK(config.adminListen == config::Endpoint{"127.0.0.1", 9});
@@ -61,7 +61,7 @@
     CHECK(config.adminListen.port == 9);
 }
 
-TEST_CASE("config: PROXY_FD names a descriptor above the standard streams") {
+TEST_CASE("config: PROXY_FD must be a descriptor above the standard streams") {
     config::Config config;
     config::applyEnvironment(config, nullptr, "7");
     CHECK(config.inheritedListenerFd == 7);
@@ -69,6 +69,6 @@
         CHECK(errorOf([&] { config::applyEnvironment(config, nullptr, invalid); }).starts_with("PROXY_FD: "));
 }
 
-TEST_CASE("config: a file that cannot be read is named") {
+TEST_CASE("config: the error about an unreadable file names it") {
     CHECK(errorOf([] { config::readFile("/nonexistent.json"); }) == "/nonexistent.json: cannot be read");
 }
--- a/tests/config/config_test_support.h
+++ b/tests/config/config_test_support.h
@@ -1,5 +1,5 @@
 /// \file
-/// Helpers of the configuration's tests: the error that a change to a valid document causes.
+/// Helpers of the configuration tests: check the error that a change to a valid document causes.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 
 namespace wingproxy::test {
 
-/// The text of the ConfigError that `function` throws; empty if it throws none.
+/// The message of the ConfigError that `function` throws; empty if it throws none.
 template <typename Function>
 std::string errorOf(Function&& function) {
     try {
--- a/tests/config/endpoint_test.cpp
+++ b/tests/config/endpoint_test.cpp
@@ -1,4 +1,4 @@
-// Addresses: what is an IPv4 address and a port.
+// Which texts are accepted as an IPv4 address and a port.
 #include "config/endpoint.h"
 
 #include "config_test_support.h"
@@ -6,7 +6,7 @@
 using namespace wingproxy;
 using namespace wingproxy::test;
 
-TEST_CASE("endpoint: an IPv4 address and a port") {
+TEST_CASE("endpoint: an IPv4 address and a port are accepted") {
     CHECK(config::parseEndpoint("127.0.0.1:80", "listen") == config::Endpoint{"127.0.0.1", 80});
     CHECK(config::parseEndpoint("255.0.10.9:65535", "listen") == config::Endpoint{"255.0.10.9", 65535});
 }
--- a/tests/config/json_object_test.cpp
+++ b/tests/config/json_object_test.cpp
@@ -1,4 +1,4 @@
-// The JSON reader: required and optional fields, and the paths that errors name.
+// JSON objects: required and optional fields, and the paths in errors.
 #include "config/json_object.h"
 
 #include "config_test_support.h"
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("JSON object: a text that is no object is an error of the document") {
+TEST_CASE("JSON object: a text that is not a JSON object is an error that names the document") {
     CHECK(errorOf([] { Document("[]"); }).starts_with("document: "));
     CHECK(errorOf([] { Document("{"); }).starts_with("document: "));
 }
@@ -29,7 +29,7 @@
     CHECK(errorOf([&] { (void)document.object.text("a"); }) == "a: missing");
 }
 
-TEST_CASE("JSON object: a missing optional field leaves its target") {
+TEST_CASE("JSON object: a missing optional field leaves its target unchanged") {
     const Document document("{}");
     int number = 5;
     bool flag = true;
@@ -47,18 +47,19 @@
     int number = 0;
     bool flag = false;
     CHECK(errorOf([&] { document.object.number("number", number); }) == "number: not a number");
-    CHECK(errorOf([&] { document.object.number("large", number); }) == "large: out of range");
+    CHECK(errorOf([&] { document.object.number("large", number); }) == "large: 1e+16 is out of range");
     CHECK(errorOf([&] { document.object.flag("flag", flag); }) == "flag: not true or false");
-    CHECK(errorOf([&] { (void)document.object.text("text"); }) == "text: not a text");
+    CHECK(errorOf([&] { (void)document.object.text("text"); }) == "text: not a string");
     CHECK(errorOf([&] { (void)document.object.child("object"); }) == "object: not an object");
-    CHECK(errorOf([&] { (void)document.object.list("list"); }) == "list: not a list");
+    CHECK(errorOf([&] { (void)document.object.list("list"); }) == "list: not an array");
 }
 
 TEST_CASE("JSON object: an error names the path from the root") {
     const Document document(R"({"outer":{"items":[{"name":"a"},{"name":1}],"texts":["a",2]}})");
     const auto outer = document.object.child("outer");
-    CHECK(errorOf([&] { (void)outer.objects("items")[1].text("name"); }) == "outer.items.1.name: not a text");
-    CHECK(errorOf([&] { (void)outer.texts("texts"); }) == "outer.texts.1: not a text");
+    CHECK(errorOf([&] { (void)outer.objects("items")[1].text("name"); }) ==
+          "outer.items.1.name: not a string");
+    CHECK(errorOf([&] { (void)outer.texts("texts"); }) == "outer.texts.1: not a string");
 }
 
 TEST_CASE("JSON object: milliseconds become microseconds, without a fraction of a millisecond") {
--- a/tests/config/operator_config_test.cpp
+++ b/tests/config/operator_config_test.cpp
@@ -1,4 +1,4 @@
-// The operator's file: the fronts that it starts, and which field an error names.
+// The operator's file: the listeners that it configures, and the field that an error names.
 #include "config/operator_config.h"
 
 #include "config_test_support.h"
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-TEST_CASE("operator config: the fronts that it names are read") {
+TEST_CASE("operator config: the listeners of the file are read") {
     const auto operatorConfig = config::parseOperatorConfig(kValid, validSettings());
     CHECK(operatorConfig.rsync->modules[0].pushClass == ClassIndex(1));
     CHECK(operatorConfig.rsync->modules[0].nodeModule == "m");
@@ -24,7 +24,7 @@
     CHECK(!operatorConfig.health.has_value());
 }
 
-TEST_CASE("operator config: an empty file starts no front") {
+TEST_CASE("operator config: an empty file has no rsync listener") {
     CHECK(!config::parseOperatorConfig("{}", validSettings()).rsync.has_value());
 }
 
@@ -49,15 +49,15 @@
     checkErrors(kValid, cases, [&](const std::string& json) { config::parseOperatorConfig(json, settings); });
 }
 
-TEST_CASE("operator config: two modules of one name are rejected") {
+TEST_CASE("operator config: two modules with the same name are rejected") {
     const std::string secondModule =
         R"({"name":"m","volume":"v","plan":"basico","cell":1,"pull_class":"lectura"},)";
     const auto text = replaced(kValid, "[{", "[" + secondModule + "{");
     CHECK(errorOf([&] { config::parseOperatorConfig(text, validSettings()); }) ==
-          "rsync.modules.1.name: given twice");
+          "rsync.modules.1.name: duplicate module name 'm'");
 }
 
-TEST_CASE("operator config: the example of the deployment is valid") {
+TEST_CASE("operator config: deploy/operator.example.json is valid") {
     const auto example = config::readFile(std::string(WINGPROXY_SOURCE) + "/deploy/operator.example.json");
     auto settings = validSettings();
     settings.classes.push_back({"exportacion"});
--- a/tests/config/reload_differences_test.cpp
+++ b/tests/config/reload_differences_test.cpp
@@ -1,4 +1,4 @@
-// Reload: which differences between two configurations need a restart.
+// Which differences between two configurations need a restart.
 #include "config/reload_differences.h"
 
 #include "config_test_support.h"
@@ -11,7 +11,7 @@
     CHECK(config::fieldsNeedingRestart(config, config) == "");
 }
 
-TEST_CASE("reload: what a running program can change needs no restart") {
+TEST_CASE("reload: fields that a running program can change need no restart") {
     const auto running = testConfig();
     auto reloaded = running;
     reloaded.settings.seed += 1;
@@ -21,7 +21,7 @@
     CHECK(config::fieldsNeedingRestart(running, reloaded) == "");
 }
 
-TEST_CASE("reload: fields that need a restart are named as in the file") {
+TEST_CASE("reload: fields that need a restart have their names in the file") {
     const auto running = testConfig();
     auto reloaded = running;
     reloaded.name = "other";
--- a/tests/support/start_front.sh
+++ b/tests/support/start_front.sh
@@ -69,4 +69,4 @@
 PROXY_CONFIG="$folder/bad.json" "$front_binary" 2>"$folder/log" || code=$?
 [ "$code" -eq 2 ]
 [ "$(wc -l <"$folder/log")" -eq 1 ]
-grep -q 'discovery: not a text' "$folder/log"
+grep -q 'discovery: not a string' "$folder/log"
