--- a/src/hot_restart/file_lock.cpp
+++ b/src/hot_restart/file_lock.cpp
@@ -13,7 +13,7 @@
 
 int flockOperation(FileLock::Mode mode) { return mode == FileLock::Mode::Shared ? LOCK_SH : LOCK_EX; }
 
-/// `flock`, started again when a signal interrupts it.
+/// Calls `flock` again if a signal interrupts it.
 bool flockUninterrupted(int fd, int operation) {
     while (::flock(fd, operation) != 0) {
         if (errno != EINTR) return false;
--- a/src/hot_restart/file_lock.h
+++ b/src/hot_restart/file_lock.h
@@ -1,5 +1,5 @@
 /// \file
-/// An advisory lock on a file, by which the processes of one gateway agree on who serves.
+/// An advisory file lock, by which the processes of one gateway decide which of them serves.
 #pragma once
 
 #include <string>
@@ -7,31 +7,32 @@
 
 namespace wingproxy::hot_restart {
 
-/// An `flock` on a file of its own. The kernel releases it when the process ends, however it ends.
+/// An `flock` on a file that exists only for this purpose. The kernel releases it when the process ends,
+/// however it ends.
 ///
 /// Two `FileLock` objects on the same path exclude each other also within one process.
 class FileLock {
 public:
-    /// Which other holders a lock excludes: all, or the exclusive ones only.
+    /// Which other holders the lock excludes: all, or exclusive ones only.
     enum class Mode { Exclusive, Shared };
 
-    /// The file is created by the first attempt to lock it, and never removed.
+    /// The first attempt to lock the file creates it. It is never removed.
     explicit FileLock(std::string path) : path_(std::move(path)) {}
     ~FileLock() { release(); }
     FileLock(const FileLock&) = delete;
     FileLock& operator=(const FileLock&) = delete;
 
-    /// Does not block. A lock that is held already stays as it is, whatever its mode.
-    /// \return false: another holder excludes it, or the file cannot be created
+    /// Does not block. If this object holds the lock already, it keeps it in its present mode.
+    /// \return false if another holder excludes it or the file cannot be opened
     bool tryAcquire(Mode mode = Mode::Exclusive);
 
-    /// Blocks until no other holder excludes it: only for locks that are held for microseconds. Where the
-    /// file cannot be created, it returns at once without the lock.
+    /// Blocks until no other holder excludes it: only for locks that are held for microseconds. Returns at
+    /// once without the lock if the file cannot be opened.
     void acquire(Mode mode = Mode::Exclusive);
 
-    /// Lets others acquire the lock; without effect where it is not held.
+    /// Lets others acquire the lock. Does nothing if it is not held.
     void release();
-    /// Whether this object holds the lock, in whatever mode.
+    /// Whether this object holds the lock, in either mode.
     [[nodiscard]] bool held() const { return fd_ >= 0; }
 
 private:
--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -8,13 +8,13 @@
 namespace wingproxy::hot_restart {
 namespace {
 
-/// How often a successor tries to take over: clients wait in the listener's queue meanwhile, so it is far
-/// below the latency objectives of the classes.
+/// Interval at which a successor tries to take over. Clients wait in the listener's queue meanwhile, so it is
+/// far below the latency objectives of the classes.
 constexpr std::chrono::milliseconds kTakeOverInterval{5};
-/// Bytes: thousands of drained nodes. A longer file is none of ours.
+/// Enough for thousands of drained nodes. A longer file is not an overrides file.
 constexpr std::size_t kMaxOverridesBytes = std::size_t{1024} * 1024;
 
-// File names are stored data: two versions of the program share them.
+// Two versions of the program share these files, so their names must not change.
 constexpr const char* kSnapshotFile = "snapshot";
 constexpr const char* kOverridesFile = "words";
 
@@ -57,7 +57,7 @@
 }
 
 void HotRestart::tryTakeOver() {
-    successor_.tryAcquire();  // where another successor waits already, this one is next after it
+    successor_.tryAcquire();  // fails while another successor waits, which takes over first
     if (!successor_.held() || !serving_.tryAcquire()) {
         scheduleTakeOver();
         return;
@@ -83,7 +83,7 @@
     } else {
         snapshot = std::move(std::get<Snapshot>(decoded));
     }
-    // A lease in it may be used by one process only.
+    // No other process may read the snapshot, since its leases may be used by one process only.
     std::remove(path(kSnapshotFile).c_str());
     return snapshot;
 }
@@ -97,7 +97,7 @@
 
 bool HotRestart::successorWaits() const {
     FileLock successor(path("successor"));
-    // Shared, so that two processes that look at the same time do not take each other for a successor.
+    // Shared, so that two processes that check at the same time do not mistake each other for a successor.
     return !successor.tryAcquire(FileLock::Mode::Shared);
 }
 
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -1,11 +1,11 @@
 /// \file
-/// Which of a gateway's processes serves, and how the service passes from one to the next
+/// Decides which of a gateway's processes serves, and transfers the service from one to the next
 /// (docs/hot_restart.md).
 ///
 /// The processes of one gateway share a folder with three lock files: `wingproxy.serving` is held by the
-/// process that serves, `wingproxy.successor` by one that waits to take over, `wingproxy.leaving` (shared) by
-/// those that have transferred the service and finish what is in flight. Locks are released by the kernel
-/// when their holder dies.
+/// process that serves, `wingproxy.successor` by one that waits to take over, and `wingproxy.leaving`
+/// (shared) by those that have transferred the service and finish their requests in flight. The kernel
+/// releases the locks of a process that dies.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -20,51 +20,53 @@
 
 namespace wingproxy::hot_restart {
 
-/// One process's part in the hot restart. Owns its locks and the files with the snapshot and the overrides.
+/// One process's side of a hot restart: its locks, and the files with the snapshot and the overrides.
 class HotRestart {
 public:
-    /// Counted since the start of the process.
+    /// Totals since the start of the process.
     struct Counters {
-        std::uint64_t restored = 0;       ///< snapshots that this process started from
+        std::uint64_t restored = 0;       ///< snapshots that this process took over
         std::uint64_t transferred = 0;    ///< snapshots that it wrote for its successor
         std::uint64_t rejected = 0;       ///< snapshots and overrides files that did not decode
-        std::uint64_t overridesRead = 0;  ///< overrides files with something new
+        std::uint64_t overridesRead = 0;  ///< overrides files decoded, as their content was new
         std::uint64_t writeFailures = 0;  ///< files that could not be written
     };
-    /// This process's part. `First` and `Serving` become `Transferred`, `Successor` becomes `Serving`.
+    /// This process's role. `First` and `Serving` change to `Transferred`, `Successor` changes to `Serving`.
     enum class Role {
-        First,        ///< serves, and found no other process at its start
+        First,        ///< serves; no other process served when it started
         Successor,    ///< waits until the serving process transfers the service or dies
-        Serving,      ///< serves, after it was a successor
-        Transferred,  ///< has given the service to its successor and finishes what is in flight
+        Serving,      ///< serves, and was a successor before
+        Transferred,  ///< transferred the service to its successor and finishes its requests in flight
     };
-    /// Called once, when a successor begins to serve; without a snapshot where the old process left none that
-    /// can be used.
+    /// Called once, when a successor starts to serve; without a snapshot if the old process left no valid
+    /// one.
     using TakeOverHandler = std::function<void(std::optional<Snapshot>)>;
 
-    /// \param folder exists; both processes name the same one
-    /// \param gatewayName the gateway's configured name
+    /// \param folder an existing folder that all processes of the gateway share
+    /// \param gatewayName the configured name
     HotRestart(boost::asio::io_context& io, std::string folder, std::string gatewayName, log::Logger& logger);
 
-    /// Settles the role: `First`, where no other process serves, and the handler is never called. Otherwise
-    /// `Successor`, and the handler is called as soon as the service is free: perhaps within this call.
+    /// Determines the role: `First` if no other process serves; the handler is then never called. Otherwise
+    /// `Successor`; the handler is called as soon as no other process serves, perhaps within this call.
     void start(TakeOverHandler takeOver);
-    /// Does not call the handler any more.
+    /// Cancels the wait of a successor: the handler is not called any more.
     void stop();
 
     /// `First` before `start`.
     [[nodiscard]] Role role() const { return role_; }
-    /// Whether another process of this gateway, a waiting successor or one that finishes, uses its limits
-    /// now.
+    /// Whether another process of this gateway uses the gateway's limits now: a waiting successor, or one
+    /// that finishes its requests in flight. Always true for a successor and after `transfer`.
     [[nodiscard]] bool anotherProcessRuns() const;
     /// Whether a successor runs and waits for the service.
     [[nodiscard]] bool successorWaits() const;
-    /// Leaves the snapshot and releases the service to the successor.
+    /// Writes the snapshot and releases the service to the successor. If the snapshot cannot be written, the
+    /// successor starts without one.
     void transfer(const Snapshot& snapshot);
 
-    /// Merges this process's overrides with those of the file, and writes the file where that changes it.
-    /// \param own with those that earlier calls returned, as a file that was seen before is not read again
-    /// \return the overrides of both processes
+    /// Merges this process's overrides with those of the file, and writes the file if the result differs.
+    /// \param own this process's overrides, including those that earlier calls returned: a file that equals
+    ///     the result of the last call is not decoded again
+    /// \return the merged overrides
     core::AdminOverrides exchangeOverrides(const core::AdminOverrides& own);
 
     /// Valid as long as this object.
@@ -87,7 +89,7 @@
     FileLock overridesLock_;
     TakeOverHandler takeOver_;
     Role role_ = Role::First;
-    /// Bytes of the overrides file that were read or written last; the same ones are not decoded again.
+    /// The encoded result of the last exchange; a file with the same bytes is not decoded again.
     std::string lastOverrides_;
     Counters counters_;
 };
--- a/src/hot_restart/snapshot.cpp
+++ b/src/hot_restart/snapshot.cpp
@@ -12,7 +12,7 @@
 
 namespace wingproxy {
 
-// The order of the fields below is the stored format.
+// The order of the fields below defines the stored format.
 namespace config {
 template <typename Archive>
 void serialize(Archive& archive, Endpoint& endpoint) {
@@ -41,7 +41,7 @@
 
 namespace {
 
-// Stored data: another payload needs another number.
+// Written to the files: a payload with another format needs another number.
 constexpr std::string_view kSnapshotMagic = "WPS1";
 constexpr std::string_view kOverridesMagic = "WPW1";
 
--- a/src/hot_restart/snapshot.h
+++ b/src/hot_restart/snapshot.h
@@ -1,6 +1,6 @@
 /// \file
-/// What one process of a gateway leaves to the next, as bytes: the snapshot, and the administrative overrides
-/// of both. Owns nothing; no I/O and no clock.
+/// Encodes and decodes what the processes of a gateway exchange: the snapshot that one leaves to the next,
+/// and the administrative overrides of both. Owns nothing; no I/O and no clock.
 #pragma once
 
 #include <cstddef>
@@ -14,38 +14,39 @@
 
 namespace wingproxy::hot_restart {
 
-/// The state that passes to the successor when the service is transferred to it.
+/// The state that a successor receives when the service is transferred to it.
 struct Snapshot {
-    std::string gatewayName;                  ///< the gateway's configured name
+    std::string gatewayName;                  ///< as configured
     Micros takenAt = 0;                       ///< Unix microseconds
-    net::EngineSnapshot engine;               ///< endpoint list, drains, and the policy's state
-    std::vector<std::string> openRequestIds;  ///< Req-Ids that the old process has not answered yet
+    net::EngineSnapshot engine;               ///< endpoint list, drains and state of the policy
+    std::vector<std::string> openRequestIds;  ///< Req-Ids of the requests that the old process still serves
 };
 
-/// A successor reads a snapshot within milliseconds; one that is older than 10 s was left behind by another
-/// pair of processes.
+/// In microseconds. A successor reads a snapshot within milliseconds; one that is older than 10 s was left
+/// behind by another pair of processes.
 constexpr Micros kMaxSnapshotAge = 10'000'000;
-/// Bytes. Far above the state of a process within any memory limit of the protocol; a longer file is no
-/// snapshot.
+/// Far above the state of a process within any memory limit of the protocol; a longer file is not a snapshot.
 constexpr std::size_t kMaxSnapshotBytes = std::size_t{32} * 1024 * 1024;
 
-/// The complete file: header and payload.
+/// Returns the complete file: header and payload.
 [[nodiscard]] std::string encode(const Snapshot& snapshot);
 
-/// The snapshot of a file that is complete, fresh and of this gateway; else the first check that failed.
-/// Checks format and checksum before the payload, and the payload before its values. \param bytes the
-/// complete file \param gatewayName the name of this gateway; a snapshot of another one is rejected \param
-/// now Unix microseconds
+/// The snapshot, if the file is complete, fresh and of this gateway; otherwise the first check that failed.
+/// Checks the format and the checksum before it decodes the payload, and then the decoded values.
+/// \param bytes the complete file
+/// \param gatewayName of this gateway; a snapshot of another one is rejected
+/// \param now Unix microseconds
 [[nodiscard]] std::variant<Snapshot, SnapshotError> decode(std::string_view bytes,
                                                            std::string_view gatewayName, Micros now);
 
-/// The complete file with these orders.
+/// Returns the complete overrides file: header and payload.
 [[nodiscard]] std::string encodeOverrides(const core::AdminOverrides& overrides);
-/// The inverse of `encodeOverrides`. A file has no age and no owner: its orders hold until newer ones come.
+/// The inverse of `encodeOverrides`. The file is not checked for age or gateway: overrides hold until newer
+/// ones replace them.
 [[nodiscard]] std::variant<core::AdminOverrides, SnapshotError> decodeOverrides(std::string_view bytes);
 
-/// Of each node the newer override, and of two at the same time the one that drains: the result does not
-/// depend on the order of the arguments.
+/// Keeps the newer override of each node, and of two with the same time the one that drains: the result does
+/// not depend on the order of the arguments.
 [[nodiscard]] core::AdminOverrides mergeOverrides(core::AdminOverrides merged,
                                                   const core::AdminOverrides& other);
 
--- a/src/hot_restart/snapshot_error.h
+++ b/src/hot_restart/snapshot_error.h
@@ -1,5 +1,5 @@
 /// \file
-/// Why a stored file is rejected.
+/// Errors of decoding a snapshot or an overrides file.
 #pragma once
 
 #include <string>
@@ -7,29 +7,29 @@
 
 namespace wingproxy::hot_restart {
 
-/// Why the bytes of a snapshot or overrides file are rejected. They are used completely or not at all.
+/// Why a snapshot or overrides file is rejected. A file is used as a whole or not at all.
 enum class SnapshotErrorCode {
-    Truncated,              ///< shorter than the header, or not as long as the header says
+    Truncated,              ///< shorter than the header, or of another length than the header says
     UnsupportedFormat,      ///< another kind of file, or another version of it
-    ChecksumMismatch,       ///< the payload was changed
-    Unreadable,             ///< the checksum is right, but the payload does not decode
-    OtherInstance,          ///< written by a gateway of another name
+    ChecksumMismatch,       ///< the payload does not match its CRC-32
+    Unreadable,             ///< the checksum matches, but the payload does not decode
+    OtherInstance,          ///< written by a gateway with another name
     Expired,                ///< older than `kMaxSnapshotAge`
-    InconsistentAddresses,  ///< not one address for each listed node
+    InconsistentAddresses,  ///< the number of addresses differs from that of listed nodes
 };
 
-/// A rejection, with what helps to find out where the file comes from.
+/// The reason of a rejection, with a detail that helps to find the file's origin.
 struct SnapshotError {
     SnapshotErrorCode code = SnapshotErrorCode::Truncated;
-    /// Of `Unreadable` the message of the archive's exception, of `OtherInstance` the name of the gateway
-    /// that wrote the file. Empty for any other code.
+    /// For `Unreadable` the message of the archive's exception, for `OtherInstance` the name of the gateway
+    /// that wrote the file. Empty for all other codes.
     std::string detail{};
 };
 
-/// The code in words, without the detail.
+/// Describes the code for a log line, without the detail.
 [[nodiscard]] std::string_view describe(SnapshotErrorCode code);
 
-/// The error in words for a log line: "CODE, DETAIL", or "CODE" where it has no detail.
+/// Describes the error for a log line: "CODE, DETAIL", or "CODE" if it has no detail.
 [[nodiscard]] std::string describe(const SnapshotError& error);
 
 }  // namespace wingproxy::hot_restart
--- a/tests/hot_restart/atomic_file_test.cpp
+++ b/tests/hot_restart/atomic_file_test.cpp
@@ -1,4 +1,4 @@
-// Files whose readers see the old or the new content, never a part of one.
+// Atomic replacement of files: a reader sees the old or the new content, never a part of one.
 #include "hot_restart/atomic_file.h"
 
 #include <doctest/doctest.h>
@@ -10,7 +10,7 @@
 using namespace wingproxy::hot_restart;
 using wingproxy::test::TemporaryFolder;
 
-TEST_CASE("atomic file: reading returns what was written, whatever bytes it has") {
+TEST_CASE("atomic file: reading returns the bytes that were written, including NUL and non-ASCII ones") {
     TemporaryFolder folder;
     const std::string bytes("a\0\xff\n", 4);
     CHECK(writeFileAtomically(folder.file("x"), bytes));
@@ -25,7 +25,7 @@
     CHECK(!std::filesystem::exists(folder.file("x.new")));
 }
 
-TEST_CASE("atomic file: a write that fails leaves what was there") {
+TEST_CASE("atomic file: a failed write leaves the previous content") {
     TemporaryFolder folder;
     CHECK(writeFileAtomically(folder.file("x"), "first"));
     std::filesystem::create_directory(folder.file("x.new"));
@@ -33,12 +33,12 @@
     CHECK(readFile(folder.file("x"), 100) == "first");
 }
 
-TEST_CASE("atomic file: one that does not exist is not read") {
+TEST_CASE("atomic file: reading a file that does not exist returns nothing") {
     TemporaryFolder folder;
     CHECK(!readFile(folder.file("x"), 100));
 }
 
-TEST_CASE("atomic file: one that is longer than allowed is not read") {
+TEST_CASE("atomic file: reading a file that is longer than allowed returns nothing") {
     TemporaryFolder folder;
     CHECK(writeFileAtomically(folder.file("x"), "12345"));
     CHECK(readFile(folder.file("x"), 5) == "12345");
--- a/tests/hot_restart/checked_file_test.cpp
+++ b/tests/hot_restart/checked_file_test.cpp
@@ -1,4 +1,4 @@
-// The header that every stored file has.
+// The header of the snapshot and of the overrides file: its layout, and what is rejected.
 #include "hot_restart/checked_file.h"
 
 #include <doctest/doctest.h>
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-TEST_CASE("checked file: magic, length, CRC-32 and payload stand in this order, little-endian") {
-    // CRC-32 of "123456789" is 0xCBF43926, the check value of that checksum.
+TEST_CASE("checked file: magic, length, CRC-32 and payload follow in this order, little-endian") {
+    // 0xCBF43926 is the standard check value of CRC-32: its result for "123456789".
     const std::string expected = std::string("TST1") + std::string("\x09\0\0\0\0\0\0\0", 8) +
                                  std::string("\x26\x39\xf4\xcb", 4) + "123456789";
     CHECK(encodeCheckedFile(kMagic, "123456789") == expected);
@@ -40,7 +40,7 @@
     CHECK(errorOf(bytes + "x") == SnapshotErrorCode::Truncated);
 }
 
-TEST_CASE("checked file: one of another kind or version is of an unsupported format") {
+TEST_CASE("checked file: another magic is an unsupported format") {
     CHECK(errorOf(encodeCheckedFile("TST2", "payload")) == SnapshotErrorCode::UnsupportedFormat);
 }
 
--- a/tests/hot_restart/file_lock_test.cpp
+++ b/tests/hot_restart/file_lock_test.cpp
@@ -1,4 +1,4 @@
-// Who excludes whom with a lock on a file.
+// Which holders of a file lock exclude each other, and what releases a lock.
 #include "hot_restart/file_lock.h"
 
 #include <doctest/doctest.h>
@@ -84,7 +84,7 @@
     releasing.join();
 }
 
-TEST_CASE("file lock: it is free once the process that held it was killed") {
+TEST_CASE("file lock: killing the process that holds it releases it") {
     LockFile file;
     const pid_t child = fork();
     REQUIRE(child >= 0);
@@ -99,7 +99,7 @@
     CHECK(lock.tryAcquire());
 }
 
-TEST_CASE("file lock: where the file cannot be created it is not held, and acquire does not block") {
+TEST_CASE("file lock: if the file cannot be created the lock is not held, and acquire does not block") {
     TemporaryFolder folder;
     FileLock lock(folder.file("missing/lock"));
     CHECK(!lock.tryAcquire());
--- a/tests/hot_restart/hot_restart_process_test.cpp
+++ b/tests/hot_restart/hot_restart_process_test.cpp
@@ -1,5 +1,5 @@
-// Hot restart of whole processes under requests: a platform that starts the program again while it serves,
-// ends the old process with SIGTERM, and sees no request lost.
+// Hot restart of real processes under load: the platform starts a successor while the old process serves,
+// ends the old process with SIGTERM, and no request is lost.
 #include <string>
 #include <vector>
 
@@ -16,7 +16,7 @@
 constexpr const char* kOneDrained = R"("out_of_rotation":1)";
 constexpr const char* kNoneDrained = R"("out_of_rotation":0)";
 
-/// A Req-Id that was not used yet in this test.
+/// Generates Req-Ids that are unique within a test.
 class RequestIds {
 public:
     std::string next() { return fmt::format("{:016x}", ++last_); }
@@ -25,7 +25,7 @@
     int last_ = 0;
 };
 
-/// The node answers each request at once.
+/// Makes the node answer each request at once.
 void answerAll(Platform& platform) {
     platform.fixture.node().onConnection = [](TestConnection& connection) {
         connection.autoResponse = ok("x");
@@ -49,7 +49,7 @@
     waitUntilEnded(platform, process);
 }
 
-/// A process that has served a request on `connection`, and the successor that waits for it.
+/// An old process that has served a request on `connection`, and a successor that waits to take over.
 struct Upgrade {
     Platform platform;
     RequestIds ids;
@@ -57,14 +57,14 @@
     TestConnectionPtr connection = serveOne();
     Process& next = platform.startReady();
 
-    /// SIGTERM to the old process, and the successor has the service.
+    /// Sends SIGTERM to the old process and waits until the successor has taken over.
     void transfer() {
         old.signal(SIGTERM);
         platform.waitUntilLogged(next, kTakenOver);
     }
     void serve(const TestConnectionPtr& client) { platform.serve(client, ids.next()); }
     void serveNewClient() { serve(platform.client()); }
-    void checkOldEndsInOrder() {
+    void checkOldExitsCleanly() {
         waitUntilEnded(platform, old);
         CHECK(old.status == 0);
     }
@@ -83,13 +83,13 @@
 
 }  // namespace
 
-TEST_CASE("upgrade: clients are the old process's until SIGTERM, and the successor's from then on") {
+TEST_CASE("upgrade: the old process serves new clients until SIGTERM, and the successor from then on") {
     Upgrade upgrade;
     upgrade.serveNewClient();
     CHECK(!upgrade.next.hasLogged(kTakenOver));
     upgrade.transfer();
     upgrade.serveNewClient();
-    upgrade.checkOldEndsInOrder();
+    upgrade.checkOldExitsCleanly();
     upgrade.serveNewClient();
     CHECK(upgrade.old.hasLogged(kTransferred));
 }
@@ -99,7 +99,7 @@
     upgrade.transfer();
     upgrade.serve(upgrade.connection);
     CHECK(upgrade.connection->hasReceived("Connection: close"));
-    upgrade.checkOldEndsInOrder();
+    upgrade.checkOldExitsCleanly();
 }
 
 TEST_CASE("upgrade: two in a row under requests, and a node that was drained in between stays drained") {
@@ -111,7 +111,7 @@
         const auto connection = platform.client();
         platform.serve(connection, ids.next());
         auto& next = platform.startReady();
-        platform.serve(platform.client(), ids.next());  // still the old one's
+        platform.serve(platform.client(), ids.next());  // by the old process
         if (upgrade == 1) CHECK(detach(platform, *serving));
         serving->signal(SIGTERM);
         platform.waitUntilLogged(next, kTakenOver);
@@ -140,20 +140,20 @@
         [&] { return vars(platform, upgrade.next).find(kOneDrained) != std::string::npos; });
 }
 
-TEST_CASE("upgrade: a successor that dies before the transfer leaves an ordinary shutdown") {
+TEST_CASE("upgrade: if the successor dies before the transfer, the old process shuts down as without one") {
     Platform platform;
     answerAll(platform);
     auto& old = platform.startReady();
     kill(platform, platform.startReady());
     old.signal(SIGTERM);
     platform.waitUntilLogged(old, "stopping");
-    platform.serve(platform.client(), "0000000000000001");  // it accepts for a while, as at any shutdown
+    platform.serve(platform.client(), "0000000000000001");  // still accepted, as in any shutdown
     waitUntilEnded(platform, old);
     CHECK(old.status == 0);
     CHECK(!old.hasLogged(kTransferred));
 }
 
-TEST_CASE("upgrade: a successor that is ended before the transfer stops without having served") {
+TEST_CASE("upgrade: a successor that receives SIGTERM before the transfer stops without having served") {
     Upgrade upgrade;
     upgrade.next.signal(SIGTERM);
     waitUntilEnded(upgrade.platform, upgrade.next);
@@ -175,7 +175,7 @@
     platform.serve(platform.client(), "0000000000000001");
 }
 
-TEST_CASE("upgrade: long bodies in flight both ways are completed by the old process") {
+TEST_CASE("upgrade: the old process completes long bodies in flight in both directions") {
     Platform platform;
     auto& fixture = platform.fixture;
     auto& old = platform.startReady();
@@ -210,19 +210,20 @@
     CHECK(old.status == 0);
 }
 
-// The old process reads a file that moves discovery in the instant of the transfer: neither undoes the other,
-// and the successor has read the new file at its own start.
-TEST_CASE("upgrade: a reload in the instant of the transfer is done as well, and requests go on") {
+// SIGHUP reaches the old process immediately before SIGTERM: it performs both the reload and the transfer.
+// The successor has read the file at its own start.
+TEST_CASE(
+    "upgrade: a reload at the time of the transfer is performed too, and requests are served throughout") {
     Upgrade upgrade;
     auto& platform = upgrade.platform;
     upgrade.old.signal(SIGHUP);
     upgrade.transfer();
     upgrade.serve(upgrade.connection);
     upgrade.serveNewClient();
-    upgrade.next.signal(SIGHUP);  // and one that reaches the successor in its first moments
+    upgrade.next.signal(SIGHUP);  // a reload of a successor that has just taken over
     platform.waitUntilLogged(upgrade.next, "reloaded: discovery at");
     upgrade.serveNewClient();
-    upgrade.checkOldEndsInOrder();
+    upgrade.checkOldExitsCleanly();
     CHECK(upgrade.old.hasLogged("reloaded: discovery at"));
     CHECK(upgrade.old.hasLogged(kTransferred));
 }
@@ -255,8 +256,8 @@
 
 }  // namespace
 
-// Whichever of the two the old process reads first, the order holds in both processes.
-TEST_CASE("upgrade: a node that is drained in the instant of the transfer is drained at the successor") {
+// The successor applies the drain, whether the old process handles the admin request or SIGTERM first.
+TEST_CASE("upgrade: a node that is drained at the time of the transfer is drained at the successor") {
     Platform platform;
     answerAll(platform);
     RequestIds ids;
@@ -270,18 +271,19 @@
     }
 }
 
-// The service is free again then: who starts next has it at once, though the old process still finishes
-// requests.
-TEST_CASE("upgrade: after a successor that died once it served, the next process serves at once") {
+// The lock on the service is free once the successor has died, so that the next process acquires it at once,
+// although the old process still finishes its requests.
+TEST_CASE("upgrade: after a successor that died while it served, the next process serves at once") {
     Upgrade upgrade;
     auto& platform = upgrade.platform;
     upgrade.transfer();
     kill(platform, upgrade.next);
-    const auto waiting = platform.client();  // nobody accepts now, it waits in the listener's queue
+    // No process accepts now, so this connection waits in the listener's queue.
+    const auto waiting = platform.client();
     waiting->send(PlatformRequest{.id = upgrade.ids.next()}.text());
     auto& third = platform.startReady();
     platform.fixture.waitUntil([&] { return waiting->hasReceived("HTTP/1.1 200 "); }, "served by the third");
     CHECK(third.hasLogged("n0 listens on"));
-    upgrade.serve(upgrade.connection);  // what the old one accepted it still answers
-    upgrade.checkOldEndsInOrder();
+    upgrade.serve(upgrade.connection);  // the old process still serves its connections
+    upgrade.checkOldExitsCleanly();
 }
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -1,5 +1,5 @@
-// Which process serves, and what it leaves to the next: two `HotRestart` objects in one process, on one
-// folder.
+// Which process serves, and which state it leaves to the next: two `HotRestart` objects in one process, with
+// the same folder.
 #include "hot_restart/hot_restart.h"
 
 #include <doctest/doctest.h>
@@ -22,7 +22,7 @@
 
 namespace {
 
-/// One process of the gateway.
+/// Stands for one process of the gateway.
 struct Instance {
     Instance(boost::asio::io_context& io, const test::TemporaryFolder& folder, log::Logger& logger)
         : hotRestart(std::make_unique<HotRestart>(io, folder.path(), "n0", logger)) {}
@@ -32,7 +32,7 @@
             received = std::move(snapshot);
         });
     }
-    /// As the kernel does when a process dies: its locks are released.
+    /// Releases the locks, as the kernel does when a process dies.
     void die() { hotRestart.reset(); }
 
     std::unique_ptr<HotRestart> hotRestart;
@@ -51,7 +51,7 @@
         first.start();
         second.start();
     }
-    void untilTakenOver() {
+    void waitUntilTakenOver() {
         waitUntil([this] { return second.takeOvers > 0; });
     }
     [[nodiscard]] static Snapshot snapshot() {
@@ -90,7 +90,7 @@
     CHECK(both.first.hotRestart->successorWaits());
 }
 
-TEST_CASE("hot restart: a process that runs alone has all of the limits") {
+TEST_CASE("hot restart: a process that runs alone does not share the limits") {
     TwoInstances both;
     both.first.start();
     CHECK(!both.first.hotRestart->anotherProcessRuns());
@@ -110,7 +110,7 @@
     both.first.hotRestart->transfer(TwoInstances::snapshot());
     CHECK(both.first.hotRestart->role() == Role::Transferred);
     CHECK(both.first.hotRestart->counters().transferred == 1);
-    both.untilTakenOver();
+    both.waitUntilTakenOver();
     CHECK(both.second.hotRestart->role() == Role::Serving);
     REQUIRE(both.second.received);
     CHECK(both.second.received->openRequestIds == std::vector<std::string>{"0000000000000001"});
@@ -122,7 +122,7 @@
     TwoInstances both;
     both.startBoth();
     both.first.hotRestart->transfer(TwoInstances::snapshot());
-    both.untilTakenOver();
+    both.waitUntilTakenOver();
     CHECK(both.first.hotRestart->anotherProcessRuns());
     CHECK(both.second.hotRestart->anotherProcessRuns());
     CHECK(!both.second.hotRestart->successorWaits());
@@ -134,7 +134,7 @@
     TwoInstances both;
     both.startBoth();
     both.first.die();
-    both.untilTakenOver();
+    both.waitUntilTakenOver();
     CHECK(both.second.hotRestart->role() == Role::Serving);
     CHECK(!both.second.received);
     CHECK(both.second.hotRestart->counters().restored == 0);
@@ -146,7 +146,7 @@
     both.startBoth();
     REQUIRE(writeFileAtomically(both.folder.file("wingproxy.snapshot"), "WPS1 incomplete"));
     both.first.die();
-    both.untilTakenOver();
+    both.waitUntilTakenOver();
     CHECK(!both.second.received);
     CHECK(both.second.hotRestart->counters().rejected == 1);
     CHECK(!std::filesystem::exists(both.folder.file("wingproxy.snapshot")));
@@ -158,19 +158,19 @@
     Snapshot foreign = TwoInstances::snapshot();
     foreign.gatewayName = "n1";
     both.first.hotRestart->transfer(foreign);
-    both.untilTakenOver();
+    both.waitUntilTakenOver();
     CHECK(!both.second.received);
     CHECK(both.second.hotRestart->counters().rejected == 1);
     CHECK(both.log.text() ==
           "warn: hot restart: snapshot rejected, of another gateway, n1; starting as after a crash\n");
 }
 
-TEST_CASE("hot restart: the log has the archive's error where a snapshot's payload is not readable") {
+TEST_CASE("hot restart: the log has the archive's error if a snapshot's payload is not readable") {
     TwoInstances both;
     both.startBoth();
     REQUIRE(writeFileAtomically(both.folder.file("wingproxy.snapshot"), encodeCheckedFile("WPS1", "short")));
     both.first.die();
-    both.untilTakenOver();
+    both.waitUntilTakenOver();
     CHECK(both.second.hotRestart->counters().rejected == 1);
     CHECK(both.log.text().starts_with(
         "warn: hot restart: snapshot rejected, payload not readable, Failed to read "));
@@ -182,7 +182,7 @@
     both.startBoth();
     third.start();
     both.first.hotRestart->transfer(TwoInstances::snapshot());
-    both.untilTakenOver();
+    both.waitUntilTakenOver();
     CHECK(third.takeOvers == 0);
     both.first.die();
     both.second.hotRestart->transfer(TwoInstances::snapshot());
@@ -200,32 +200,33 @@
     CHECK(both.second.hotRestart->role() == Role::Successor);
 }
 
-TEST_CASE("hot restart: a snapshot that cannot be written is counted, and the service passes all the same") {
+TEST_CASE(
+    "hot restart: a snapshot that cannot be written is counted, and the service is transferred nonetheless") {
     TwoInstances both;
     both.startBoth();
     std::filesystem::create_directory(both.folder.file("wingproxy.snapshot.new"));
     both.first.hotRestart->transfer(TwoInstances::snapshot());
     CHECK(both.first.hotRestart->counters().transferred == 0);
     CHECK(both.first.hotRestart->counters().writeFailures == 1);
-    both.untilTakenOver();
+    both.waitUntilTakenOver();
     CHECK(!both.second.received);
 }
 
-TEST_CASE("overrides exchange: an order that one process received reaches the other") {
+TEST_CASE("overrides exchange: an override that one process received reaches the other") {
     TwoInstances both;
     CHECK(both.first.hotRestart->exchangeOverrides(kDrained) == kDrained);
     CHECK(both.second.hotRestart->exchangeOverrides({}) == kDrained);
     CHECK(both.second.hotRestart->counters().overridesRead == 1);
 }
 
-TEST_CASE("overrides exchange: the newest order of a node holds in both processes") {
+TEST_CASE("overrides exchange: the newest override of a node holds in both processes") {
     TwoInstances both;
     both.first.hotRestart->exchangeOverrides(kDrained);
     CHECK(both.second.hotRestart->exchangeOverrides(kAttached) == kAttached);
     CHECK(both.first.hotRestart->exchangeOverrides(kDrained) == kAttached);
 }
 
-TEST_CASE("overrides exchange: a file that holds nothing new is not read again") {
+TEST_CASE("overrides exchange: a file with nothing new is not decoded again") {
     TwoInstances both;
     both.first.hotRestart->exchangeOverrides(kDrained);
     both.second.hotRestart->exchangeOverrides({});
@@ -241,7 +242,7 @@
     CHECK(!std::filesystem::exists(both.folder.file("wingproxy.words")));
 }
 
-TEST_CASE("overrides exchange: a file that does not decode is rejected and written anew") {
+TEST_CASE("overrides exchange: a file that does not decode is rejected and replaced") {
     TwoInstances both;
     REQUIRE(writeFileAtomically(both.folder.file("wingproxy.words"), "damaged"));
     CHECK(both.first.hotRestart->exchangeOverrides(kDrained) == kDrained);
@@ -256,7 +257,7 @@
     CHECK(both.first.hotRestart->counters().writeFailures == 1);
 }
 
-TEST_CASE("overrides exchange: the log has the archive's error where the file's payload is not readable") {
+TEST_CASE("overrides exchange: the log has the archive's error if the file's payload is not readable") {
     TwoInstances both;
     REQUIRE(writeFileAtomically(both.folder.file("wingproxy.words"), encodeCheckedFile("WPW1", "short")));
     CHECK(both.first.hotRestart->exchangeOverrides(kDrained) == kDrained);
--- a/tests/hot_restart/shared_limits_test.cpp
+++ b/tests/hot_restart/shared_limits_test.cpp
@@ -1,5 +1,4 @@
-// What a process and its successor may send together: neither limits nor slow start are exceeded over a
-// transfer.
+// A process and its successor together exceed neither limits nor the slow start budget over a transfer.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -15,7 +14,7 @@
 
 constexpr double kRequestUnits = 2;
 
-/// Repeatable numbers, the same on every machine (a linear congruential generator).
+/// Pseudorandom numbers that are the same on every machine (a linear congruential generator).
 class Random {
 public:
     explicit Random(std::uint64_t seed) : state_(seed) {}
@@ -28,8 +27,8 @@
     std::uint64_t state_;
 };
 
-/// A host that takes over the limited volume from another one at some moment, under more requests than the
-/// limit allows. Counts the units that both send.
+/// A host that takes over from another one at `transferAt`, under more requests than the volume's limit
+/// allows. Counts the units that both send.
 struct TransferUnderLoad {
     TransferUnderLoad(Random& random, Micros transferAt) : random(random), transferAt(transferAt) {
         old.batch({nodes({node("a", 0), node("b", 1)})});
@@ -69,7 +68,7 @@
     double unitsSent = 0;
 };
 
-/// Hosts that send to one node which has just started.
+/// A node that has just started, and the old host that sends to it. Counts the units that all hosts send.
 struct WarmingNode {
     WarmingNode() { old.batch({nodes({warmingNode()})}); }
     static NodeInfo warmingNode() { return node("a", 0, NodeState::Ready, kStart); }
@@ -89,8 +88,7 @@
 }  // namespace
 
 TEST_CASE(
-    "transfer: no unit of a limit is spent by both processes, whenever it comes and whoever gets more "
-    "requests") {
+    "transfer: both processes together keep the limit, whenever it comes and whichever gets more requests") {
     Random random(7);
     for (int round = 0; round < 40; ++round) {
         TransferUnderLoad load(random, kStart + Micros(random.below(3'000)) * kMs);
@@ -98,7 +96,7 @@
             load.runTo(now);
             REQUIRE(load.unitsSent <= load.unitsAllowed(now));
         }
-        CHECK(load.unitsSent > load.settings.plans[0].limit * 3);  // and the limit is used
+        CHECK(load.unitsSent > load.settings.plans[0].limit * 3);  // over half of 6 s at the limit
     }
 }
 
@@ -112,7 +110,7 @@
     CHECK(warming.unitsSent == before);
 }
 
-TEST_CASE("transfer: a node that is warming up gets no more from both processes than it may get from one") {
+TEST_CASE("transfer: a node that is warming up gets no more from both processes than one may send it") {
     WarmingNode warming;
     warming.sendRequests(warming.old, 3);
     const auto bytes = warming.old.policy.takeSnapshot(kStart);
--- a/tests/hot_restart/snapshot_test.cpp
+++ b/tests/hot_restart/snapshot_test.cpp
@@ -1,4 +1,5 @@
-// The snapshot and the overrides file as bytes. What is not complete must never be used in part.
+// Encoding and decoding of the snapshot and the overrides file. An incomplete or changed file must never be
+// used, not even in part.
 #include "hot_restart/snapshot.h"
 
 #include <cstring>
@@ -102,11 +103,11 @@
     const auto decoded = taken.decodeOwn(encodeCheckedFile("WPS1", "short"));
     const auto& error = std::get<SnapshotError>(decoded);
     CHECK(error.code == SnapshotErrorCode::Unreadable);
-    CHECK(error.detail.starts_with("Failed to read "));  // cereal's own words
+    CHECK(error.detail.starts_with("Failed to read "));  // cereal's message
     CHECK(describe(error) == "payload not readable, " + error.detail);
 }
 
-TEST_CASE("snapshot: the policy's state is restored by a host of the same settings only") {
+TEST_CASE("snapshot: the policy state is restored only by a host with the same settings") {
     SnapshotOfThreeNodes taken;
     const std::string& policyState = taken.snapshot.engine.core.policySnapshot;
     Policy same(taken.fixture.config.settings, taken.snapshot.takenAt);
@@ -123,9 +124,9 @@
         CHECK(!other.restore(policyState.substr(0, length)));
 }
 
-TEST_CASE("snapshot: a policy's state of an earlier version is not restored") {
-    // The version is a number behind the archive's own byte and a length. Host 1, so that the version is
-    // looked at and not the host's number.
+TEST_CASE("snapshot: a policy state of an earlier version is not restored") {
+    // The version is a number that follows the archive's own byte and a length. Host 1, so that the version
+    // is rejected and not the host's index.
     constexpr std::size_t kVersionOffset = 1 + 8;
     const double earlierVersion = 1;
     auto policyState = Policy(test::settings(1, 3), kStart).takeSnapshot(kStart);
@@ -134,7 +135,7 @@
     CHECK(!Policy(test::settings(1, 3), kStart).restore(policyState));
 }
 
-TEST_CASE("overrides: of each node the newest stays, in whatever order they are merged") {
+TEST_CASE("overrides: merging keeps the newest of each node, in whatever order") {
     const auto merged = mergeOverrides(mergeOverrides(kOverridesA, kOverridesB), kOverridesC);
     CHECK(merged == kAllOverrides);
     CHECK(merged == mergeOverrides(mergeOverrides(kOverridesC, kOverridesB), kOverridesA));
@@ -146,7 +147,7 @@
     CHECK(mergeOverrides(kAllOverrides, kOverridesA) == kAllOverrides);
 }
 
-TEST_CASE("overrides: of two at the same time the one that drains stays") {
+TEST_CASE("overrides: of two with the same time the one that drains is kept") {
     const core::AdminOverrides drained{{"x", {true, 1}}};
     const core::AdminOverrides attached{{"x", {false, 1}}};
     CHECK(mergeOverrides(drained, attached) == drained);
