--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -15,13 +15,13 @@
 
 constexpr int kSuccessStatusClass = 2;  // HTTP 2xx
 
-/// Both files, checked.
+/// The contents of both configuration files.
 struct Configuration {
     config::Config proxy;
     config::OperatorConfig operatorConfig;
 };
 
-/// As `config::applyEnvironment` takes what is not set.
+/// `config::applyEnvironment` expects null for a variable that is not set.
 const char* nullIfEmpty(const std::string& text) { return text.empty() ? nullptr : text.c_str(); }
 
 config::Config readProxyConfig(const cli::CommandOptions& options) {
@@ -41,13 +41,13 @@
     return configuration;
 }
 
-/// Where the running gateway takes admin requests. What --mgmt or the environment says needs no configuration
-/// file.
+/// The admin address of the running gateway. The configuration file is read only if neither --mgmt nor the
+/// environment gives the address.
 config::Endpoint adminEndpoint(const cli::CommandOptions& options) {
     if (!options.adminAddress.empty()) return config::parseEndpoint(options.adminAddress, "mgmt");
     config::Endpoint endpoint = readProxyConfig(options).adminListen;
     if (endpoint.port == 0)
-        throw config::ConfigError("mgmt", "neither in the configuration nor told by --mgmt");
+        throw config::ConfigError("mgmt", "set neither in the configuration nor by --mgmt");
     return endpoint;
 }
 
--- a/src/app/commands.h
+++ b/src/app/commands.h
@@ -1,6 +1,5 @@
 /// \file
-/// What the commands of the command line do: each reads the files that it needs, acts, and gives the exit
-/// code.
+/// Executes the commands of the command line. Each reads the files that it needs and returns the exit code.
 #pragma once
 
 #include "cli/command.h"
@@ -8,12 +7,13 @@
 
 namespace wingproxy::app {
 
-/// Runs the command to its end; the gateway itself ends with SIGTERM.
+/// Executes the command and returns when it is done; the gateway itself runs until SIGTERM or SIGINT.
 /// \return the exit code of the process
-/// \throws std::exception with a message for the log: a file or an address is wrong (`cli::kExitUsage`)
+/// \throws std::exception with a message for the log if a file or an address is invalid; the process then
+///     exits with `cli::kExitUsage`
 [[nodiscard]] int execute(const cli::Command& command, log::Logger& logger);
 
-/// The log level that the command line or the environment names; "info" where neither does.
+/// The log level from the command line or the environment; "info" if neither sets it.
 [[nodiscard]] log::Level logLevelOf(const cli::Command& command);
 
 }  // namespace wingproxy::app
--- a/src/app/config_reload.cpp
+++ b/src/app/config_reload.cpp
@@ -13,12 +13,12 @@
 
 void ConfigReload::reload() {
     try {
-        const config::Config fresh = config::parseConfig(config::readFile(path_));
-        apply_(fresh);
-        const std::string unapplied = config::fieldsNeedingRestart(atStart_, fresh);
+        const config::Config newConfig = config::parseConfig(config::readFile(path_));
+        apply_(newConfig);
+        const std::string unapplied = config::fieldsNeedingRestart(atStart_, newConfig);
         ++counters_.applied;
-        logger_.info("reloaded: discovery at {}:{}, {} peers, {} descriptors{}{}", fresh.discovery.host,
-                     fresh.discovery.port, fresh.peers.size(), fresh.maxDescriptors,
+        logger_.info("reloaded: discovery at {}:{}, {} peers, {} descriptors{}{}", newConfig.discovery.host,
+                     newConfig.discovery.port, newConfig.peers.size(), newConfig.maxDescriptors,
                      unapplied.empty() ? "" : "; only a restart changes ", unapplied);
     } catch (const std::exception& error) {
         ++counters_.rejected;
--- a/src/app/config_reload.h
+++ b/src/app/config_reload.h
@@ -1,5 +1,5 @@
 /// \file
-/// Reads the configuration file again, on SIGHUP.
+/// Reloads the configuration file on SIGHUP.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,28 @@
 
 namespace wingproxy::app {
 
-/// Checks the new file completely before any of it is used; a wrong one changes nothing. Requests in flight
-/// are not affected. Each reload is one log line.
+/// Validates the new file completely before any of it is applied; an invalid file changes nothing. Requests
+/// in flight are not affected. Each reload writes one log line.
 class ConfigReload {
 public:
-    /// Counted since the start of the process.
+    /// Totals since the start of the process.
     struct Counters {
-        std::uint64_t applied = 0;   ///< files that were taken over
+        std::uint64_t applied = 0;   ///< files that were applied
         std::uint64_t rejected = 0;  ///< files that could not be read, decoded or applied
     };
-    /// Takes over the fields that a running program can change; an exception of it counts as a rejected file.
-    using ApplyConfig = std::function<void(const config::Config& fresh)>;
+    /// Applies the fields that a running program can change. If it throws, the file counts as rejected.
+    using ApplyConfig = std::function<void(const config::Config& newConfig)>;
 
     /// \param path of the configuration file
-    /// \param atStart the configuration with which the process started; fields of a new file that differ from
-    ///        it and need a restart are named in the log. It and the logger outlive this object.
-    /// \param apply called once for each file that decodes
+    /// \param atStart the configuration with which the process started; the log names the fields of a new
+    ///     file that differ from it and need a restart. It and the logger outlive this object.
+    /// \param apply called once for each valid file
     ConfigReload(std::string path, const config::Config& atStart, ApplyConfig apply, log::Logger& logger);
 
-    /// Reads the file and applies it, or logs why it is wrong. Does not throw.
+    /// Reads and applies the file, or logs why it is rejected. Does not throw.
     void reload();
 
-    /// Reloads by their result. Valid as long as this object.
+    /// Valid as long as this object.
     [[nodiscard]] const Counters& counters() const { return counters_; }
 
 private:
--- a/src/app/hot_restart_coordinator.cpp
+++ b/src/app/hot_restart_coordinator.cpp
@@ -7,8 +7,8 @@
 
 using Role = hot_restart::HotRestart::Role;
 
-/// How often a process looks for another one of its gateway: far below the 1 s within which an admin request
-/// is answered.
+/// Interval at which a process checks for another one of its gateway. Far below the 1 s within which an admin
+/// request is answered.
 constexpr std::chrono::milliseconds kPollInterval{100};
 
 }  // namespace
@@ -49,7 +49,8 @@
 
 void HotRestartCoordinator::transferService() {
     parts_.front.sessionManager().releaseListener();
-    parts_.front.startDraining();  // clients reach the successor with their next connection
+    // Responses close their connections, so that clients reconnect to the successor.
+    parts_.front.startDraining();
     parts_.peers.stop();
     auto openRequestIds = parts_.front.openRequestIds();
     hotRestart_.transfer(
@@ -64,7 +65,7 @@
 void HotRestartCoordinator::publishOverrides() { hotRestart_.exchangeOverrides(parts_.engine.overrides()); }
 
 void HotRestartCoordinator::pollOtherProcess() {
-    updateSharing(hotRestart_.anotherProcessRuns());
+    setLimitSharing(hotRestart_.anotherProcessRuns());
     if (limitsAreShared_) exchangeOverrides();
     pollTimer_.expires_after(kPollInterval);
     pollTimer_.async_wait([this](const boost::system::error_code& cancelled) {
@@ -72,10 +73,10 @@
     });
 }
 
-void HotRestartCoordinator::updateSharing(bool shared) {
+void HotRestartCoordinator::setLimitSharing(bool shared) {
     if (shared == limitsAreShared_) return;
     limitsAreShared_ = shared;
-    handlers_.sharingChanged();
+    handlers_.limitSharingChanged();
     logger_.info("hot restart: {}",
                  shared ? "two processes share the limits" : "this process has all of the limits");
 }
--- a/src/app/hot_restart_coordinator.h
+++ b/src/app/hot_restart_coordinator.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a hot restart does to the other parts of the gateway: which state passes between the processes, and
-/// when (docs/hot_restart.md). The locks and files are `hot_restart::HotRestart`'s.
+/// Applies a hot restart to the other parts of the gateway: which state passes between the processes, and
+/// when (docs/hot_restart.md). `hot_restart::HotRestart` manages the locks and files.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -17,7 +17,7 @@
 
 namespace wingproxy::app {
 
-/// Connects `HotRestart` with the engine, the peers and the HTTP front. Single-threaded.
+/// Connects `HotRestart` to the engine, the peer transport and the HTTP front. Single-threaded.
 class HotRestartCoordinator {
 public:
     /// The parts whose state passes between the processes. They and the logger outlive the coordinator.
@@ -29,45 +29,46 @@
     /// Called on the thread of the event loop.
     struct Handlers {
         hot_restart::HotRestart::TakeOverHandler takeOver;  ///< see `HotRestart::start`
-        std::function<void()> sharingChanged;               ///< `limitsAreShared` has another value
+        std::function<void()> limitSharingChanged;          ///< `limitsAreShared` has changed its value
     };
 
-    /// \param folder that the processes of the gateway share
-    /// \param name of the gateway, as configured
+    /// \param folder shared by the processes of the gateway
+    /// \param name configured name of the gateway
     HotRestartCoordinator(Parts parts, std::string folder, std::string name, Handlers handlers,
                           log::Logger& logger);
 
-    /// Finds out whether another process serves, and looks for other processes from now on. The handlers may
-    /// be called within this call.
+    /// Determines whether another process serves, and polls for other processes from now on. May call the
+    /// handlers.
     void start();
-    /// Calls no handler any more.
+    /// Stops polling and waiting; no handler is called any more.
     void stop();
 
-    /// Whether no other process served at the start.
+    /// Whether no other process served at the start, and this one has not transferred the service.
     [[nodiscard]] bool isFirstProcess() const;
     /// Whether this process is a successor that does not serve yet.
     [[nodiscard]] bool waitsAsSuccessor() const;
-    /// Whether a successor waits, to which `transferService` may give the service.
+    /// Whether a successor waits, to which `transferService` can transfer the service.
     [[nodiscard]] bool hasSuccessor() const { return hotRestart_.successorWaits(); }
-    /// Whether another process uses the same limits. Assumed until the first look.
+    /// Whether another process uses the same limits. True until `start` has checked.
     [[nodiscard]] bool limitsAreShared() const { return limitsAreShared_; }
-    /// The locks and files of this process, for its counters. Valid as long as the coordinator.
+    /// Gives access to its counters. Valid as long as the coordinator.
     [[nodiscard]] const hot_restart::HotRestart& hotRestart() const { return hotRestart_; }
 
-    /// Starts from the snapshot of the process before. To be called before the engine starts.
-    /// \param longestDeadline of the classes: the old process has answered all its requests by then
+    /// Restores the snapshot of the previous process. Must be called before the engine starts.
+    /// \param longestDeadline of the classes; the old process has answered its open requests when this time
+    ///     after the snapshot has passed
     void restore(hot_restart::Snapshot snapshot, std::chrono::microseconds longestDeadline);
-    /// Accepts no connection any more, and gives the state and the right to serve to the successor.
+    /// Stops accepting connections, and transfers the state and the service to the successor.
     void transferService();
 
-    /// Applies the administrative drains that another process was given, and passes on those of this one.
+    /// Applies the administrative drains that another process received, and publishes those of this one.
     void exchangeOverrides();
-    /// Passes on an administrative drain that this process was given just now.
+    /// Publishes an administrative drain that this process has just received.
     void publishOverrides();
 
 private:
     void pollOtherProcess();
-    void updateSharing(bool shared);
+    void setLimitSharing(bool shared);
 
     Parts parts_;
     std::string name_;
--- a/src/app/metrics_report.cpp
+++ b/src/app/metrics_report.cpp
@@ -92,7 +92,7 @@
              {"malformed", counters.malformed},
              {"too_large", counters.tooLarge},
              {"unsupported", counters.unsupported},
-             {"closed_idle", connections.closedIdle},
+             {"closed_idle", connections.evictions},
              {"silent", counters.silent},
              {"slow", counters.slow},
              {"unread", counters.unread},
@@ -100,7 +100,7 @@
              {"no_memory", counters.noMemory},
              {"capacity_rejections", counters.crowded},
              {"pipelined", counters.pipelined},
-             {"hang_ups", connections.hungUp}}};
+             {"hang_ups", connections.detectedDisconnects}}};
 }
 
 MetricGroup describeRsync(const rsync::Front::Counters& counters, const ConnectionMetrics& connections) {
--- a/src/app/metrics_report.h
+++ b/src/app/metrics_report.h
@@ -1,7 +1,7 @@
 /// \file
-/// The counters' log lines, written on SIGUSR1 and at the end. Each line is described once, as names with
-/// their values, so that no name can stand beside another counter's value. What the names mean is in
-/// docs/operations.md.
+/// Formats the counters as log lines, which are written on SIGUSR1 and after the shutdown. Each line is
+/// defined in one place, as names with their values, so that no name can be paired with another counter's
+/// value. docs/operations.md explains the names.
 #pragma once
 
 #include <cstdint>
@@ -23,38 +23,38 @@
 
 namespace wingproxy::app {
 
-/// One value of a line; texts are literals.
+/// The value of a metric; a text must be a string literal.
 using MetricValue = std::variant<std::uint64_t, bool, std::string_view>;
 
-/// A value under the name that it has in its line; the name is a literal.
+/// A value and its name in the log line; the name must be a string literal.
 struct Metric {
     std::string_view name;
     MetricValue value;
 };
 
-/// One log line: the counters of one part of the program, in their order.
+/// One log line: the metrics of one part of the program, in the order of the line.
 struct MetricGroup {
     std::string_view name;
     std::vector<Metric> metrics;
 };
 
-/// Connections of one listener. The lines of rsync and of the admin server have the first two, that of HTTP
-/// has all.
+/// Connections of one listener. The lines "rsync" and "admin" have the first two, the line "http" has all.
 struct ConnectionMetrics {
     std::uint64_t accepted = 0;
     std::uint64_t open = 0;
-    std::uint64_t closedIdle = 0;
-    std::uint64_t hungUp = 0;  ///< clients whose leaving was noticed while their bytes were not read
+    std::uint64_t evictions = 0;  ///< connections closed in favour of a new client
+    /// Disconnects that were noticed while nothing was read from the client.
+    std::uint64_t detectedDisconnects = 0;
 };
-/// The counters of this listener as they are now.
+/// The current values of a listener's counters.
 [[nodiscard]] ConnectionMetrics connectionMetrics(const net::SessionManager& sessions);
 
-/// Sizes of the reducer's tables; none of them grows over the day.
+/// Sizes of the reducer's tables. None of them may grow over the day.
 struct TableMetrics {
     std::uint64_t entries = 0;
     std::uint64_t nodes = 0;         ///< on the endpoint list
-    std::uint64_t avoided = 0;       ///< of those, the ones that get nothing new
-    std::uint64_t adminDrained = 0;  ///< by an operator's order
+    std::uint64_t avoided = 0;       ///< nodes on the list that get no new requests
+    std::uint64_t adminDrained = 0;  ///< nodes that an operator has drained
 };
 
 /// Connections to nodes.
@@ -64,16 +64,17 @@
     std::uint64_t reused = 0;
 };
 
-/// The line "requests": received and answered ones, all classes together.
-/// \param openRequests without their final answer
+/// The line "requests": requests received and answered, summed over all classes.
+/// \param openRequests requests without their final answer
 [[nodiscard]] MetricGroup describeRequests(const core::Counters& counters, std::uint64_t openRequests);
 /// The line "answers_without_node": requests rejected or failed without a node's response, by reason.
 [[nodiscard]] MetricGroup describeAnswerReasons(const core::Counters& counters);
 /// The line "slow_start": what this host sent to nodes that are warming up.
 [[nodiscard]] MetricGroup describeSlowStart(const core::SlowStartCounters& counters);
-/// The line "attempts": those started, by outcome.
+/// The line "attempts": attempts started, by outcome.
 [[nodiscard]] MetricGroup describeAttempts(const core::Counters& counters);
-/// The line "http": clients of the HTTP front, its answers, and what it refused or closed by itself.
+/// The line "http": clients of the HTTP front, its responses, and the requests and connections that it
+/// rejected or closed.
 [[nodiscard]] MetricGroup describeHttp(const http::Front::Counters& counters,
                                        const ConnectionMetrics& connections);
 /// The line "rsync": clients of the rsync front and how their transfers ended.
@@ -83,14 +84,14 @@
 [[nodiscard]] MetricGroup describeNodePool(const NodePoolMetrics& pool);
 /// The line "discovery": requests for the endpoint list, by result.
 [[nodiscard]] MetricGroup describeDiscovery(const net::DiscoveryClient::Counters& counters);
-/// The line "tables": sizes, which must not grow over the day.
+/// The line "tables": sizes of the reducer's tables.
 [[nodiscard]] MetricGroup describeTables(const TableMetrics& tables);
 /// The line "admin": operators' requests, by result.
 [[nodiscard]] MetricGroup describeAdmin(const admin::AdminServer::Counters& counters,
                                         const ConnectionMetrics& connections);
 /// The line "hot_restart": snapshots and overrides files.
 [[nodiscard]] MetricGroup describeHotRestart(const hot_restart::HotRestart::Counters& counters);
-/// The line "fleet": how this host recovered after its start, and what it saw of its peers' restarts.
+/// The line "fleet": how this host recovered after its start, and which restarts of peers it observed.
 /// \param now Unix microseconds
 [[nodiscard]] MetricGroup describeFleet(const fleet::RestartRecovery& recovery, Micros now);
 /// The line "reloads": reads of the configuration on SIGHUP, by result.
--- a/src/app/metrics_snapshot.h
+++ b/src/app/metrics_snapshot.h
@@ -1,5 +1,5 @@
 /// \file
-/// Reads the counters of all parts of the running gateway at one moment.
+/// Collects the current counters of all parts of the running gateway.
 #pragma once
 
 #include <vector>
@@ -17,7 +17,7 @@
 
 namespace wingproxy::app {
 
-/// The parts that count something. Owns nothing; they outlive each use.
+/// The parts that have counters. Owns nothing; the parts outlive each use.
 struct MetricsSources {
     const net::Engine& engine;
     http::Front& http;
@@ -30,7 +30,7 @@
     const net::PeerTransport& peers;
 };
 
-/// The counters of each part that there is, in the order of the log lines.
+/// The metrics of all parts that exist, in the order of the log lines.
 [[nodiscard]] std::vector<MetricGroup> collectMetrics(const MetricsSources& sources);
 
 }  // namespace wingproxy::app
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -11,19 +11,19 @@
 namespace wingproxy::app {
 namespace {
 
-/// For so long after a response a connection to a node carries no other request, so that a duplicate of that
-/// response is not taken for the next one's. Standing test, release days: of 54 duplicates on seven days the
-/// latest came after 4 ms. This is twice that, and far below any latency objective.
+/// A connection to a node carries no other request for this long after a response, so that a duplicate of the
+/// response is not taken for the next one. The latest of 54 duplicates in test runs on seven days came after
+/// 4 ms. This is twice that, and far below any latency objective.
 constexpr std::chrono::milliseconds kConnectionCoolDown{8};
-/// The folder that the processes of a gateway share; null where the platform names none.
+/// The folder that the processes of a gateway share; null if the platform sets none.
 const char* sharedFolder() { return std::getenv("TMPDIR"); }
 
 bool canHotRestart(const config::Config& config) {
     return config.inheritedListenerFd >= 0 && sharedFolder() != nullptr;
 }
 
-/// Two processes of a gateway share its memory limit while both run. Bodies and rings are sized once, so each
-/// process has half of it all along.
+/// Two processes of a gateway share its memory limit while both run. Bodies and ring buffers are sized once
+/// at startup, so each process uses at most half of the limit at all times.
 int usableMemoryMb(const config::Config& config) {
     return canHotRestart(config) ? config.memoryMb / 2 : config.memoryMb;
 }
@@ -48,7 +48,7 @@
       logger_(logger),
       configuredDescriptors_(config.maxDescriptors),
       rsyncEnabled_(operatorConfig.rsync.has_value()),
-      // Where hot restart is possible another process is assumed until the first look.
+      // If hot restart is possible, another process is assumed to run until the coordinator has checked.
       budget_(budgetFor(canHotRestart(config))),
       engine_(io_, withUsableMemory(config), logger),
       httpPool_(io_,
@@ -66,7 +66,7 @@
       shutdownTimer_(io_),
       shutdown_(*this),
       reload_(
-          std::move(configPath), config_, [this](const config::Config& fresh) { applyConfig(fresh); },
+          std::move(configPath), config_, [this](const config::Config& newConfig) { applyConfig(newConfig); },
           logger) {
     installEffectHandlers();
     openRsync(operatorConfig);
@@ -84,7 +84,7 @@
                  engine_.counters().received - requestsBeforeShutdown_);
 }
 
-// ---- start
+// ---- startup
 
 void Proxy::installEffectHandlers() {
     engine_.setEffectHandlers({
@@ -122,7 +122,7 @@
     logger_.info("started: {} listens on {}:{}", name, address.host, address.port);
 }
 
-// ---- the service
+// ---- serving
 
 void Proxy::startHotRestart() {
     hotRestart_ = std::make_unique<HotRestartCoordinator>(
@@ -130,7 +130,7 @@
         HotRestartCoordinator::Handlers{
             .takeOver =
                 [this](std::optional<hot_restart::Snapshot> snapshot) { takeOver(std::move(snapshot)); },
-            .sharingChanged = [this] { redistribute(); }},
+            .limitSharingChanged = [this] { applyResourceBudget(); }},
         logger_);
     hotRestart_->start();
 }
@@ -176,7 +176,7 @@
     });
 }
 
-void Proxy::redistribute() {
+void Proxy::applyResourceBudget() {
     budget_ = budgetFor(hotRestart_ && hotRestart_->limitsAreShared());
     front_.sessionManager().setCapacity(budget_.httpClients);
     httpPool_.setCapacity(budget_.httpNodes);
@@ -184,14 +184,14 @@
     rsyncPool_.setCapacity(budget_.rsyncNodes);
 }
 
-void Proxy::applyConfig(const config::Config& fresh) {
-    discovery_.setAddress(fresh.discovery);
-    peers_.setPeers(fresh);
-    configuredDescriptors_ = fresh.maxDescriptors;
-    redistribute();
+void Proxy::applyConfig(const config::Config& newConfig) {
+    discovery_.setAddress(newConfig.discovery);
+    peers_.setPeers(newConfig);
+    configuredDescriptors_ = newConfig.maxDescriptors;
+    applyResourceBudget();
 }
 
-// ---- what health checks, operators and signals ask
+// ---- health checks, admin requests and signals
 
 health::GatewayStatus Proxy::gatewayStatus() {
     const auto& sessions = front_.sessionManager();
@@ -217,7 +217,7 @@
 }
 
 bool Proxy::setAdminDrain(const std::string& node, bool drained) {
-    // Orders that another process received come first, so that this one is the newest; then it is passed on.
+    // Overrides of another process are applied first, so that this one is the newest; then it is published.
     if (hotRestart_) hotRestart_->exchangeOverrides();
     const bool known = engine_.setAdminDrain(node, drained);
     if (hotRestart_) hotRestart_->publishOverrides();
--- a/src/app/proxy.h
+++ b/src/app/proxy.h
@@ -31,15 +31,15 @@
 
 /// Owns the event loop and every part that runs on it. Single-threaded.
 ///
-/// Where the platform holds the listening socket (`PROXY_FD`) and names a folder (`TMPDIR`), two processes of
-/// this gateway may run at once; the service then passes between them by hot restart. Until it does, a
-/// successor answers admin requests and health checks only.
+/// If the platform passes a listening socket (`PROXY_FD`) and sets a shared folder (`TMPDIR`), two processes
+/// of this gateway may run at once; the service then passes between them by hot restart. Until it does, a
+/// successor answers only admin requests and health checks.
 class Proxy : private ShutdownTarget {
 public:
-    /// Opens the listeners, and begins to serve unless another process does.
-    /// \param configPath read again on SIGHUP
+    /// Opens the listeners, and starts to serve unless another process does.
+    /// \param configPath file that is read again on SIGHUP
     /// \param logger outlives the proxy
-    /// \throws std::exception where an address cannot be used
+    /// \throws std::exception if an address cannot be used
     Proxy(std::string configPath, const config::Config& config, const config::OperatorConfig& operatorConfig,
           log::Logger& logger);
 
@@ -51,7 +51,7 @@
     /// `health::makeAgentCheckListener`.
     using OpenHealthListener = decltype(health::makeHttpCheckListener);
 
-    // Start.
+    // Startup.
     void installEffectHandlers();
     void openRsync(const config::OperatorConfig& operatorConfig);
     void openAdmin();
@@ -60,7 +60,7 @@
                                                             OpenHealthListener* open);
     void logListening(std::string_view name, const config::Endpoint& address);
 
-    // The service: at once, or when the process before gives it away or dies.
+    // Serving: at once, or when the previous process transfers the service or dies.
     void startHotRestart();
     void serve();
     void takeOver(std::optional<hot_restart::Snapshot> snapshot);
@@ -68,12 +68,12 @@
     void openListener();
 
     // Resources.
-    /// \param limitsAreShared with another process of this gateway, which has the other half
+    /// \param limitsAreShared whether another process of this gateway has half of the descriptors
     [[nodiscard]] ResourceBudget budgetFor(bool limitsAreShared) const;
-    void redistribute();
-    void applyConfig(const config::Config& fresh);
+    void applyResourceBudget();
+    void applyConfig(const config::Config& newConfig);
 
-    // What health checks, operators and signals ask.
+    // Health checks, admin requests and signals.
     [[nodiscard]] health::GatewayStatus gatewayStatus();
     [[nodiscard]] admin::AdminHandler adminHandler();
     [[nodiscard]] admin::AdminMetrics adminMetrics() const;
@@ -93,9 +93,9 @@
     [[nodiscard]] std::size_t allConnections() override;
     [[nodiscard]] std::size_t openRequests() override;
 
-    config::Config config_;  ///< as at the start
+    config::Config config_;  ///< as read at startup
     log::Logger& logger_;
-    int configuredDescriptors_;  ///< as in the configuration that was read last
+    int configuredDescriptors_;  ///< of the configuration that was applied last
     bool rsyncEnabled_;
     ResourceBudget budget_;
 
@@ -106,11 +106,11 @@
     net::DiscoveryClient discovery_;
     net::PeerTransport peers_;
     http::Front front_;
-    std::unique_ptr<rsync::Front> rsync_;                ///< where the operator's file has it
-    std::unique_ptr<net::SessionManager> healthHttp_;    ///< where the operator's file has it
-    std::unique_ptr<net::SessionManager> healthAgent_;   ///< where the operator's file has it
-    std::unique_ptr<HotRestartCoordinator> hotRestart_;  ///< where it is possible
-    std::unique_ptr<admin::AdminServer> admin_;          ///< where the configuration has `mgmt`
+    std::unique_ptr<rsync::Front> rsync_;                ///< null: not in the operator's file
+    std::unique_ptr<net::SessionManager> healthHttp_;    ///< null: not in the operator's file
+    std::unique_ptr<net::SessionManager> healthAgent_;   ///< null: not in the operator's file
+    std::unique_ptr<HotRestartCoordinator> hotRestart_;  ///< null: hot restart is not possible
+    std::unique_ptr<admin::AdminServer> admin_;          ///< null: no admin address
     SignalHandler signals_;
     boost::asio::steady_timer shutdownTimer_;
 
--- a/src/app/resource_budget.cpp
+++ b/src/app/resource_budget.cpp
@@ -10,10 +10,10 @@
 namespace wingproxy::app {
 namespace {
 
-/// Descriptors that no client or node connection uses: 24 for standard streams, listeners, health checks and
-/// discovery, and the admin clients'.
+/// Descriptors reserved for other uses than client and node connections: 24 for standard streams, listeners,
+/// health checks and discovery, and those of admin clients.
 constexpr int kReservedDescriptors = 24 + static_cast<int>(admin::kMaxConnections);
-/// Below it the gateway could not serve at all; it is used even where the limit is lower.
+/// The least with which the gateway can serve; used even if fewer descriptors are left.
 constexpr int kMinConnections = 10;
 
 }  // namespace
--- a/src/app/shutdown_sequence.cpp
+++ b/src/app/shutdown_sequence.cpp
@@ -8,25 +8,26 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-// The protocol page's, for every customer. After SIGTERM the platform sends new clients for 0.4 s; those that
-// are connected go on using their connections. SIGKILL follows SIGTERM after the longest deadline of the
-// classes, 3 s at the most, and 0.7 s.
+// Defined by the platform's protocol, the same for every customer. The platform sends new clients for 0.4 s
+// after SIGTERM; connected clients continue to use their connections. SIGKILL follows SIGTERM after the
+// longest deadline of the classes, at most 3 s, plus 0.7 s.
 constexpr milliseconds kMaxDeadline{3'000};
 constexpr milliseconds kKillMargin{700};
-/// Shortly before the platform's 0.4 s are over.
+/// Shortly before the platform's 0.4 s end.
 constexpr milliseconds kExpectNoNewConnectionsAfter{300};
-/// Later than the platform's 0.4 s, by what a connection may take on its way.
+/// The platform's 0.4 s, and time for a connection that is still under way.
 constexpr milliseconds kKeepAcceptingFor{600};
 
-// Before the kill: served as usual until the first, every response sent by the second, all connections closed
-// by the third.
+// Times before the kill. Requests are served as usual until the first, all responses are sent by the second,
+// and connections without a request in flight delay the end until the third at the latest.
 constexpr milliseconds kServeUntilBeforeKill{450};
 constexpr milliseconds kRespondBeforeKill{200};
 constexpr milliseconds kCloseBeforeKill{120};
 
-/// Responses close their connections for this long before idle connections are closed.
+/// Time between the closing of the listeners and that of idle connections, in which each response closes its
+/// connection.
 constexpr milliseconds kLastRequestsFor{100};
-/// Far below the times above.
+/// Interval between two checks of a phase's end. Far below the times above.
 constexpr milliseconds kPollInterval{20};
 
 }  // namespace
@@ -94,7 +95,7 @@
 
 ShutdownSequence::NextCall ShutdownSequence::closeIdle(TimePoint now) {
     target_.closeIdleConnections();
-    // A connection on which a request has only begun does not delay the end beyond this.
+    // A connection on which a request has only begun to arrive does not delay the end beyond this time.
     const bool connectionsMayEnd =
         target_.allConnections() > 0 && now - scheduledAt_ < killAfter_ - kCloseBeforeKill;
     if (target_.openRequests() > 0 || connectionsMayEnd) return kPollInterval;
--- a/src/app/signal_handler.h
+++ b/src/app/signal_handler.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the signals that the process receives lead to.
+/// Handles the signals that the process receives.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -9,7 +9,8 @@
 namespace wingproxy::app {
 
 /// Catches SIGTERM, SIGINT, SIGHUP and SIGUSR1 as long as it exists, and runs their actions on the event
-/// loop, one after another. Several signals of one kind that arrive before their turn may count as one.
+/// loop, one after another. Several signals of one kind that arrive before they are handled may run their
+/// action only once.
 class SignalHandler {
 public:
     /// Called on the thread of the event loop, once for each signal.
@@ -19,7 +20,7 @@
         std::function<void()> reportMetrics;  ///< SIGUSR1
     };
 
-    /// Signals are caught from here on; their actions run within `io.run()`.
+    /// Signals are caught from now on; their actions run within `io.run()`.
     /// \param io outlives this object
     SignalHandler(boost::asio::io_context& io, Actions actions);
 
--- a/tests/app/config_reload_test.cpp
+++ b/tests/app/config_reload_test.cpp
@@ -1,4 +1,4 @@
-// Reading the configuration again: what is applied, and what a wrong file leaves as it was.
+// Reload of the configuration: a valid file is applied, an invalid one changes nothing.
 #include "app/config_reload.h"
 
 #include <doctest/doctest.h>
@@ -17,8 +17,8 @@
 namespace {
 
 /// A configuration file in a folder of its own, and the log of the reloads.
-struct Reloading {
-    Reloading() {
+struct ReloadFixture {
+    ReloadFixture() {
         write(text);
         atStart = config::parseConfig(text);
     }
@@ -37,11 +37,11 @@
     test::CapturedLog log;
     log::Logger logger{log::Level::Info, log.stream()};
     std::vector<config::Config> applied;
-    std::string applyFailure;  ///< thrown by the next application, unless empty
+    std::string applyFailure;  ///< message of the exception that applying throws; empty: none
     app::ConfigReload reloader{path(), atStart,
-                               [this](const config::Config& fresh) {
+                               [this](const config::Config& newConfig) {
                                    if (!applyFailure.empty()) throw std::runtime_error(applyFailure);
-                                   applied.push_back(fresh);
+                                   applied.push_back(newConfig);
                                },
                                logger};
 };
@@ -49,60 +49,60 @@
 }  // namespace
 
 TEST_CASE("reload: the new file is applied, counted and logged") {
-    Reloading reloading;
-    reloading.replace(R"("discovery":"127.0.0.1:1")", R"("discovery":"127.0.0.1:2")");
-    reloading.reload();
-    REQUIRE(reloading.applied.size() == 1);
-    CHECK(reloading.applied[0].discovery.port == 2);
-    CHECK(reloading.reloader.counters().applied == 1);
-    CHECK(reloading.reloader.counters().rejected == 0);
-    CHECK(reloading.logged() == "info: reloaded: discovery at 127.0.0.1:2, 0 peers, 1024 descriptors\n");
+    ReloadFixture fixture;
+    fixture.replace(R"("discovery":"127.0.0.1:1")", R"("discovery":"127.0.0.1:2")");
+    fixture.reload();
+    REQUIRE(fixture.applied.size() == 1);
+    CHECK(fixture.applied[0].discovery.port == 2);
+    CHECK(fixture.reloader.counters().applied == 1);
+    CHECK(fixture.reloader.counters().rejected == 0);
+    CHECK(fixture.logged() == "info: reloaded: discovery at 127.0.0.1:2, 0 peers, 1024 descriptors\n");
 }
 
-TEST_CASE("reload: fields that only a restart changes are named, each time that they differ from the start") {
-    Reloading reloading;
-    reloading.replace(R"("n0")", R"("n9")");
-    reloading.reload();
-    reloading.reload();
+TEST_CASE("reload: fields that need a restart are logged each time that they differ from those at startup") {
+    ReloadFixture fixture;
+    fixture.replace(R"("n0")", R"("n9")");
+    fixture.reload();
+    fixture.reload();
     const std::string line =
         "info: reloaded: discovery at 127.0.0.1:1, 0 peers, 1024 descriptors; only a restart changes name\n";
-    CHECK(reloading.logged() == line + line);
+    CHECK(fixture.logged() == line + line);
 }
 
-TEST_CASE("reload: a wrong file is not applied") {
-    Reloading reloading;
-    reloading.write(R"({"name":"n0"})");
-    reloading.reload();
-    CHECK(reloading.applied.empty());
-    CHECK(reloading.reloader.counters().applied == 0);
-    CHECK(reloading.reloader.counters().rejected == 1);
-    CHECK(reloading.logged() == "error: reload: listen: missing; the old values stay\n");
+TEST_CASE("reload: an invalid file is not applied") {
+    ReloadFixture fixture;
+    fixture.write(R"({"name":"n0"})");
+    fixture.reload();
+    CHECK(fixture.applied.empty());
+    CHECK(fixture.reloader.counters().applied == 0);
+    CHECK(fixture.reloader.counters().rejected == 1);
+    CHECK(fixture.logged() == "error: reload: listen: missing; the old values stay\n");
 }
 
-TEST_CASE("reload: a file that is gone is a wrong one") {
-    Reloading reloading;
-    std::filesystem::remove(reloading.path());
-    reloading.reload();
-    CHECK(reloading.applied.empty());
-    CHECK(reloading.reloader.counters().rejected == 1);
+TEST_CASE("reload: a missing file is rejected") {
+    ReloadFixture fixture;
+    std::filesystem::remove(fixture.path());
+    fixture.reload();
+    CHECK(fixture.applied.empty());
+    CHECK(fixture.reloader.counters().rejected == 1);
 }
 
-TEST_CASE("reload: a value that cannot be applied counts as a wrong file") {
-    Reloading reloading;
-    reloading.applyFailure = "peers: no such address";
-    reloading.reload();
-    CHECK(reloading.reloader.counters().applied == 0);
-    CHECK(reloading.reloader.counters().rejected == 1);
-    CHECK(reloading.logged() == "error: reload: peers: no such address; the old values stay\n");
+TEST_CASE("reload: a file whose values cannot be applied is rejected") {
+    ReloadFixture fixture;
+    fixture.applyFailure = "peers: no such address";
+    fixture.reload();
+    CHECK(fixture.reloader.counters().applied == 0);
+    CHECK(fixture.reloader.counters().rejected == 1);
+    CHECK(fixture.logged() == "error: reload: peers: no such address; the old values stay\n");
 }
 
-TEST_CASE("reload: a right file after a wrong one is applied") {
-    Reloading reloading;
-    reloading.write("{}");
-    reloading.reload();
-    reloading.write(reloading.text);
-    reloading.reload();
-    CHECK(reloading.applied.size() == 1);
-    CHECK(reloading.reloader.counters().applied == 1);
-    CHECK(reloading.reloader.counters().rejected == 1);
+TEST_CASE("reload: a valid file after an invalid one is applied") {
+    ReloadFixture fixture;
+    fixture.write("{}");
+    fixture.reload();
+    fixture.write(fixture.text);
+    fixture.reload();
+    CHECK(fixture.applied.size() == 1);
+    CHECK(fixture.reloader.counters().applied == 1);
+    CHECK(fixture.reloader.counters().rejected == 1);
 }
--- a/tests/app/metrics_report_test.cpp
+++ b/tests/app/metrics_report_test.cpp
@@ -1,5 +1,5 @@
-// The counters' log lines: each value stands behind its own name. Every counter has another value, so that
-// two that were exchanged would show.
+// The counters' log lines: each value follows its own name. All counters of a line have different values, so
+// that two swapped ones are detected.
 #include "app/metrics_report.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
     CHECK(formatLine(group) == "counters part: count=7 flag=true cause=lease");
 }
 
-TEST_CASE("metrics: requests sum up the answers of all classes") {
+TEST_CASE("metrics: the line of requests sums the answers of all classes") {
     core::Counters counters;
     counters.received = 1;
     counters.byClass = {{10, 20, 30}, {1, 2, 3}};
--- a/tests/app/metrics_snapshot_test.cpp
+++ b/tests/app/metrics_snapshot_test.cpp
@@ -1,4 +1,4 @@
-// Which parts of the gateway the counters' log lines come from.
+// Which parts of the gateway have a group of metrics, and in which order.
 #include "app/metrics_snapshot.h"
 
 #include <string>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A gateway with its HTTP and rsync fronts, without admin server and hot restart.
+/// A gateway with HTTP and rsync fronts, but without an admin server and hot restart.
 struct Gateway {
     GatewayFixture fixture{testConfig(), 1};
     app::ConfigReload reload{"", fixture.config, [](const config::Config&) {}, fixture.logger};
@@ -37,21 +37,21 @@
 
 }  // namespace
 
-TEST_CASE("metrics snapshot: each part that there is has one group, in the order of the log lines") {
+TEST_CASE("metrics snapshot: each existing part has one group, in the order of the log lines") {
     const Gateway gateway;
     CHECK(gateway.groupNames() == Names{"requests", "answers_without_node", "attempts", "slow_start", "http",
                                         "rsync", "nodes", "discovery", "tables", "fleet", "reloads",
                                         "peers"});
 }
 
-TEST_CASE("metrics snapshot: a part that is not configured has none") {
+TEST_CASE("metrics snapshot: a part that is not configured has no group") {
     Gateway gateway;
     gateway.sources.rsync = nullptr;
     CHECK(gateway.groupNames() == Names{"requests", "answers_without_node", "attempts", "slow_start", "http",
                                         "nodes", "discovery", "tables", "fleet", "reloads", "peers"});
 }
 
-TEST_CASE("metrics snapshot: the counters are those of the moment of the call") {
+TEST_CASE("metrics snapshot: each call reads the current counters") {
     Gateway gateway;
     CHECK(gateway.line("requests").starts_with("counters requests: taken=0 delivered=0 "));
     gateway.fixture.node().onConnection = [](TestConnection& connection) {
--- a/tests/app/resource_budget_test.cpp
+++ b/tests/app/resource_budget_test.cpp
@@ -1,4 +1,4 @@
-// How descriptors and memory are divided between clients and nodes.
+// The division of descriptors and memory between clients and nodes.
 #include "app/resource_budget.h"
 
 #include <doctest/doctest.h>
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-TEST_CASE("resource budget: three fifths of the connections are clients', two fifths are nodes'") {
+TEST_CASE("resource budget: three fifths of the connections are for clients, two fifths for nodes") {
     const auto budget = divide(1000);
     CHECK(budget.httpClients == 600);
     CHECK(budget.httpNodes == 400);
@@ -35,7 +35,7 @@
     CHECK(budget.rsyncNodes == 100);
 }
 
-TEST_CASE("resource budget: all connections together never pass the descriptors") {
+TEST_CASE("resource budget: the sum of all connections never exceeds the descriptors left for them") {
     for (int connections = 10; connections < 300; ++connections) {
         for (const bool rsync : {false, true}) {
             const auto budget = divide(connections, 192, rsync);
@@ -45,7 +45,7 @@
     }
 }
 
-TEST_CASE("resource budget: with hardly any descriptors ten connections remain") {
+TEST_CASE("resource budget: with too few descriptors there are still ten connections") {
     for (const int descriptors : {0, kReserved, kReserved + 9}) {
         const auto budget = divideResources({descriptors, 192, false});
         CHECK(budget.httpClients == 6);
--- a/tests/app/shutdown_sequence_test.cpp
+++ b/tests/app/shutdown_sequence_test.cpp
@@ -1,4 +1,4 @@
-// The phases of a graceful shutdown: what each does, and what ends it. No timers and no sockets.
+// The phases of a graceful shutdown: the actions of each, and its end. No timers and no sockets.
 #include "app/shutdown_sequence.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Records what it is ordered to do; the test sets what it answers.
+/// Records the calls that it receives; the test sets the numbers that it returns.
 struct RecordingTarget : ShutdownTarget {
     void expectNoNewConnections() override { calls.emplace_back("expectNoNewConnections"); }
     void closeListeners() override { calls.emplace_back("closeListeners"); }
@@ -29,7 +29,7 @@
     Calls calls;
     std::size_t clients = 0;
     std::size_t connections = 0;
-    std::size_t idle = 0;  ///< of the connections
+    std::size_t idle = 0;  ///< connections that are idle
     std::size_t requests = 0;
 };
 
@@ -44,8 +44,8 @@
     ShutdownSequence::NextCall advanceAt(std::chrono::milliseconds elapsed) {
         return sequence.advance(start + elapsed);
     }
-    /// Without clients, to the phase in which idle connections are closed; the target's calls are forgotten.
-    void reachClosingIdle() {
+    /// Enters the phase before `ClosingIdle` without clients, and clears the recorded calls.
+    void enterClosingListener() {
         startAt(ShutdownMode::Transferred);
         REQUIRE(sequence.phase() == ShutdownPhase::ClosingListener);
         target.calls.clear();
@@ -68,7 +68,7 @@
 }
 
 TEST_CASE(
-    "shutdown: the kill follows the longest deadline and 0.7 s, of which the last parts are for closing") {
+    "shutdown: the kill is 0.7 s after the longest deadline, and the last times before it are for closing") {
     Shutdown shutdown(1s);
     CHECK(shutdown.sequence.scheduled());
     CHECK(shutdown.sequence.serveFor() == 1250ms);
@@ -118,7 +118,7 @@
     CHECK(shutdown.sequence.phase() == ShutdownPhase::ClosingListener);
 }
 
-TEST_CASE("shutdown: the last client's end closes the listener once 0.6 s have passed") {
+TEST_CASE("shutdown: after 0.6 s the listener is closed when the last client disconnects") {
     Shutdown shutdown;
     shutdown.target.clients = 1;
     shutdown.startAt(ShutdownMode::WithoutSuccessor);
@@ -127,7 +127,7 @@
     CHECK(shutdown.advanceAt(720ms) == 100ms);
 }
 
-TEST_CASE("shutdown: after a transfer the listener is closed with the last client") {
+TEST_CASE("shutdown: after a transfer the listener is closed as soon as the last client disconnects") {
     Shutdown shutdown;
     shutdown.target.clients = 1;
     CHECK(shutdown.startAt(ShutdownMode::Transferred) == 20ms);
@@ -136,7 +136,7 @@
     CHECK(shutdown.target.calls == Calls{"closeListeners"});
 }
 
-TEST_CASE("shutdown: after a transfer the successor accepts connections, so none are kept free") {
+TEST_CASE("shutdown: after a transfer the target is not told to expect no new connections") {
     Shutdown shutdown;
     shutdown.target.clients = 1;
     shutdown.startAt(ShutdownMode::Transferred);
@@ -146,7 +146,7 @@
 
 TEST_CASE("shutdown: idle connections are closed 0.1 s after the listener") {
     Shutdown shutdown;
-    shutdown.reachClosingIdle();
+    shutdown.enterClosingListener();
     shutdown.target.connections = 2;
     shutdown.target.idle = 1;
     CHECK(shutdown.advanceAt(100ms) == 20ms);
@@ -156,7 +156,7 @@
 
 TEST_CASE("shutdown: it stops as soon as the last connection is closed and nothing is in flight") {
     Shutdown shutdown;
-    shutdown.reachClosingIdle();
+    shutdown.enterClosingListener();
     shutdown.target.connections = 1;
     shutdown.target.idle = 1;
     CHECK(!shutdown.advanceAt(100ms));
@@ -167,16 +167,16 @@
 TEST_CASE(
     "shutdown: a connection without a request in flight does not delay it beyond 0.12 s before the kill") {
     Shutdown shutdown;
-    shutdown.reachClosingIdle();
+    shutdown.enterClosingListener();
     shutdown.target.connections = 1;
     CHECK(shutdown.advanceAt(1579ms) == 20ms);
     CHECK(!shutdown.advanceAt(1580ms));
     CHECK(shutdown.sequence.phase() == ShutdownPhase::Stopped);
 }
 
-TEST_CASE("shutdown: a request in flight is waited for, however late it is") {
+TEST_CASE("shutdown: requests in flight are awaited without a time limit") {
     Shutdown shutdown;
-    shutdown.reachClosingIdle();
+    shutdown.enterClosingListener();
     shutdown.target.requests = 1;
     CHECK(shutdown.advanceAt(5s) == 20ms);
     shutdown.target.requests = 0;
--- a/tests/app/signal_handler_test.cpp
+++ b/tests/app/signal_handler_test.cpp
@@ -1,4 +1,4 @@
-// Which action each signal of the process leads to.
+// The action that each signal runs.
 #include "app/signal_handler.h"
 
 #include <doctest/doctest.h>
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// The actions that signals led to, in their order.
+/// Records the actions that signals run, in their order.
 struct RecordedActions {
-    /// Sends the signal to this process and runs the event loop until an action or until nothing is waited
-    /// for.
+    /// Sends the signal to this process and runs the event loop until an action has run or the loop is out of
+    /// work.
     void receive(int signal) {
         const std::size_t before = actions.size();
         const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(10);
--- a/tests/cli/cli_test.cpp
+++ b/tests/cli/cli_test.cpp
@@ -59,7 +59,7 @@
         {"detach a b", 2, "not expected: b"},
         {"ready vars --mgmt 127.0.0.1:1", 2, ""},
         {"serve", 2, "not expected: serve"},
-        {"ready --config " + config, 2, "mgmt: neither in the configuration nor told by --mgmt"},
+        {"ready --config " + config, 2, "mgmt: set neither in the configuration nor by --mgmt"},
         {"vars --mgmt 127.0.0.1", 2, "mgmt: '127.0.0.1' is not an IPv4 address and a port"},
         {"ready --mgmt 127.0.0.1:1", 3,
          "no response from a front at 127.0.0.1:1: connect: Connection refused"},
