--- a/tests/support/captured_log.h
+++ b/tests/support/captured_log.h
@@ -1,5 +1,5 @@
 /// \file
-/// A stream for a test's logger, whose lines the test reads.
+/// A stream for a test's logger, whose output the test can read.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -10,7 +10,7 @@
 
 namespace wingproxy::test {
 
-/// Owns a temporary file without a name.
+/// Writes to an unnamed temporary file, which it owns.
 class CapturedLog {
 public:
     CapturedLog() { REQUIRE(file_); }
--- a/tests/support/process_support.h
+++ b/tests/support/process_support.h
@@ -1,6 +1,6 @@
 /// \file
-/// Whole processes of one front in tests. They inherit the test's listening socket and share one folder for
-/// their configuration, their locks and their logs.
+/// Runs processes of the program in tests. The processes of one front inherit the test's listening socket and
+/// share a folder for their configuration, locks and logs.
 #pragma once
 
 #include <fcntl.h>
@@ -20,13 +20,13 @@
 
 namespace wingproxy::test {
 
-/// The name of the configuration file in a process's folder.
+/// Name of the configuration file in the processes' folder.
 inline const std::string kConfigFile = "config.json";
 
 /// A port of 127.0.0.1 that is free over TCP and UDP, for a process that starts later.
 ///
-/// It is below the system's ephemeral ports, which any connection of a test that runs beside this one may
-/// take meanwhile, and each test process begins at another one.
+/// It is below the system's ephemeral ports, which connections of tests that run at the same time may take
+/// before the process binds it. Test processes start their search at different ports.
 inline std::uint16_t freePort(asio::io_context& io) {
     constexpr int kFirst = 20'000;
     constexpr int kCount = 12'000;
@@ -52,7 +52,7 @@
 /// WINGPROXY_TEST_BINARY is the path of the other build. WINGPROXY_TEST_BINARY_PROCESSES says which processes
 /// run it: `all` (the default), or those with an `even` or an `odd` index, so that both builds run beside
 /// each other.
-/// \param index the process's, as `Process` takes it
+/// \param index number of the process, see `Process`
 inline std::string binaryOf(int index) {
     const char* const otherBuild = std::getenv("WINGPROXY_TEST_BINARY");
     const char* const selection = std::getenv("WINGPROXY_TEST_BINARY_PROCESSES");
@@ -64,14 +64,14 @@
     return otherBuild != nullptr && runsOtherBuild ? otherBuild : WINGPROXY_BINARY;
 }
 
-/// A running front. It is killed, unless it has ended, when this object is destroyed.
+/// A running process of the program. The destructor kills it if it has not ended.
 class Process {
 public:
-    /// \param folder has the configuration; the process writes its files and its log there
-    /// \param index number of the process in the folder
+    /// \param folder contains the configuration; the process writes its files and its log there
+    /// \param index number of the process, different from that of any other one with the same folder
     /// \param listening a socket that already listens for clients
-    /// \param adminPort where operators' requests are served
-    /// \param variables of its environment besides, each "NAME=VALUE"
+    /// \param adminPort port of 127.0.0.1 where the process serves admin requests
+    /// \param variables additional environment variables, each "NAME=VALUE"
     Process(const TemporaryFolder& folder, int index, int listening, std::uint16_t adminPort,
             const std::vector<std::string>& variables = {})
         : log(folder.file(fmt::format("log{}", index))), mgmt{"127.0.0.1", adminPort} {
@@ -91,7 +91,8 @@
         posix_spawn_file_actions_adddup2(&files, listening, kInheritedFd);
         posix_spawn_file_actions_addopen(&files, STDERR_FILENO, log.c_str(), O_CREAT | O_WRONLY | O_TRUNC,
                                          0600);
-        // A connection of the test that the process held too would stay open when the test closes its end.
+        // The process must not inherit the test's connections: they would stay open after the test closes
+        // them.
         for (int descriptor = STDERR_FILENO + 1; descriptor < kInheritedFd; ++descriptor)
             posix_spawn_file_actions_addclose(&files, descriptor);
         posix_spawn_file_actions_addclosefrom_np(&files, kInheritedFd + 1);
@@ -112,7 +113,7 @@
         if (!ended && waitpid(pid, &status, WNOHANG) == pid) ended = true;
         return !ended;
     }
-    /// Whether the text occurs in the process's log.
+    /// Whether the process's log contains the text.
     bool hasLogged(std::string_view text) const { return readLog().find(text) != std::string::npos; }
     std::string readLog() const {
         std::ifstream file(log);
@@ -122,17 +123,17 @@
     const std::string log;  ///< path of its log
     const config::Endpoint mgmt;
     pid_t pid = -1;
-    int status = 0;  ///< as waitpid() reports it, once the process has ended
+    int status = 0;  ///< from waitpid(), valid once the process has ended
     bool ended = false;
 
 private:
     static constexpr int kInheritedFd = 7;
 };
 
-/// The platform around a front that is upgraded: it holds the clients' socket, starts processes that inherit
-/// it, and has one node, which answers if the test lets it.
+/// The environment of a front that is upgraded: owns the listening socket for clients, starts processes that
+/// inherit it, and has one node, whose responses the test controls.
 struct Platform {
-    /// Texts of the configuration, and what stands in their place.
+    /// Texts of the configuration, each with its replacement.
     using Changes = std::vector<std::pair<std::string, std::string>>;
     explicit Platform(int sockets = 384, const Changes& changes = {})
         : listening(fixture.io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)) {
@@ -149,7 +150,8 @@
             std::make_unique<Process>(folder, index, listening.native_handle(), freePort(fixture.io)));
         return *processes.back();
     }
-    /// What a process answers to an HTTP message at its operators' interface; empty if it cannot be reached.
+    /// Sends an HTTP message to a process's admin address and returns the response; empty if the process
+    /// cannot be reached.
     std::string call(const Process& to, const std::string& text) {
         tcp::socket socket(fixture.io);
         boost::system::error_code error;
@@ -179,7 +181,7 @@
         fixture.waitUntil([&] { return process.hasLogged(text); }, text);
     }
     TestConnectionPtr client() { return connectTo(fixture.io, listening.local_endpoint()); }
-    /// Sends one request on a connection and waits until it has its 200.
+    /// Sends one request on a connection and waits for its 200 response.
     void serve(const TestConnectionPtr& client, const std::string& id) {
         client->clearReceived();
         client->send(PlatformRequest{.id = id}.text());
--- a/tests/support/temporary_folder.h
+++ b/tests/support/temporary_folder.h
@@ -1,5 +1,5 @@
 /// \file
-/// A folder of a test's own, as $TMPDIR is of the processes of one gateway.
+/// A temporary folder for one test, for instance as the $TMPDIR of the processes of a gateway.
 #pragma once
 
 #include <cstdlib>
@@ -9,7 +9,7 @@
 
 namespace wingproxy::test {
 
-/// Makes an empty folder, and removes it with all that is in it when it is destroyed.
+/// Creates an empty folder, and removes it and its content when it is destroyed.
 class TemporaryFolder {
 public:
     TemporaryFolder() {
@@ -21,9 +21,9 @@
     TemporaryFolder& operator=(const TemporaryFolder&) = delete;
 
     [[nodiscard]] std::string path() const { return path_.string(); }
-    /// The path of a file in the folder, whether it exists or not.
+    /// The path of a file in the folder, which need not exist.
     [[nodiscard]] std::string file(const std::string& name) const { return (path_ / name).string(); }
-    /// Writes a file in place of what it was before.
+    /// Creates a file or replaces its content.
     /// \return its path
     std::string write(const std::string& name, const std::string& content) const {
         std::ofstream(path_ / name) << content;
