--- a/tests/fleet/fleet_process_test.cpp
+++ b/tests/fleet/fleet_process_test.cpp
@@ -18,7 +18,7 @@
     fleet.fixture.waitUntil(
         [&] {
             fleet.collectResponses();
-            REQUIRE(fleet.units() <= fleet.allowed());
+            REQUIRE(fleet.servedUnits() <= fleet.allowedUnits());
             for (std::size_t i = 0; i < fleet.fronts.size() && maySend(); ++i)
                 if (fleet.fronts[i] && fleet.fronts[i]->running()) fleet.sendRequest(i);
             return condition();
@@ -49,7 +49,7 @@
 TEST_CASE(
     "fleet processes: a front recovers by its shutdown notice while a peer is dead and links lose 30%") {
     Fleet fleet(4, 5);
-    fleet.relay->all(kLossyLink);
+    fleet.relay->setAllLinks(kLossyLink);
     startAll(fleet);
     loadUntilServed(fleet, 40);
     const auto openConnection = fleet.client(0);  // the front serves it until the time in its notice
@@ -70,7 +70,7 @@
     loadUntil(
         fleet, [&] { return fleet.countersShow(0, "may_lend=true"); }, "the front may lend again");
     CHECK(fleet.relay->counters().lost > 0);
-    CHECK(fleet.relay->counters().doubled > 0);
+    CHECK(fleet.relay->counters().duplicated > 0);
     CHECK(fleet.relay->counters().largest <= 256);
 }
 
@@ -78,7 +78,7 @@
 TEST_CASE(
     "fleet processes: a front killed while a link is cut recovers by lease expiry, and the limit holds") {
     Fleet fleet(3, 7);
-    fleet.relay->all(kLossyLink);
+    fleet.relay->setAllLinks(kLossyLink);
     startAll(fleet);
     loadUntilServed(fleet, 40);
     fleet.relay->link(0, 2).cut = true;  // one way: front 2 receives nothing from front 0
--- a/tests/fleet/slow_start_process_test.cpp
+++ b/tests/fleet/slow_start_process_test.cpp
@@ -155,7 +155,7 @@
     StartingNodeLoad load(11);
     SUBCASE("it does not answer") {}
     SUBCASE("it does not answer, and the processes do not receive each other's datagrams") {
-        load.fleet().relay->all(kCutLink);
+        load.fleet().relay->setAllLinks(kCutLink);
     }
     SUBCASE("it answers at the speed that its settings promise") { load.answerAtPromisedSpeed(); }
     SUBCASE("it declines") { load.answerAtOnceWith(status(503, "Srv-Declined: 1\r\n")); }
--- a/tests/soak/fault_schedule.cpp
+++ b/tests/soak/fault_schedule.cpp
@@ -39,11 +39,11 @@
         plan(2, [this](Random& random) { disturbLink(random); });
         plan(2, [this](Random& random) { resetLink(random); });
         plan(1, [this](Random&) {
-            fleet_.relay().all({40, 10, milliseconds(2), milliseconds(20), false});
+            fleet_.relay().setAllLinks({40, 10, milliseconds(2), milliseconds(20), false});
             note("datagrams are lost, doubled and late");
         });
         plan(1, [this](Random&) {
-            fleet_.relay().all({0, 0, milliseconds(0), milliseconds(0), true});
+            fleet_.relay().setAllLinks({0, 0, milliseconds(0), milliseconds(0), true});
             note("no datagram arrives");
         });
     }
--- a/tests/soak/soak_fleet.cpp
+++ b/tests/soak/soak_fleet.cpp
@@ -94,11 +94,12 @@
 std::string Fleet::configOf(std::size_t index) {
     std::string peers;
     for (std::size_t peer = 0; peer < plan_.fronts; ++peer)
-        peers += fmt::format("{}\"127.0.0.1:{}\"", peer > 0 ? "," : "", relay_->at(index, peer).port());
+        peers +=
+            fmt::format("{}\"127.0.0.1:{}\"", peer > 0 ? "," : "", relay_->addressOf(index, peer).port());
     const auto discovery = fronts_[index]->discovery.address();
-    auto json = test::replaced(
-        baseConfig(), R"("peers":[])",
-        fmt::format(R"("peer_listen":"127.0.0.1:{}","peers":[{}])", relay_->at(index, index).port(), peers));
+    auto json = test::replaced(baseConfig(), R"("peers":[])",
+                               fmt::format(R"("peer_listen":"127.0.0.1:{}","peers":[{}])",
+                                           relay_->addressOf(index, index).port(), peers));
     json = test::replaced(json, R"("me":0,"replicasOfMe":1)",
                           fmt::format(R"("me":{},"replicasOfMe":{})", index, plan_.fronts));
     json =
--- a/tests/support/fleet_support.h
+++ b/tests/support/fleet_support.h
@@ -17,7 +17,7 @@
 /// What happens to the datagrams of one direction of one link.
 struct Link {
     int lossPercent = 0;
-    int doublePercent = 0;
+    int duplicatePercent = 0;
     std::chrono::milliseconds delay{0};
     std::chrono::milliseconds jitter{0};  ///< at most, added to the delay
     bool cut = false;                     ///< loses everything
@@ -30,7 +30,7 @@
     struct Counters {
         std::uint64_t passed = 0;  ///< sent on, copies included
         std::uint64_t lost = 0;
-        std::uint64_t doubled = 0;
+        std::uint64_t duplicated = 0;
         std::uint64_t largest = 0;  ///< bytes of the longest one
     };
     /// \param fronts the addresses at which the fronts receive
@@ -48,12 +48,12 @@
             }
     }
     /// Where the front `from` finds `to`: what it sends there leaves at the end that `to` knows it by.
-    udp::endpoint at(std::size_t from, std::size_t to) const {
+    udp::endpoint addressOf(std::size_t from, std::size_t to) const {
         return from == to ? fronts_[from] : ends_.at({from, to})->socket.local_endpoint();
     }
     Link& link(std::size_t from, std::size_t to) { return links_[from][to]; }
     /// Gives every direction of every link these properties.
-    void all(const Link& link) {
+    void setAllLinks(const Link& link) {
         for (auto& row : links_)
             std::fill(row.begin(), row.end(), link);
     }
@@ -86,13 +86,13 @@
             ++counters_.lost;
             return;
         }
-        const bool doubled = draw(link.doublePercent);
-        sendLater(from, to, bytes);
-        if (!doubled) return;
-        ++counters_.doubled;
-        sendLater(from, to, bytes);
+        const bool duplicated = draw(link.duplicatePercent);
+        sendDelayed(from, to, bytes);
+        if (!duplicated) return;
+        ++counters_.duplicated;
+        sendDelayed(from, to, bytes);
     }
-    void sendLater(std::size_t from, std::size_t to, const std::string& bytes) {
+    void sendDelayed(std::size_t from, std::size_t to, const std::string& bytes) {
         const auto& link = links_[from][to];
         auto wait = link.delay;
         if (link.jitter.count() > 0)
@@ -133,7 +133,7 @@
     /// The configuration of one front: it finds the others through the relay.
     std::string config(std::size_t i, std::size_t frontCount) {
         const auto peerAddress = [&](std::size_t peer) {
-            return fmt::format("127.0.0.1:{}", relay->at(i, peer).port());
+            return fmt::format("127.0.0.1:{}", relay->addressOf(i, peer).port());
         };
         std::string peers;
         for (std::size_t peer = 0; peer < frontCount; ++peer)
@@ -190,11 +190,11 @@
         });
     }
     /// Units of work that all fronts together sent and had answered.
-    double units() const { return static_cast<double>(served) * kUnits; }
+    double servedUnits() const { return static_cast<double>(served) * kUnits; }
     /// What the limit allows since the fleet was made, burst and slack included.
-    double allowed() const {
+    double allowedUnits() const {
         const auto& plan = fixture.config.settings.plans[0];
-        const std::chrono::duration<double> seconds = std::chrono::steady_clock::now() - firstAt;
+        const std::chrono::duration<double> seconds = std::chrono::steady_clock::now() - startedAt;
         return plan.limitBurst + plan.limitSlack + plan.limit * seconds.count();
     }
 
@@ -210,7 +210,7 @@
     std::size_t served = 0;
     std::size_t rejected = 0;
     std::size_t unanswered = 0;
-    std::chrono::steady_clock::time_point firstAt = std::chrono::steady_clock::now();
+    std::chrono::steady_clock::time_point startedAt = std::chrono::steady_clock::now();
 };
 
 }  // namespace wingproxy::test
