--- a/tests/soak/stand_ins.h
+++ b/tests/soak/fake_servers.h
@@ -1,6 +1,6 @@
 /// \file
-/// What stands around a fleet in a soak: a fault proxy on each way to a node, nodes, and discovery. All of
-/// them run on the event loop of the test.
+/// The fake surroundings of a fleet in a soak: nodes, a fault-injecting proxy in front of each, and
+/// discovery. All of them run on the event loop of the test.
 #pragma once
 
 #include <functional>
@@ -14,13 +14,13 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-/// An HTTP message that is complete in a buffer.
+/// A complete HTTP message from a buffer.
 struct HttpMessage {
     std::string head;
     std::string body;
-    std::size_t length = 0;  ///< of head and body
+    std::size_t length = 0;  ///< bytes of head and body
 
-    /// The first message in the bytes, if all of it is there.
+    /// The first message in `bytes`, if it is complete.
     static std::optional<HttpMessage> in(const std::string& bytes) {
         const auto end = bytes.find("\r\n\r\n");
         if (end == std::string::npos) return std::nullopt;
@@ -31,7 +31,7 @@
         message.body = bytes.substr(end + 4, message.length - end - 4);
         return message;
     }
-    /// The value of a field, or nothing; names are compared as they are written here.
+    /// The value of a header field, or an empty text. Names are compared case-sensitively.
     [[nodiscard]] std::string field(const std::string& name) const {
         const auto at = head.find("\r\n" + name + ": ");
         if (at == std::string::npos) return "";
@@ -45,10 +45,10 @@
     }
 };
 
-/// Passes connections on to a server, or does to them what the test says.
+/// Forwards connections to a server, and delays, holds back or resets them as the test says.
 class FaultProxy {
 public:
-    /// What happens to the bytes of all connections.
+    /// Whether bytes are forwarded, or held back until the mode is `Pass` again.
     enum class Mode { Pass, Silent };
 
     FaultProxy(asio::io_context& io, const tcp::endpoint& target)
@@ -63,7 +63,7 @@
                 if (!link->held[side].empty())
                     send(*link->ends[1 - side], std::exchange(link->held[side], {}));
     }
-    /// How long each piece of bytes takes.
+    /// Sets how long each chunk of bytes is delayed.
     void setDelay(milliseconds delay) { delay_ = delay; }
     /// Resets all connections.
     void resetAll() {
@@ -75,7 +75,7 @@
 
 private:
     struct Link {
-        std::array<std::shared_ptr<tcp::socket>, 2> ends;  // the front's, the node's
+        std::array<std::shared_ptr<tcp::socket>, 2> ends;  // to the front, to the node
         std::array<std::array<char, 8192>, 2> chunks{};
         std::array<std::string, 2> held;
         bool closed = false;
@@ -142,21 +142,21 @@
     std::vector<std::shared_ptr<Link>> links_;
 };
 
-/// A node: serves requests one after another, and answers with the id of the request.
-class StandInNode {
+/// A node that serves requests one after another and answers each with its id.
+class FakeNode {
 public:
-    /// What it does with requests.
+    /// What the node does with requests.
     enum class Behaviour { Serve, Hang, Decline, Fail, ResetUnderRequests };
 
-    /// \param dropsAbandoned whether waiting work is dropped whose connection was closed
-    StandInNode(asio::io_context& io, Observations& observations, ObservedNode observed,
-                const Settings& settings, bool dropsAbandoned)
+    /// \param dropsAbandoned whether queued requests are dropped when their connection is closed
+    FakeNode(asio::io_context& io, Observations& observations, ObservedNode observed,
+             const Settings& settings, bool dropsAbandoned)
         : observations_(observations),
           observed_(std::move(observed)),
           settings_(settingsOfNode(settings, observed_.capacityFactor)),
           dropsAbandoned_(dropsAbandoned),
           server_(io) {}
-    /// Looks at what has come; to be called in each turn of the loop.
+    /// Handles what was received; to be called in each iteration of the loop.
     void poll() {
         for (const auto& connection : server_.connections)
             while (const auto message = HttpMessage::in(connection->received)) {
@@ -166,7 +166,7 @@
         work();
         std::erase_if(server_.connections, [](const auto& connection) { return connection->ended; });
     }
-    /// Its process dies and a new one takes its place at once: cold, with nothing open.
+    /// The process crashes and a new one replaces it at once, in slow start and without open connections.
     void restart(std::int64_t startVersion) {
         observations_.nodeEnded(observed_);
         for (const auto& connection : server_.connections)
@@ -178,18 +178,19 @@
         fresh.startedAt = Clock::now();
         fresh.isStarting = true;
         fresh.startVersion = startVersion;
-        fresh.heldBackUntil = observed_.heldBackUntil;
+        fresh.linkDisturbedUntil = observed_.linkDisturbedUntil;
         fresh.capacityFactor = observed_.capacityFactor;
         observed_ = std::move(fresh);
     }
     void setBehaviour(Behaviour behaviour) { behaviour_ = behaviour; }
     [[nodiscard]] ObservedNode& observed() { return observed_; }
     [[nodiscard]] tcp::endpoint endpoint() const { return server_.acceptor.local_endpoint(); }
-    /// How long a request of so many units takes it now, as quick as a node of its age and capacity is.
+    /// The time that a request of so many units takes at the present speed.
     [[nodiscard]] Clock::duration timeFor(double units) const {
         const std::chrono::duration<double> seconds(units / unitsPerSecond());
         return std::chrono::duration_cast<Clock::duration>(seconds);
     }
+    /// The present speed, which depends on the age and the capacity of the node.
     [[nodiscard]] double unitsPerSecond() const {
         const auto age =
             std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - observed_.startedAt);
@@ -221,18 +222,18 @@
                 return;
         }
     }
-    // The first of those that wait is being worked on.
+    // The first request of the queue is being served.
     void work() {
-        while (!waiting_.empty() && Clock::now() >= firstDoneAt_) {
+        while (!waiting_.empty() && Clock::now() >= firstCompletesAt_) {
             if (!waiting_.front().connection->ended)
                 waiting_.front().connection->send(test::ok(waiting_.front().id));
             waiting_.pop_front();
             while (dropsAbandoned_ && !waiting_.empty() && waiting_.front().connection->ended)
                 waiting_.pop_front();
-            if (!waiting_.empty()) startNext(firstDoneAt_, observations_.unitsOf(waiting_.front().id));
+            if (!waiting_.empty()) startNext(firstCompletesAt_, observations_.unitsOf(waiting_.front().id));
         }
     }
-    void startNext(Clock::time_point at, double units) { firstDoneAt_ = at + timeFor(units); }
+    void startNext(Clock::time_point at, double units) { firstCompletesAt_ = at + timeFor(units); }
 
     struct Work {
         test::TestConnectionPtr connection;
@@ -244,23 +245,23 @@
     bool dropsAbandoned_;
     Behaviour behaviour_ = Behaviour::Serve;
     test::StubServer server_;
-    Clock::time_point firstDoneAt_{};
+    Clock::time_point firstCompletesAt_{};
     std::deque<Work> waiting_;
 };
 
-/// Discovery as one front sees it: answers polls with the complete list, watches when it has changed.
-class StandInDiscovery {
+/// The discovery service of one front: answers polls with the complete list, and watches once it has changed.
+class FakeDiscovery {
 public:
-    StandInDiscovery(asio::io_context& io, Observations& observations, std::size_t front)
+    FakeDiscovery(asio::io_context& io, Observations& observations, std::size_t front)
         : observations_(observations), front_(front), server_(io) {}
-    /// The list of this version, as it is written from now on.
+    /// Sets the list that is sent from now on.
     void setList(std::int64_t version, std::string instances) {
         version_ = version;
         instances_ = std::move(instances);
     }
-    /// While it is down it resets all connections.
+    /// While the service is down it resets all connections.
     void setDown(bool down) { isDown_ = down; }
-    /// To be called in each turn of the loop.
+    /// Handles what was received; to be called in each iteration of the loop.
     void poll() {
         for (const auto& connection : server_.connections) {
             if (isDown_) {
@@ -278,7 +279,7 @@
             connection->received.erase(0, message->length);
             connection->send(test::ok(
                 fmt::format(R"({{"generation":{},"reset":true,"instances":[{}]}})", version_, instances_)));
-            observations_.listTold(front_, version_);
+            observations_.listSent(front_, version_);
         }
         std::erase_if(server_.connections, [this](const auto& connection) {
             if (connection->ended) watches_.erase(connection.get());
@@ -294,7 +295,7 @@
     std::int64_t version_ = 0;
     std::string instances_;
     bool isDown_ = false;
-    std::map<test::TestConnection*, Clock::time_point> watches_;  // since when each is open
+    std::map<test::TestConnection*, Clock::time_point> watches_;  // when each request was first seen
 };
 
 }  // namespace wingproxy::soak
--- a/tests/soak/fault_control.h
+++ b/tests/soak/fault_control.h
@@ -1,5 +1,6 @@
 /// \file
-/// What the fault shim does to one process. A test writes it to a file that the process maps.
+/// Shared memory through which a test controls the faults that the shim injects into one process. The file is
+/// mapped by both.
 #pragma once
 
 #include <atomic>
@@ -7,22 +8,23 @@
 
 namespace wingproxy::soak {
 
-/// How writes to files in the process's folder end.
+/// The result of writes to regular files.
 enum class StorageFault : std::uint32_t {
     None,
-    NoSpace,    ///< ENOSPC
-    IoError,    ///< EIO, also from fsync and rename
-    HalfWrite,  ///< half of the bytes are written, then ENOSPC
+    NoSpace,    ///< fails with ENOSPC
+    IoError,    ///< fails with EIO, as do fsync and rename
+    HalfWrite,  ///< writes half of the bytes; fails with ENOSPC if there is only one
 };
 
-/// Shared between a test and one process; all zero is a machine without faults.
+/// The content of the file. All zero injects no faults.
 struct FaultControl {
-    std::atomic<std::int64_t> wallClockOffsetUs;  ///< added to the wall clock, not to the monotonic one
+    std::atomic<std::int64_t>
+        wallClockOffsetUs;  ///< added to the wall clock only, not to the monotonic clock
     std::atomic<StorageFault> storage;
-    std::atomic<std::uint32_t> attached;  ///< set by the shim: it was loaded
+    std::atomic<std::uint32_t> attached;  ///< set to 1 by the shim when it is loaded
 };
 
-/// The environment variable that names the file.
+/// The environment variable with the path of the file.
 inline constexpr const char* kFaultControlVariable = "WINGPROXY_FAULT_CONTROL";
 
 }  // namespace wingproxy::soak
--- a/tests/soak/fault_control_file.h
+++ b/tests/soak/fault_control_file.h
@@ -1,5 +1,5 @@
 /// \file
-/// The test's end of the fault shim.
+/// The test's side of the fault shim.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -14,7 +14,7 @@
 
 namespace wingproxy::soak {
 
-/// The control of one process's faults: a file that both map.
+/// Creates and maps the file that controls the faults of one process.
 class FaultControlFile {
 public:
     explicit FaultControlFile(const std::string& path) : path_(path) {
@@ -30,7 +30,7 @@
     FaultControlFile(const FaultControlFile&) = delete;
     FaultControlFile& operator=(const FaultControlFile&) = delete;
     FaultControl* operator->() const { return control_; }
-    /// What the environment of the process needs.
+    /// The environment variables that load the shim into the process and name this file.
     [[nodiscard]] std::vector<std::string> variables() const {
         return {std::string(kFaultControlVariable) + "=" + path_, "LD_PRELOAD=" WINGPROXY_FAULT_SHIM};
     }
--- a/tests/soak/fault_schedule.h
+++ b/tests/soak/fault_schedule.h
@@ -1,22 +1,23 @@
 /// \file
-/// The faults of a run: when which comes, and what it does to the fleet.
+/// Draws the faults of a run from its seed and injects them into the fleet.
 #pragma once
 
 #include "soak/soak_fleet.h"
 
 namespace wingproxy::soak {
 
-/// Draws the faults of a plan and injects each when its time has come. What a fault hits and how is drawn
-/// with it, so that two plays of a seed have the same faults in the same order.
+/// Draws the faults of a plan and injects each when it is due. The target and the details of a fault come
+/// from a seed that is drawn together with its time, so that every run of a seed has the same faults in the
+/// same order.
 class FaultSchedule {
 public:
-    /// \param end of the run
+    /// \param end the end of the run
     FaultSchedule(const SoakPlan& plan, Fleet& fleet, Clock::time_point end);
-    /// Injects what is due.
+    /// Injects the faults that are due.
     void runDue();
-    /// What was injected so far, a line each.
+    /// One line for each fault injected so far.
     [[nodiscard]] const std::vector<std::string>& injected() const { return injected_; }
-    /// How many lines that is; the end of a hold-up is one too.
+    /// The number of these lines. The end of a pause is a line of its own.
     [[nodiscard]] std::size_t count() const { return injected_.size(); }
 
 private:
@@ -27,11 +28,11 @@
     };
     using Inject = std::function<void(Random&)>;
 
-    void planAll();
-    void planSignals();
-    void plan(int count, const Inject& inject);
-    void later(milliseconds delay, std::function<void()> what);
-    void note(const std::string& what);
+    void scheduleAll();
+    void scheduleSignals();
+    void scheduleRandomly(int count, const Inject& inject);
+    void runAfter(milliseconds delay, std::function<void()> what);
+    void record(const std::string& what);
     Front& anyFront(Random& random) { return *fleet_.fronts()[random() % fleet_.fronts().size()]; }
     Node& anyNode(Random& random) {
         const auto listed = fleet_.listedNodes();
@@ -45,20 +46,20 @@
     void resetLink(Random& random);
     void stopDiscovery(Random& random);
     void terminate(Random& random);
-    void signalReady(Random& random, int number);
-    void holdUp(Front& front);
-    void holdUpInSeries(Random& random);
+    void signalIfServing(Random& random, int number);
+    void pauseProcess(Front& front);
+    void pauseProcessRepeatedly(Random& random);
     void stepClock(Random& random);
     void failStorage(Random& random);
-    void drainByHand(Random& random);
-    void order(Front& front, const std::string& what, const std::string& node);
-    void crowd(Random& random);
+    void drainAdministratively(Random& random);
+    void sendAdminCommand(Front& front, const std::string& what, const std::string& node);
+    void flood(Random& random);
 
     SoakPlan plan_;
     Fleet& fleet_;
     Clock::time_point end_;
     Random random_;
-    Random moves_;
+    Random playOffsets_;
     std::vector<Fault> faults_;  // by time
     std::vector<std::string> injected_;
 };
--- a/tests/soak/fault_shim.cpp
+++ b/tests/soak/fault_shim.cpp
@@ -1,5 +1,6 @@
-// A shared object that is preloaded into a front under test: it steps the wall clock and makes writes to
-// files fail, as the control file says. Sockets and standard streams are left alone. Never installed.
+// A shared object that is preloaded into a front under test. It offsets the wall clock and makes writes to
+// regular files fail as the control file says; sockets and standard streams are not affected. Used by tests
+// only, never installed.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/mman.h>
--- a/tests/soak/observations.h
+++ b/tests/soak/observations.h
@@ -1,5 +1,6 @@
 /// \file
-/// What the stand-ins around a fleet saw of each request, and which rules that breaks.
+/// What the fake clients, nodes and discovery around a fleet observed of each request, and the rules that are
+/// checked against it.
 #pragma once
 
 #include <fmt/format.h>
@@ -20,27 +21,28 @@
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-/// How late the observing process itself may be where nothing better is known of it.
+/// The delay to allow for the observing process itself where no measured bound is available.
 inline constexpr milliseconds kObserverSlack{100};
 
-/// How late the observer sees what happens: it looks once in each turn of its loop, and bytes pass a proxy on
-/// the way.
+/// Bounds the delay between an event and its observation: the observer polls once in each iteration of its
+/// loop, and bytes pass through a proxy first.
 class ObserverLag {
 public:
-    /// A turn of the loop begins.
-    void turnBegan(Clock::time_point now) {
-        longest_ = std::max(longest_, now - turns_.back());
-        std::rotate(turns_.begin(), turns_.begin() + 1, turns_.end());
-        turns_.back() = now;
+    /// An iteration of the loop begins.
+    void iterationStarted(Clock::time_point now) {
+        longest_ = std::max(longest_, now - iterations_.back());
+        std::rotate(iterations_.begin(), iterations_.begin() + 1, iterations_.end());
+        iterations_.back() = now;
     }
-    /// What is seen now happened no longer ago than this, all of its way included.
-    [[nodiscard]] Clock::duration now() const { return Clock::now() - turns_.front(); }
-    /// The longest turn.
+    /// What is observed now happened no longer ago than this, including its way through the proxy.
+    [[nodiscard]] Clock::duration upperBound() const { return Clock::now() - iterations_.front(); }
+    /// The longest iteration so far.
     [[nodiscard]] milliseconds longest() const { return std::chrono::duration_cast<milliseconds>(longest_); }
 
 private:
-    // A connect, the request through the proxy, and the node's read: three turns, and the present one.
-    std::array<Clock::time_point, 4> turns_{Clock::now(), Clock::now(), Clock::now(), Clock::now()};
+    // The starts of the present iteration and the three before it: an attempt takes one iteration each for
+    // the connect, for the request through the proxy, and for the node's read.
+    std::array<Clock::time_point, 4> iterations_{Clock::now(), Clock::now(), Clock::now(), Clock::now()};
     Clock::duration longest_{0};
 };
 
@@ -48,65 +50,66 @@
 struct ObservedRequest {
     std::size_t front = 0;
     double units = 1;
-    milliseconds patience{0};  ///< how long the client waits for the answer
+    milliseconds timeout{0};  ///< how long the client waits for the answer
     Clock::time_point sentAt;
-    std::optional<Clock::time_point> clientLeftAt;
-    int attempts = 0;                          ///< that arrived at nodes
-    int attemptsBeforeSend = 0;                ///< of these, before its client sent it once more
-    std::vector<Clock::time_point> arrivedAt;  ///< when each of them was seen
+    std::optional<Clock::time_point> clientDisconnectedAt;
+    int attempts = 0;                          ///< number of attempts that arrived at nodes
+    int attemptsBeforeSend = 0;                ///< of these, before the client last sent the request
+    std::vector<Clock::time_point> arrivedAt;  ///< when each of them was observed
 };
 
-/// A broken rule.
+/// A violation of a rule.
 struct Violation {
     std::string what;
-    std::string request;  ///< the id of the request concerned; empty where there is none
+    std::string request;  ///< the id of the request concerned; empty if there is none
 };
 
-/// One process of a node.
+/// What was observed of one process of a node.
 struct ObservedNode {
     std::string id;
     Clock::time_point startedAt;
-    bool isStarting = false;        ///< listed with its start; else it is warm
-    std::int64_t startVersion = 0;  ///< of the endpoint list that told of it
-    std::int64_t drainVersion = 0;  ///< likewise of its drain; 0: it does not drain
-    /// Until then a proxy holds requests back: when they arrive says nothing of when they were sent.
-    Clock::time_point heldBackUntil{};
-    test::ArrivalRecord arrivals;  ///< of fronts that had been told of its start
-    /// What it really bears and does, as a multiple of what the settings promise of any node.
+    bool isStarting = false;        ///< listed with a start time; otherwise it is warm
+    std::int64_t startVersion = 0;  ///< of the endpoint list that announced its start
+    std::int64_t drainVersion = 0;  ///< of the endpoint list that announced its drain; 0 if it does not drain
+    /// Until then its proxy delays requests, so that their arrival times say nothing about when they were
+    /// sent.
+    Clock::time_point linkDisturbedUntil{};
+    test::ArrivalRecord arrivals;  ///< from fronts that had been sent the list with its start
+    /// Its real capacity and speed, as a multiple of what the settings promise for every node.
     double capacityFactor = 1;
 };
 
-/// The settings as they would promise what a node of this capacity really bears.
+/// The settings that would promise exactly the real capacity of this node.
 inline Settings settingsOfNode(Settings settings, double capacityFactor) {
     settings.slowStartUnits *= capacityFactor;
     return settings;
 }
 
-/// Collects broken rules, each as one line.
+/// Records what was observed, checks the rules and collects their violations.
 class Observations {
 public:
     explicit Observations(Settings settings, std::size_t fronts)
-        : settings_(std::move(settings)), toldAt_(fronts) {}
+        : settings_(std::move(settings)), listSentAt_(fronts) {}
 
-    /// A front breaks a rule.
+    /// Records that a front broke a rule.
     /// \param request the id of the request concerned, if there is one
-    void violate(const std::string& what, const std::string& request = "") {
+    void addViolation(const std::string& what, const std::string& request = "") {
         violations_.push_back({fmt::format("{:.3f} s: {}", secondsAt(Clock::now()), what), request});
     }
     [[nodiscard]] const std::vector<Violation>& violations() const { return violations_; }
-    /// Seconds from the start of the run.
+    /// `time` in seconds since the start of the run.
     [[nodiscard]] double secondsAt(Clock::time_point time) const {
         return std::chrono::duration<double>(time - startedAt_).count();
     }
-    /// How late this sees what happens.
+    /// The delay of the observations.
     [[nodiscard]] ObserverLag& lag() { return lag_; }
-    /// What was seen of a request; null if no client sent it.
+    /// What was observed of a request; null if no client sent it.
     [[nodiscard]] const ObservedRequest* find(const std::string& id) const {
         const auto found = requests_.find(id);
         return found == requests_.end() ? nullptr : &found->second;
     }
 
-    /// A client sent a request, for the first time or once more.
+    /// A client sent a request, for the first time or again.
     void requestSent(const std::string& id, const ObservedRequest& request) {
         ObservedRequest& observed = requests_[id];
         const ObservedRequest before = std::exchange(observed, request);
@@ -114,86 +117,94 @@
         observed.attemptsBeforeSend = before.attempts;
         observed.arrivedAt = before.arrivedAt;
     }
-    /// Whether a node has got the request since its client last sent it.
+    /// Whether a node received the request since its client last sent it.
     [[nodiscard]] bool hasArrived(const std::string& id) const {
         const ObservedRequest& request = requests_.at(id);
         return request.attempts > request.attemptsBeforeSend;
     }
-    /// A client went away without waiting for its answer.
-    void clientLeft(const std::string& id) { requests_.at(id).clientLeftAt = Clock::now(); }
-    /// The endpoint list of this version was written to a front.
-    void listTold(std::size_t front, std::int64_t version) {
-        toldAt_[front].try_emplace(version, Clock::now());
+    /// A client closed its connection without waiting for the answer.
+    void clientDisconnected(const std::string& id) { requests_.at(id).clientDisconnectedAt = Clock::now(); }
+    /// This version of the endpoint list was sent to a front.
+    void listSent(std::size_t front, std::int64_t version) {
+        listSentAt_[front].try_emplace(version, Clock::now());
     }
-    /// When a front was told of a version of the endpoint list, or of a later one.
-    [[nodiscard]] std::optional<Clock::time_point> toldSince(std::size_t front, std::int64_t version) const {
+    /// When a front was sent this version of the endpoint list or, without it, the next later one; empty if
+    /// it was not, and for version 0.
+    [[nodiscard]] std::optional<Clock::time_point> timeListSent(std::size_t front,
+                                                                std::int64_t version) const {
         if (version == 0) return std::nullopt;
-        const auto told = toldAt_[front].lower_bound(version);
-        if (told == toldAt_[front].end()) return std::nullopt;
-        return told->second;
+        const auto sent = listSentAt_[front].lower_bound(version);
+        if (sent == listSentAt_[front].end()) return std::nullopt;
+        return sent->second;
     }
-    /// A front's process is new: it knows nothing yet.
-    void frontStarted(std::size_t front) { toldAt_[front].clear(); }
+    /// A front's process was started: it has no endpoint list yet.
+    void frontStarted(std::size_t front) { listSentAt_[front].clear(); }
 
-    /// A node has got a whole request.
-    void attemptArrived(ObservedNode& node, const std::string& id, milliseconds toldPatience) {
+    /// A node received a complete request.
+    /// \param announcedTimeout the deadline that the attempt names
+    void attemptArrived(ObservedNode& node, const std::string& id, milliseconds announcedTimeout) {
         const auto found = requests_.find(id);
-        if (found == requests_.end()) return violate("a node got a request that no client sent: " + id, id);
+        if (found == requests_.end())
+            return addViolation("a node received a request that no client sent: " + id, id);
         ObservedRequest& request = found->second;
         const Clock::time_point now = Clock::now();
         ++attempts_;
         request.arrivedAt.push_back(now);
-        if (++request.attempts > settings_.maxAttempts) violate("more attempts than allowed: " + id, id);
-        if (node.isStarting && toldSince(request.front, node.startVersion))
+        if (++request.attempts > settings_.maxAttempts) addViolation("more attempts than allowed: " + id, id);
+        if (node.isStarting && timeListSent(request.front, node.startVersion))
             node.arrivals.record(request.units, microsSince(node.startedAt));
-        if (now >= node.heldBackUntil) checkTimes(node, request, toldPatience, id);
+        if (now >= node.linkDisturbedUntil) checkTimes(node, request, announcedTimeout, id);
     }
-    /// A node's process is gone, or the run is over.
+    /// A node's process ended, or the run did.
     void nodeEnded(const ObservedNode& node) {
         if (!node.isStarting) return;
         const double excess = node.arrivals.largestExcess(settingsOfNode(settings_, node.capacityFactor), 0);
-        fullestWindow_ = std::max(fullestWindow_, excess);
+        largestExcess_ = std::max(largestExcess_, excess);
         if (excess > 0)
-            violate(fmt::format("{} in slow start got {:.1f} requests of mean work more than it bears",
-                                node.id, excess));
+            addViolation(fmt::format("{} in slow start received {:.1f} mean-sized requests over its budget",
+                                     node.id, excess));
     }
-    /// Units of a request that a client sent.
+    /// The units of a request; 1 if no client sent it.
     [[nodiscard]] double unitsOf(const std::string& id) const {
         const auto found = requests_.find(id);
         return found == requests_.end() ? 1 : found->second.units;
     }
     [[nodiscard]] std::size_t requestCount() const { return requests_.size(); }
     [[nodiscard]] std::size_t attemptCount() const { return attempts_; }
-    /// Of the fullest window of any node in slow start: requests beyond what it bears; below 0 if none.
-    [[nodiscard]] double fullestWindow() const { return fullestWindow_; }
+    /// The largest excess over the slow-start budget, in mean-sized requests, of any window of any node.
+    /// Below 0 if no window exceeded the budget.
+    [[nodiscard]] double largestSlowStartExcess() const { return largestExcess_; }
 
 private:
     static constexpr milliseconds kDeadlineSlack{150};
-    static constexpr milliseconds kLeaveSlack{100};
+    static constexpr milliseconds kDisconnectSlack{100};
     static constexpr milliseconds kRuleSlack{50};
 
-    // The rules on when an attempt may begin, and on the time that it names.
-    void checkTimes(const ObservedNode& node, const ObservedRequest& request, milliseconds toldPatience,
+    // Checks when the attempt began and the timeout that it names.
+    void checkTimes(const ObservedNode& node, const ObservedRequest& request, milliseconds announcedTimeout,
                     const std::string& id) {
         const Clock::time_point now = Clock::now();
         const auto inMillis = [](auto span) {
             return std::chrono::duration_cast<milliseconds>(span).count();
         };
-        const auto observerSlack = std::max<Clock::duration>(kObserverSlack, lag_.now());
-        const auto left = request.sentAt + request.patience - now;
-        if (toldPatience > left + kDeadlineSlack + observerSlack)
-            violate(fmt::format("an attempt names {} ms, its client has {} ms left", toldPatience.count(),
-                                inMillis(left)),
-                    id);
-        if (request.clientLeftAt && now - *request.clientLeftAt > kLeaveSlack + lag_.now())
-            violate(fmt::format("an attempt began {} ms after its client left, seen at most {} ms late",
-                                inMillis(now - *request.clientLeftAt), inMillis(lag_.now())),
-                    id);
+        const auto observerSlack = std::max<Clock::duration>(kObserverSlack, lag_.upperBound());
+        const auto left = request.sentAt + request.timeout - now;
+        if (announcedTimeout > left + kDeadlineSlack + observerSlack)
+            addViolation(fmt::format("an attempt names a deadline of {} ms, its client waits {} ms more",
+                                     announcedTimeout.count(), inMillis(left)),
+                         id);
+        if (request.clientDisconnectedAt &&
+            now - *request.clientDisconnectedAt > kDisconnectSlack + lag_.upperBound())
+            addViolation(
+                fmt::format(
+                    "an attempt began {} ms after its client disconnected, observed at most {} ms late",
+                    inMillis(now - *request.clientDisconnectedAt), inMillis(lag_.upperBound())),
+                id);
         const auto grace = std::chrono::microseconds(settings_.drainGraceUs) + kRuleSlack + observerSlack;
-        if (const auto told = toldSince(request.front, node.drainVersion); told && now - *told > grace)
-            violate(fmt::format("{} drains, and got a request {} ms after that was told", node.id,
-                                inMillis(now - *told)),
-                    id);
+        if (const auto sent = timeListSent(request.front, node.drainVersion); sent && now - *sent > grace)
+            addViolation(fmt::format("{} received a request {} ms after its drain was announced", node.id,
+                                     inMillis(now - *sent)),
+                         id);
     }
     static Micros microsSince(Clock::time_point from) {
         return std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - from).count();
@@ -202,11 +213,11 @@
     Settings settings_;
     ObserverLag lag_;
     Clock::time_point startedAt_ = Clock::now();
-    std::vector<std::map<std::int64_t, Clock::time_point>> toldAt_;  // by front, then by version
+    std::vector<std::map<std::int64_t, Clock::time_point>> listSentAt_;  // by front, then by version
     std::map<std::string, ObservedRequest> requests_;
     std::vector<Violation> violations_;
     std::size_t attempts_ = 0;
-    double fullestWindow_ = -1'000;
+    double largestExcess_ = -1'000;
 };
 
 }  // namespace wingproxy::soak
--- a/tests/soak/reference_queue.h
+++ b/tests/soak/reference_queue.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a node could have answered: the measure for what the fronts make of it.
+/// A model of how many requests a node could have answered in time, to which the fronts are compared.
 #pragma once
 
 #include <optional>
@@ -9,43 +9,44 @@
 
 namespace wingproxy::soak {
 
-/// One node as a dispatcher would use it that sees the true state of all nodes a little late, and what of
-/// that would have been answered in time. Requests are worked off one after another.
+/// One node as it would be used by a dispatcher that knows the true state of all nodes with a short delay.
+/// Counts the requests that the node would have answered. It serves them one after another.
 class ReferenceQueue {
 public:
-    /// How late the dispatcher sees that a node is well again.
-    static constexpr milliseconds kSeenLate{500};
+    /// How long the dispatcher takes to notice that a node serves again.
+    static constexpr milliseconds kRecoveryDetectionDelay{500};
 
-    /// The node serves from now on, or it does not: what it has not answered by then is lost.
+    /// The node serves from now on, or stops: requests that it has not answered by then are lost.
     void setServing(bool isServing, Clock::time_point now) {
         settle(now);
         if (!isServing) pending_.clear();
-        if (isServing && !isServing_) servesSince_ = now;
+        if (isServing && !isServing_) servingSince_ = now;
         isServing_ = isServing;
         if (!isServing) idleAt_ = now;
     }
-    /// The node's process is new, and its connections are gone.
+    /// The node's process was replaced: its connections are closed and its requests lost.
     void restart(Clock::time_point now) {
         setServing(false, now);
         setServing(true, now);
     }
-    /// A front was killed: its requests get no answer.
+    /// A front was killed: its requests are not answered.
     void frontKilled(std::size_t front, Clock::time_point now) {
         settle(now);
         std::erase_if(pending_, [front](const Pending& each) { return each.front == front; });
     }
-    /// When a request that takes so long would be answered; nothing if the node is not seen to serve.
+    /// When a request that takes `work` would be answered; empty if the dispatcher doesn't know that the node
+    /// serves.
     [[nodiscard]] std::optional<Clock::time_point> answerTime(Clock::duration work,
                                                               Clock::time_point now) const {
-        if (!isServing_ || now < servesSince_ + kSeenLate) return std::nullopt;
+        if (!isServing_ || now < servingSince_ + kRecoveryDetectionDelay) return std::nullopt;
         return std::max(idleAt_, now) + work;
     }
-    /// The request is given to the node.
-    void take(std::size_t front, Clock::time_point answerAt) {
+    /// Gives the node a request that it will answer at `answerAt`.
+    void assign(std::size_t front, Clock::time_point answerAt) {
         idleAt_ = answerAt;
         pending_.push_back({front, answerAt});
     }
-    /// Requests answered by `now`.
+    /// The number of requests answered by `now`.
     std::size_t answered(Clock::time_point now) {
         settle(now);
         return answered_;
@@ -61,7 +62,7 @@
     }
 
     bool isServing_ = true;
-    Clock::time_point servesSince_{};
+    Clock::time_point servingSince_{};
     Clock::time_point idleAt_{};
     std::vector<Pending> pending_;
     std::size_t answered_ = 0;
--- a/tests/soak/request_trace.h
+++ b/tests/soak/request_trace.h
@@ -1,13 +1,14 @@
 /// \file
-/// What is known of a broken rule: the way of its request through the fleet, with times of one clock.
+/// Diagnostics for a violation: the path of its request through the fleet, with all times on one clock.
 #pragma once
 
 #include "soak/soak_fleet.h"
 
 namespace wingproxy::soak {
 
-/// What clients and nodes saw of the request of a violation, and what its front's processes logged of it; for
-/// slow start, what all processes logged of the nodes. One line each.
+/// What clients and nodes observed of a violation's request, and the lines that the processes of all fronts
+/// logged about it. To these come the lines on slow starts, for a violation of slow start, or else the lines
+/// on shutdowns.
 std::vector<std::string> traceOf(const Violation& violation, Fleet& fleet);
 
 }  // namespace wingproxy::soak
--- a/tests/soak/soak_checker_test.cpp
+++ b/tests/soak/soak_checker_test.cpp
@@ -1,4 +1,4 @@
-// The checker of the soak itself: each rule, broken on purpose.
+// Tests of the soak's own checks: each rule is broken on purpose and must be reported.
 #include "soak/reference_queue.h"
 #include "soak/soak_clients.h"
 #include "support/process_support.h"
@@ -12,7 +12,7 @@
         node.id = std::string("n");
         node.startedAt = soak::Clock::now();
         node.startVersion = 1;
-        observed.patience = std::chrono::milliseconds(1'000);
+        observed.timeout = std::chrono::milliseconds(1'000);
         observed.sentAt = soak::Clock::now();
         observations.requestSent("r", observed);
     }
@@ -20,17 +20,17 @@
     soak::Observations observations{settings, 1};
     soak::ObservedRequest observed;
     soak::ObservedNode node;
-    void arrive(int patience = 1'000, const std::string& id = "r") {
-        observations.attemptArrived(node, id, std::chrono::milliseconds(patience));
+    void arrive(int timeout = 1'000, const std::string& id = "r") {
+        observations.attemptArrived(node, id, std::chrono::milliseconds(timeout));
     }
-    /// The client left so long ago.
-    void leave(std::chrono::milliseconds ago) {
-        observed.clientLeftAt = soak::Clock::now() - ago;
+    /// The client disconnected so long ago.
+    void disconnectClient(std::chrono::milliseconds ago) {
+        observed.clientDisconnectedAt = soak::Clock::now() - ago;
         observations.requestSent("r", observed);
     }
-    /// The node has just started, and the request is of so many units.
+    /// The node has just started, and the request has so many units.
     void startNode(double units) {
-        observations.listTold(0, 1);
+        observations.listSent(0, 1);
         node.isStarting = true;
         observed.units = units;
         observations.requestSent("r", observed);
@@ -41,26 +41,26 @@
     }
 };
 
-/// A client whose front does what the test says.
+/// A client whose front is controlled by the test.
 struct CheckedClient {
     CheckedClient() {
         while (front.connections.empty() || front.connections.back()->received.empty())
-            turn();
+            poll();
     }
-    void turn() {
+    void poll() {
         io.poll();
         client.poll(state, observations, result);
     }
     void endConnection() {
         front.connections.back()->close();
-        while (observations.violations().empty() && result.crossed == 0)
-            turn();
+        while (observations.violations().empty() && result.resent == 0)
+            poll();
     }
     bool isViolated(const std::string& what) const {
         const auto& all = observations.violations();
         return all.size() == 1 && all[0].what.find(what) != std::string::npos;
     }
-    /// The request on the wire has come to a node.
+    /// The request that the front received arrives at a node.
     void arriveAtNode() {
         const auto message = soak::HttpMessage::in(front.connections.back()->received);
         REQUIRE(message);
@@ -73,7 +73,7 @@
         first->clearReceived();
         first->send(test::status(503));
         while (first->received.empty())
-            turn();
+            poll();
     }
     soak::asio::io_context io;
     test::StubServer front{io};
@@ -89,7 +89,7 @@
 
 }  // namespace
 
-TEST_CASE("soak: a client that closes its connection is gone, whatever processes started meanwhile") {
+TEST_CASE("soak: processes started meanwhile do not keep a closed client connection open") {
     test::Platform platform;
     test::StubServer server(platform.fixture.io);
     const auto client = test::connectTo(platform.fixture.io, server.acceptor.local_endpoint());
@@ -99,66 +99,66 @@
     platform.fixture.waitUntil([&] { return server.connections.back()->ended; }, "the client is gone");
 }
 
-TEST_CASE("soak checker: an attempt in order breaks nothing") {
+TEST_CASE("soak checker: a valid attempt is no violation") {
     CheckedRequest one;
     one.arrive();
     CHECK(one.observations.violations().empty());
 }
 
-TEST_CASE("soak checker: finds a request that no client sent") {
+TEST_CASE("soak checker: reports a request that no client sent") {
     CheckedRequest one;
     one.arrive(1'000, "other");
     CHECK(one.isViolated("no client sent"));
 }
 
-TEST_CASE("soak checker: finds a time that the client has not") {
+TEST_CASE("soak checker: reports an attempt that names a longer deadline than its client waits") {
     CheckedRequest one;
     one.arrive(1'300);
-    CHECK(one.isViolated("names 1300 ms"));
+    CHECK(one.isViolated("names a deadline of 1300 ms"));
 }
 
-TEST_CASE("soak checker: finds an attempt after its client has gone") {
+TEST_CASE("soak checker: reports an attempt that begins 0.3 s after its client disconnected") {
     CheckedRequest one;
-    one.leave(std::chrono::milliseconds(300));
+    one.disconnectClient(std::chrono::milliseconds(300));
     one.arrive();
-    CHECK(one.isViolated("after its client left"));
+    CHECK(one.isViolated("after its client disconnected"));
 }
 
-TEST_CASE("soak checker: an attempt that begins 0.1 s after its client has gone breaks nothing") {
+TEST_CASE("soak checker: an attempt within 0.1 s after its client disconnected is no violation") {
     CheckedRequest one;
-    one.leave(std::chrono::milliseconds(99));
+    one.disconnectClient(std::chrono::milliseconds(99));
     one.arrive();
     CHECK(one.observations.violations().empty());
 }
 
-TEST_CASE("soak checker: finds too many attempts") {
+TEST_CASE("soak checker: reports too many attempts") {
     CheckedRequest one;
     for (int i = 0; i <= one.settings.maxAttempts; ++i)
         one.arrive();
     CHECK(one.isViolated("more attempts than allowed"));
 }
 
-TEST_CASE("soak checker: finds a request at a node that drains") {
+TEST_CASE("soak checker: reports a request at a draining node") {
     CheckedRequest one;
     one.settings.drainGraceUs = -1'000'000;
     soak::Observations strict(one.settings, 1);
     strict.requestSent("r", one.observed);
-    strict.listTold(0, 5);
+    strict.listSent(0, 5);
     one.node.drainVersion = 5;
     strict.attemptArrived(one.node, "r", std::chrono::milliseconds(1'000));
     REQUIRE(strict.violations().size() == 1);
-    CHECK(strict.violations()[0].what.find("drains") != std::string::npos);
+    CHECK(strict.violations()[0].what.find("after its drain was announced") != std::string::npos);
 }
 
-TEST_CASE("soak checker: finds an overloaded node in slow start") {
+TEST_CASE("soak checker: reports an overloaded node in slow start") {
     CheckedRequest one;
     one.startNode(200);
     one.arrive();
     one.observations.nodeEnded(one.node);
-    CHECK(one.isViolated("more than it bears"));
+    CHECK(one.isViolated("mean-sized requests over its budget"));
 }
 
-TEST_CASE("soak checker: holds a node in slow start against its own capacity") {
+TEST_CASE("soak checker: checks a node in slow start against its real capacity") {
     CheckedRequest one;
     one.startNode(200);
     one.node.capacityFactor = 4;
@@ -167,58 +167,59 @@
     CHECK(one.observations.violations().empty());
 }
 
-TEST_CASE("soak checker: a kept connection may close before its request is read") {
+TEST_CASE("soak checker: a kept-alive connection may be closed before its request is read") {
     CheckedClient one;
     one.keepConnection();
     one.endConnection();
-    CHECK(one.result.crossed == 1);
+    CHECK(one.result.resent == 1);
 }
 
-TEST_CASE("soak checker: finds a kept connection that closes without an answer to what a node has got") {
+TEST_CASE(
+    "soak checker: reports a kept-alive connection that closes unanswered after a node got the request") {
     CheckedClient one;
     one.keepConnection();
     one.arriveAtNode();
     one.endConnection();
-    CHECK(one.isViolated("which a node has got"));
+    CHECK(one.isViolated("which a node received"));
 }
 
-TEST_CASE("soak checker: finds a new connection that closes without an answer") {
+TEST_CASE("soak checker: reports a new connection that closes without an answer") {
     CheckedClient one;
     one.endConnection();
     CHECK(one.isViolated("closed a new connection"));
 }
 
-TEST_CASE("soak checker: a crowded front may shut a new connection unread") {
+TEST_CASE("soak checker: a front without free descriptors may close a new connection unread") {
     CheckedClient one;
-    one.state.crowded = true;
+    one.state.descriptorsExhausted = true;
     one.endConnection();
-    CHECK(one.result.crossed == 1);
+    CHECK(one.result.resent == 1);
 }
 
-TEST_CASE("soak checker: finds that a crowded front closes on a request that a node has got") {
+TEST_CASE("soak checker: reports a front without free descriptors that closes after a node got the request") {
     CheckedClient one;
-    one.state.crowded = true;
+    one.state.descriptorsExhausted = true;
     one.arriveAtNode();
     one.endConnection();
-    CHECK(one.isViolated("which a node has got"));
+    CHECK(one.isViolated("which a node received"));
 }
 
 TEST_CASE("soak reference: a node answers one request after another") {
     const auto now = soak::Clock::now();
     soak::ReferenceQueue queue;
-    queue.take(0, *queue.answerTime(std::chrono::milliseconds(10), now));
+    queue.assign(0, *queue.answerTime(std::chrono::milliseconds(10), now));
     const auto second = queue.answerTime(std::chrono::milliseconds(10), now);
     REQUIRE(second);
     CHECK(*second == now + std::chrono::milliseconds(20));
-    queue.take(0, *second);
+    queue.assign(0, *second);
     CHECK(queue.answered(now + std::chrono::milliseconds(10)) == 1);
     CHECK(queue.answered(now + std::chrono::milliseconds(20)) == 2);
 }
 
-TEST_CASE("soak reference: what a node has not answered is lost with it, and it is seen late to be back") {
+TEST_CASE("soak reference: a restart loses open requests, and the dispatcher notices the new process late") {
     const auto now = soak::Clock::now();
     soak::ReferenceQueue queue;
-    queue.take(0, *queue.answerTime(std::chrono::milliseconds(10), now));
+    queue.assign(0, *queue.answerTime(std::chrono::milliseconds(10), now));
     queue.restart(now + std::chrono::milliseconds(5));
     CHECK(queue.answered(now + std::chrono::milliseconds(20)) == 0);
     CHECK_FALSE(queue.answerTime(std::chrono::milliseconds(10), now + std::chrono::milliseconds(100)));
--- a/tests/soak/soak_clients.h
+++ b/tests/soak/soak_clients.h
@@ -1,6 +1,5 @@
 /// \file
-/// The clients of a soak: each asks one front for one request after another, and says whether it got its
-/// answer.
+/// The clients of a soak: each sends one request after another to one front and checks the answers.
 #pragma once
 
 #include <random>
@@ -9,59 +8,60 @@
 
 namespace wingproxy::soak {
 
-/// How a front is seen by its clients.
+/// The state of a front that its clients need to know.
 struct FrontState {
-    bool acceptsNew = true;        ///< clients may open connections
-    bool terminating = false;      ///< SIGTERM was sent
-    bool crowded = false;          ///< it may shut new connections unread
-    Clock::time_point killedAt{};  ///< when its last process was killed without a warning
+    bool acceptsNew = true;             ///< clients may open connections
+    bool terminating = false;           ///< SIGTERM was sent
+    bool descriptorsExhausted = false;  ///< it may close new connections unread
+    Clock::time_point killedAt{};       ///< when its last process got SIGKILL
 };
 
-/// How a client asks.
-struct ClientHabits {
-    std::chrono::duration<double> interval{1};  ///< mean time between two requests, if answers come sooner
+/// How a client behaves.
+struct ClientOptions {
+    std::chrono::duration<double> interval{1};  ///< mean time between requests if answers come sooner
     milliseconds longestDeadline{0};
-    bool obeysRetryAfter = false;
+    bool honoursRetryAfter = false;
 };
 
-/// What a client asks for, to compare with what could be answered.
+/// A request as the reference model needs it, which says how many could have been answered.
 struct OfferedRequest {
     std::size_t front = 0;
     int cell = 0;
     double units = 0;
-    milliseconds patience{0};
+    milliseconds timeout{0};
 };
 
-/// A client that keeps its connection and uses it until the front closes it.
+/// A client that uses its connection until the front closes it.
 class SoakClient {
 public:
-    /// How a client reaches its front and the measure of what it asks for.
-    struct Surroundings {
+    /// How a client reaches its front and reports its requests to the reference model.
+    struct Callbacks {
         std::function<test::TestConnectionPtr()> connect;
-        std::function<void(const OfferedRequest&)> onOffered;  ///< not for those whose client will leave
+        std::function<void(const OfferedRequest&)> onOffered;  ///< not called if the client will disconnect
     };
-    SoakClient(std::size_t front, std::uint64_t seed, const ClientHabits& habits, Surroundings surroundings)
-        : front_(front), random_(seed), habits_(habits), surroundings_(std::move(surroundings)) {
+    SoakClient(std::size_t front, std::uint64_t seed, const ClientOptions& options, Callbacks callbacks)
+        : front_(front), random_(seed), options_(options), callbacks_(std::move(callbacks)) {
         scheduleNext();
     }
 
-    /// Goes on: sends, reads, leaves, or finds that the front broke a rule.
+    /// Sends, reads or disconnects, and records violations by the front.
     void poll(const FrontState& front, Observations& observations, SoakResult& result);
     [[nodiscard]] std::size_t front() const { return front_; }
-    /// The request without an answer, on a connection that the front keeps open; empty if there is none.
-    [[nodiscard]] std::string waitsFor() const {
-        return waits_ && !connection_->ended ? request_.id : std::string();
+    /// The id of the unanswered request on a connection that the front keeps open; empty if there is none.
+    [[nodiscard]] std::string pendingRequest() const {
+        return isWaiting_ && !connection_->ended ? request_.id : std::string();
     }
 
 private:
-    static constexpr milliseconds kLateAnswer{500};  ///< after its time an answer is only worth nothing
-    static constexpr int kLeavesPercent = 6;
+    static constexpr milliseconds kLateAnswer{
+        500};  ///< delay past the deadline before a missing answer is a violation
+    static constexpr int kDisconnectPercent = 6;
     static constexpr int kMaxUnits = 6;
 
     void start(const FrontState& front, Observations& observations, SoakResult& result);
     void drawRequest();
     void send(Observations& observations);
-    void leave(Observations& observations, SoakResult& result);
+    void disconnect(Observations& observations, SoakResult& result);
     void receive(const HttpMessage& message, Observations& observations, SoakResult& result);
     void onEnded(const FrontState& front, Observations& observations, SoakResult& result);
     void onOverdue(Observations& observations);
@@ -70,15 +70,15 @@
 
     std::size_t front_;
     std::mt19937_64 random_;
-    ClientHabits habits_;
-    Surroundings surroundings_;
+    ClientOptions options_;
+    Callbacks callbacks_;
     test::TestConnectionPtr connection_;
     bool isFirstOnConnection_ = true;
-    bool waits_ = false;
-    bool wasCrossed_ = false;
+    bool isWaiting_ = false;
+    bool wasResent_ = false;
     test::PlatformRequest request_;
     ObservedRequest observed_;
-    std::optional<Clock::time_point> leavesAt_;
+    std::optional<Clock::time_point> disconnectsAt_;
     Clock::time_point nextAt_ = Clock::now();
 };
 
--- a/tests/soak/soak_fleet.cpp
+++ b/tests/soak/soak_fleet.cpp
@@ -3,16 +3,17 @@
 namespace wingproxy::soak {
 namespace {
 
-constexpr milliseconds kNewConnectionsAfterTerm{400};  // how long clients open them after SIGTERM
-constexpr milliseconds kMostDeadlineBeforeKill{3'000};
-constexpr milliseconds kKillAfterDeadline{700};  // SIGKILL comes so long after the longest deadline
+constexpr milliseconds kConnectPeriodAfterTerm{400};  // clients open connections so long after SIGTERM
+constexpr milliseconds kMaxDeadlineBeforeKill{3'000};
+constexpr milliseconds kKillAfterDeadline{700};  // time from the longest deadline to SIGKILL
 constexpr milliseconds kDownTime{300};
-// A process ends 0.12 s before SIGKILL. One that is held up in the last 0.3 s may be late, and owes no
-// answer.
-constexpr milliseconds kEndPhases{300};
-constexpr int kCrowdDescriptors = 128;
+// A process exits 0.12 s before SIGKILL at the latest. If it was paused in the last 0.3 s it may be late, but
+// must have answered all requests.
+constexpr milliseconds kFinalPhases{300};
+constexpr int kFloodDescriptorLimit = 128;
 
-// Short, so that a run of some seconds has many windows, drains and shutdowns.
+// Settings of the test configuration and their shorter values, with which a run of some seconds has many
+// slow-start windows, drains and shutdowns.
 const std::vector<std::pair<std::string, std::string>> kShortTimes{
     {R"("fallUs":3000000,"startCapacity":0.28,"warmAfterUs":15000000)",
      R"("fallUs":1000000,"startCapacity":0.28,"warmAfterUs":4000000)"},
@@ -47,7 +48,7 @@
         fronts_.push_back(std::make_unique<Front>(io_, observations_, i));
         fronts_.back()->folder.write(test::kConfigFile, configOf(i));
     }
-    tellList();
+    publishEndpointList();
     for (auto& front : fronts_)
         startProcess(*front);
 }
@@ -65,8 +66,8 @@
         result_.reference += node->reference.answered(Clock::now());
     }
     result_.attempts = observations_.attemptCount();
-    result_.fullestWindow = observations_.fullestWindow();
-    result_.longestTurn = observations_.lag().longest();
+    result_.largestSlowStartExcess = observations_.largestSlowStartExcess();
+    result_.longestIteration = observations_.lag().longest();
 }
 
 double Fleet::capacity() const {
@@ -86,8 +87,9 @@
     json = test::replaced(json, R"("peers":false)", R"("peers":true)");
     json =
         test::replaced(json, R"("coldBears":51.0)", fmt::format(R"("coldBears":{})", plan_.slowStartUnits));
-    if (plan_.kinds.crowd)
-        json = test::replaced(json, R"("sockets":1024)", fmt::format(R"("sockets":{})", kCrowdDescriptors));
+    if (plan_.kinds.flood)
+        json =
+            test::replaced(json, R"("sockets":1024)", fmt::format(R"("sockets":{})", kFloodDescriptorLimit));
     return json;
 }
 
@@ -106,7 +108,7 @@
         test::replaced(json, R"("127.0.0.1:1")", fmt::format(R"("{}:{}")", discovery.host, discovery.port));
     json =
         test::replaced(json, R"("seed":"8c1f30d27a5be964")", fmt::format(R"("seed":"{:016x}")", random_()));
-    return test::withClientPort(json, fronts_[index]->listening.local_endpoint().port());
+    return test::withClientPort(json, fronts_[index]->listener.local_endpoint().port());
 }
 
 // ---- processes
@@ -116,7 +118,7 @@
     auto variables = front.faults.variables();
     variables.emplace_back("WINGPROXY_LOG=debug");
     front.process = std::make_unique<test::Process>(
-        front.folder, front.starts++, front.listening.native_handle(), test::freePort(io_), variables);
+        front.folder, front.starts++, front.listener.native_handle(), test::freePort(io_), variables);
     front.restartAt.reset();
     front.isReady = false;
     front.state.acceptsNew = false;
@@ -130,39 +132,38 @@
         if (front.restartAt && Clock::now() >= *front.restartAt) startProcess(front);
         return;
     }
-    if (!front.isReady) noteReady(front);
+    if (!front.isReady) checkReady(front);
     if (front.acceptsUntil && Clock::now() >= *front.acceptsUntil) front.state.acceptsNew = false;
     if (!front.process->running()) return onExit(front);
-    if (front.killAt && Clock::now() >= *front.killAt) onKillTime(front, waitingRequest);
+    if (front.killAt && Clock::now() >= *front.killAt) onKillDeadline(front, waitingRequest);
 }
 
-void Fleet::noteReady(Front& front) {
+void Fleet::checkReady(Front& front) {
     if (!front.process->hasLogged("listens on 127.0.0.1:")) return;
     front.isReady = true;
     front.state.acceptsNew = true;
-    if (front.faults->attached == 0) observations_.violate("the fault shim was not loaded");
+    if (front.faults->attached == 0) observations_.addViolation("the fault shim was not loaded");
 }
 
-void Fleet::onKillTime(Front& front, const std::string& waitingRequest) {
+void Fleet::onKillDeadline(Front& front, const std::string& waitingRequest) {
     ++result_.killedAfterTerm;
-    if (front.heldUpUntil < *front.killAt - kEndPhases)
-        observations_.violate(
-            fmt::format("front {} is alive at SIGKILL, and was not held up in the time before", front.index));
+    if (front.pausedUntil < *front.killAt - kFinalPhases)
+        observations_.addViolation(fmt::format(
+            "front {} is still running at SIGKILL, and was not paused shortly before", front.index));
     if (!waitingRequest.empty())
-        observations_.violate(
-            fmt::format("SIGKILL finds a request at front {} without its answer", front.index),
-            waitingRequest);
+        observations_.addViolation(fmt::format("front {} had not answered a request at SIGKILL", front.index),
+                                   waitingRequest);
     kill(front);
 }
 
 void Fleet::onExit(Front& front) {
     if (!front.state.terminating || front.process->status != 0)
-        observations_.violate(fmt::format("front {} ended with status {}: {}", front.index,
-                                          front.process->status, lastLines(front.process->readLog())));
-    takeDown(front);
+        observations_.addViolation(fmt::format("front {} ended with status {}: {}", front.index,
+                                               front.process->status, lastLines(front.process->readLog())));
+    onProcessGone(front);
 }
 
-void Fleet::takeDown(Front& front) {
+void Fleet::onProcessGone(Front& front) {
     front.process.reset();
     front.isReady = false;
     front.state.acceptsNew = false;
@@ -178,7 +179,7 @@
     front.state.killedAt = Clock::now();
     for (auto& node : nodes_)
         node->reference.frontKilled(front.index, Clock::now());
-    takeDown(front);
+    onProcessGone(front);
 }
 
 void Fleet::terminate(Front& front, bool twice) {
@@ -186,9 +187,9 @@
     front.process->signal(SIGTERM);
     if (twice) front.process->signal(SIGTERM);
     front.state.terminating = true;
-    front.acceptsUntil = Clock::now() + kNewConnectionsAfterTerm;
+    front.acceptsUntil = Clock::now() + kConnectPeriodAfterTerm;
     front.killAt =
-        Clock::now() + std::min(plan_.longestDeadline, kMostDeadlineBeforeKill) + kKillAfterDeadline;
+        Clock::now() + std::min(plan_.longestDeadline, kMaxDeadlineBeforeKill) + kKillAfterDeadline;
 }
 
 // ---- nodes and their list
@@ -206,7 +207,7 @@
     return *nodes_.back();
 }
 
-void Fleet::tellList() {
+void Fleet::publishEndpointList() {
     std::string list;
     for (const auto& node : nodes_) {
         if (!node->isListed) continue;
@@ -230,12 +231,12 @@
 void Fleet::replaceNode(Node& old) {
     old.server.observed().drainVersion = version_ + 1;
     addNode(old.cell, true);
-    tellList();
+    publishEndpointList();
 }
 
 void Fleet::unlist(Node& node) {
     node.isListed = false;
-    tellList();
+    publishEndpointList();
 }
 
 void Fleet::crashNode(Node& node) {
@@ -245,9 +246,9 @@
     node.reference.restart(Clock::now());
 }
 
-void Fleet::setBehaviour(Node& node, StandInNode::Behaviour behaviour) {
+void Fleet::setBehaviour(Node& node, FakeNode::Behaviour behaviour) {
     node.server.setBehaviour(behaviour);
-    node.misbehaves = behaviour != StandInNode::Behaviour::Serve;
+    node.misbehaves = behaviour != FakeNode::Behaviour::Serve;
     updateReference(node);
 }
 
@@ -261,12 +262,12 @@
     node.reference.setServing(!node.isSilent && !node.misbehaves, Clock::now());
 }
 
-// ---- what could be answered
+// ---- reference model
 
-bool Fleet::mayUse(const Front& front, Node& node) const {
+bool Fleet::isUsable(const Front& front, Node& node) const {
     const ObservedNode& observed = node.server.observed();
-    const bool knowsIt = observations_.toldSince(front.index, observed.startVersion).has_value();
-    const bool drains = observations_.toldSince(front.index, observed.drainVersion).has_value();
+    const bool knowsIt = observations_.timeListSent(front.index, observed.startVersion).has_value();
+    const bool drains = observations_.timeListSent(front.index, observed.drainVersion).has_value();
     return node.isListed && knowsIt && !drains;
 }
 
@@ -275,14 +276,14 @@
     Node* best = nullptr;
     std::optional<Clock::time_point> bestTime;
     for (auto& node : nodes_) {
-        if (node->cell != request.cell || !mayUse(*fronts_[request.front], *node)) continue;
+        if (node->cell != request.cell || !isUsable(*fronts_[request.front], *node)) continue;
         const auto answerAt = node->reference.answerTime(node->server.timeFor(request.units), now);
         if (!answerAt || (bestTime && *answerAt >= *bestTime)) continue;
         best = node.get();
         bestTime = answerAt;
     }
-    if (best != nullptr && *bestTime <= now + request.patience)
-        best->reference.take(request.front, *bestTime);
+    if (best != nullptr && *bestTime <= now + request.timeout)
+        best->reference.assign(request.front, *bestTime);
 }
 
 }  // namespace wingproxy::soak
--- a/tests/soak/soak_fleet.h
+++ b/tests/soak/soak_fleet.h
@@ -1,5 +1,6 @@
 /// \file
-/// The fleet of a soak: real processes of the front, stand-in nodes behind proxies, discovery for each front.
+/// The fleet of a soak: real processes of the front, fake nodes behind proxies, and a fake discovery service
+/// for each front.
 #pragma once
 
 #include "soak/fault_control_file.h"
@@ -8,80 +9,82 @@
 
 namespace wingproxy::soak {
 
-/// One front with its stand-in discovery and the state of its process.
+/// One front with its discovery service and the state of its process.
 struct Front {
     Front(asio::io_context& io, Observations& observations, std::size_t number)
         : index(number),
           discovery(io, observations, number),
-          listening(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)),
+          listener(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)),
           faults(folder.file("faults")) {}
     std::size_t index;
     test::TemporaryFolder folder;
-    StandInDiscovery discovery;
-    tcp::acceptor listening;
+    FakeDiscovery discovery;
+    tcp::acceptor listener;
     FaultControlFile faults;
     std::unique_ptr<test::Process> process;
     int starts = 0;
     FrontState state;
-    std::optional<Clock::time_point> acceptsUntil;  ///< after SIGTERM
-    std::optional<Clock::time_point> killAt;        ///< likewise
+    std::optional<Clock::time_point> acceptsUntil;  ///< after SIGTERM: when clients stop opening connections
+    std::optional<Clock::time_point> killAt;        ///< after SIGTERM: when SIGKILL follows
     std::optional<Clock::time_point> restartAt;
     bool isReady = false;
-    Clock::time_point heldUpUntil{};  ///< when its process last went on after a stop
-    std::deque<test::TestConnectionPtr> crowd;
+    Clock::time_point pausedUntil{};  ///< end of the last pause of its process
+    std::deque<test::TestConnectionPtr> flood;
 
-    /// Whether signals reach a process that serves.
+    /// Whether its process is running and has logged that it listens.
     [[nodiscard]] bool serves() const { return process && isReady; }
 };
 
-/// A node, the proxy on its way, and what the list says of it.
+/// A node, the proxy in front of it, its reference model and its entry in the endpoint list.
 struct Node {
     Node(asio::io_context& io, Observations& observations, const ObservedNode& observed,
          const Settings& settings, bool dropsAbandoned)
         : server(io, observations, observed, settings, dropsAbandoned), proxy(io, server.endpoint()) {}
-    StandInNode server;
+    FakeNode server;
     FaultProxy proxy;
     ReferenceQueue reference;
     int cell = 0;
     std::int64_t startedAtMs = 0;
     bool isListed = true;
-    bool isSilent = false;    ///< its proxy passes nothing
-    bool misbehaves = false;  ///< it does anything but serve
+    bool isSilent = false;    ///< its proxy forwards nothing
+    bool misbehaves = false;  ///< its behaviour is any but `Serve`
 };
 
-/// Starts and ends the processes, keeps the list of nodes, and says what could be answered.
+/// Starts and ends the processes, publishes the endpoint list, and maintains the reference model.
 class Fleet {
 public:
-    /// \param result gets what the fleet counts
+    /// \param result receives the counts of the fleet
     Fleet(const SoakPlan& plan, SoakResult& result);
 
-    /// Looks after processes, discovery and nodes; to be called in each turn of the loop.
+    /// Serves processes, discovery and nodes; to be called in each iteration of the loop.
+    /// \param requestWaitingAt the id of an unanswered request at a front; empty if there is none
     void poll(const std::function<std::string(std::size_t front)>& requestWaitingAt);
-    /// The run is over.
+    /// Ends the run: adds the final counts to the result.
     void finish();
 
-    // ---- what faults do
+    // ---- actions of faults
 
     void kill(Front& front);
     void terminate(Front& front, bool twice);
     void replaceNode(Node& old);
     void unlist(Node& node);
-    /// The node's process dies; a new one is there at once, and the list tells of it with `tellList`.
+    /// The node's process crashes and is replaced at once; `publishEndpointList` must announce that.
     void crashNode(Node& node);
-    void tellList();
-    void setBehaviour(Node& node, StandInNode::Behaviour behaviour);
+    void publishEndpointList();
+    void setBehaviour(Node& node, FakeNode::Behaviour behaviour);
     void setSilent(Node& node, bool isSilent);
 
-    /// A request is asked for: gives it to the node that would answer it first, if one would in time.
+    /// A client sent a request: the reference model gives it to the node that would answer first, if one
+    /// would in time.
     void offer(const OfferedRequest& request);
 
     [[nodiscard]] std::vector<std::unique_ptr<Front>>& fronts() { return fronts_; }
-    /// The nodes that are listed and do not drain.
+    /// The nodes that are listed and not draining.
     [[nodiscard]] std::vector<Node*> listedNodes();
     [[nodiscard]] test::Relay& relay() { return *relay_; }
     [[nodiscard]] asio::io_context& io() { return io_; }
     [[nodiscard]] Observations& observations() { return observations_; }
-    /// Units a second that all nodes together do when they are warm.
+    /// Units per second that all nodes together serve at present.
     [[nodiscard]] double capacity() const;
 
 private:
@@ -89,12 +92,12 @@
     std::string configOf(std::size_t index);
     void startProcess(Front& front);
     void poll(Front& front, const std::string& waitingRequest);
-    void noteReady(Front& front);
-    void onKillTime(Front& front, const std::string& waitingRequest);
+    void checkReady(Front& front);
+    void onKillDeadline(Front& front, const std::string& waitingRequest);
     void onExit(Front& front);
-    void takeDown(Front& front);
+    void onProcessGone(Front& front);
     Node& addNode(int cell, bool isStarting);
-    bool mayUse(const Front& front, Node& node) const;
+    bool isUsable(const Front& front, Node& node) const;
     static void updateReference(Node& node);
 
     SoakPlan plan_;
--- a/tests/soak/soak_plan.h
+++ b/tests/soak/soak_plan.h
@@ -1,5 +1,6 @@
 /// \file
-/// What a seed of the soak stands for: the fleet, its nodes, the load and the kinds of faults.
+/// The parameters of a run, which are drawn from its seed: the fleet, its nodes, the load and the kinds of
+/// faults.
 #pragma once
 
 #include <chrono>
@@ -8,41 +9,44 @@
 
 namespace wingproxy::soak {
 
-/// Cells of the nodes; each begins with one node.
+/// Number of cells; each has one node when the run begins.
 inline constexpr int kSoakCells = 3;
 
-/// The kinds of faults of a run; each is drawn by itself.
+/// The kinds of faults of a run; each is drawn independently.
 struct FaultKinds {
-    bool nodes = false;      ///< nodes hang, fail, decline, die and come back cold, drain and are replaced
-    bool links = false;      ///< connections to nodes are silent, late and reset; datagrams are lost
-    bool discovery = false;  ///< it is down for a while
-    bool signals = false;  ///< SIGTERM, also twice, SIGKILL, SIGHUP, SIGUSR1, stops of 0.13 s, in series too
+    bool nodes = false;      ///< nodes hang, fail, decline, crash and restart cold, drain and are replaced
+    bool links = false;      ///< connections to nodes stall, are delayed and reset; datagrams are lost,
+                             ///< duplicated and delayed
+    bool discovery = false;  ///< the discovery service is down for a while
+    bool signals =
+        false;  ///< SIGTERM (also twice), SIGKILL, SIGHUP, SIGUSR1, and single and repeated pauses of 0.13 s
     bool clocks = false;   ///< wall clocks step
-    bool storage = false;  ///< files cannot be written
-    bool crowd = false;    ///< idle clients take all descriptors
+    bool storage = false;  ///< writes to files fail
+    bool flood = false;    ///< idle connections take all descriptors of a front
 };
 
-/// One run.
+/// The parameters of one run.
 struct SoakPlan {
     std::uint64_t seed = 0;
     FaultKinds kinds;
     std::size_t fronts = 0;
-    double slowStartUnits = 0;  ///< what the settings promise of any node that has just started, in a window
-    double load = 1;            ///< units that clients ask for, as a part of what all warm nodes can do
-    int obedientPercent = 0;    ///< of the clients: they wait for as long as Retry-After says
-    bool dropsAbandoned = false;  ///< nodes drop waiting work whose connection was closed
+    double slowStartUnits =
+        0;            ///< the settings' slow-start budget of a node that has just started, per window
+    double load = 1;  ///< units per second that clients request, relative to the speed of all warm nodes
+    int retryAfterPercent = 0;    ///< percentage of clients that wait as long as Retry-After says
+    bool dropsAbandoned = false;  ///< nodes drop queued requests whose connection was closed
     std::chrono::milliseconds longestDeadline{0};
-    /// Moves each fault by some milliseconds; 0 plays the faults as they were drawn.
+    /// Seed from which each fault is moved by up to 8 ms; 0 leaves the faults at the times drawn.
     std::uint64_t play = 0;
 
-    /// The real capacity of a node, as a multiple of what the settings promise: half of the nodes can do just
-    /// that.
+    /// The real capacity of a node, as a multiple of what the settings promise. For half of the nodes it
+    /// is 1.
     [[nodiscard]] double capacityFactor(std::size_t node) const;
 };
 
-/// The plan that a seed stands for.
+/// Draws the plan of a seed.
 SoakPlan planOf(std::uint64_t seed);
-/// The plan in a few words.
+/// The plan as one line of text.
 std::string describe(const SoakPlan& plan);
 
 }  // namespace wingproxy::soak
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -9,21 +9,21 @@
 namespace wingproxy::soak {
 namespace {
 
-constexpr double kMeanUnits = 3.5;  // of a client's request
-// More than these the observing process does not keep up with.
-constexpr double kMostRequestsPerSecond = 700;
-constexpr std::size_t kMostClients = 30;         // of one front
-constexpr std::size_t kMostClientsInCrowd = 16;  // beside a crowd, which takes the descriptors
-constexpr double kLeastWeight = 0.3;             // of a front's traffic; fronts get more or less of it
-constexpr double kMostWeight = 3;
-constexpr double kBusyFor = 0.4;  // seconds that a client waits for an answer, at the most on average
-constexpr std::uint64_t kClientStream = 5'000'011;
+constexpr double kMeanUnits = 3.5;  // mean size of a client's request
+// The observing process can't keep up with more requests or clients than these.
+constexpr double kMaxRequestsPerSecond = 700;
+constexpr std::size_t kMaxClients = 30;         // per front
+constexpr std::size_t kMaxClientsInFlood = 16;  // per front, if a flood may take its descriptors
+constexpr double kMinWeight = 0.3;              // of a front's share of the traffic, which is drawn
+constexpr double kMaxWeight = 3;
+constexpr double kMaxMeanResponseSeconds = 0.4;  // determines the number of clients
+constexpr std::uint64_t kClientSeedOffset = 5'000'011;
 
-// The target for days at close range: a third of what a policy serves that sees the true state late.
-constexpr double kLeastPartOfReference = 1.0 / 3;
-constexpr std::size_t kFewestJudged = 30;  // with fewer, chance decides
+// The fronts must answer a third of what a dispatcher could that knows the true state with a short delay.
+constexpr double kMinPartOfReference = 1.0 / 3;
+constexpr std::size_t kMinReferenceForCheck = 30;  // with fewer the ratio is left to chance
 
-/// All parts of one run.
+/// One run with all its parts.
 class Run {
 public:
     Run(const SoakPlan& plan, milliseconds duration)
@@ -31,13 +31,13 @@
           end_(Clock::now() + duration),
           fleet_(plan, result_),
           faults_(plan, fleet_, end_),
-          random_(plan.seed + kClientStream) {
+          random_(plan.seed + kClientSeedOffset) {
         addClients();
     }
-    SoakResult go() {
+    SoakResult run() {
         Observations& observations = fleet_.observations();
         while (Clock::now() < end_) {
-            observations.lag().turnBegan(Clock::now());
+            observations.lag().iterationStarted(Clock::now());
             fleet_.io().poll();
             faults_.runDue();
             fleet_.poll([this](std::size_t front) { return requestWaitingAt(front); });
@@ -55,45 +55,46 @@
 
 private:
     void addClients() {
-        const double rate = std::min(plan_.load * fleet_.capacity() / kMeanUnits, kMostRequestsPerSecond);
+        const double rate = std::min(plan_.load * fleet_.capacity() / kMeanUnits, kMaxRequestsPerSecond);
         std::vector<double> weights;
         double sum = 0;
         for (std::size_t front = 0; front < plan_.fronts; ++front) {
-            weights.push_back(std::uniform_real_distribution(kLeastWeight, kMostWeight)(random_));
+            weights.push_back(std::uniform_real_distribution(kMinWeight, kMaxWeight)(random_));
             sum += weights.back();
         }
         for (std::size_t front = 0; front < plan_.fronts; ++front)
             addClients(front, rate * weights[front] / sum);
     }
     void addClients(std::size_t front, double requestsPerSecond) {
-        const std::size_t most = plan_.kinds.crowd ? kMostClientsInCrowd : kMostClients;
-        const std::size_t count = std::min(std::size_t(requestsPerSecond * kBusyFor) + 3, most);
+        const std::size_t most = plan_.kinds.flood ? kMaxClientsInFlood : kMaxClients;
+        const std::size_t count =
+            std::min(std::size_t(requestsPerSecond * kMaxMeanResponseSeconds) + 3, most);
         for (std::size_t i = 0; i < count; ++i) {
-            ClientHabits habits;
-            habits.interval = std::chrono::duration<double>(double(count) / requestsPerSecond);
-            habits.longestDeadline = plan_.longestDeadline;
-            habits.obeysRetryAfter = int(random_() % 100) < plan_.obedientPercent;
-            SoakClient::Surroundings surroundings;
-            surroundings.connect = [this, front] {
-                return test::connectTo(fleet_.io(), fleet_.fronts()[front]->listening.local_endpoint());
+            ClientOptions options;
+            options.interval = std::chrono::duration<double>(double(count) / requestsPerSecond);
+            options.longestDeadline = plan_.longestDeadline;
+            options.honoursRetryAfter = int(random_() % 100) < plan_.retryAfterPercent;
+            SoakClient::Callbacks callbacks;
+            callbacks.connect = [this, front] {
+                return test::connectTo(fleet_.io(), fleet_.fronts()[front]->listener.local_endpoint());
             };
-            surroundings.onOffered = [this](const OfferedRequest& request) { fleet_.offer(request); };
-            clients_.emplace_back(front, random_(), habits, std::move(surroundings));
+            callbacks.onOffered = [this](const OfferedRequest& request) { fleet_.offer(request); };
+            clients_.emplace_back(front, random_(), options, std::move(callbacks));
         }
     }
     std::string requestWaitingAt(std::size_t front) const {
         for (const SoakClient& client : clients_)
-            if (client.front() == front && !client.waitsFor().empty()) return client.waitsFor();
+            if (client.front() == front && !client.pendingRequest().empty()) return client.pendingRequest();
         return "";
     }
     void checkShareAnswered() {
-        if (result_.reference < kFewestJudged) return;
-        if (double(result_.answeredInTime) >= kLeastPartOfReference * double(result_.reference)) return;
-        fleet_.observations().violate(
+        if (result_.reference < kMinReferenceForCheck) return;
+        if (double(result_.answeredInTime) >= kMinPartOfReference * double(result_.reference)) return;
+        fleet_.observations().addViolation(
             fmt::format("{} requests were answered in time, under a third of the {} that could have been",
                         result_.answeredInTime, result_.reference));
     }
-    // By hand: WINGPROXY_SOAK_LOGS names a folder that keeps the logs of all processes.
+    // Copies the logs of all processes to the folder that WINGPROXY_SOAK_LOGS names, if it is set.
     void keepLogs() {
         const char* const folder = std::getenv("WINGPROXY_SOAK_LOGS");
         if (folder == nullptr) return;
@@ -126,6 +127,6 @@
 
 }  // namespace
 
-SoakResult runSoak(const SoakPlan& plan, milliseconds duration) { return Run(plan, duration).go(); }
+SoakResult runSoak(const SoakPlan& plan, milliseconds duration) { return Run(plan, duration).run(); }
 
 }  // namespace wingproxy::soak
