--- a/tests/golden/golden_file.h
+++ b/tests/golden/golden_file.h
@@ -1,10 +1,11 @@
 /// \file
-/// Golden files: text that an earlier version of the program produced, and that every later one must produce
-/// again byte for byte. The tests compare. They write the files anew when the environment variable
-/// WINGPROXY_WRITE_GOLDEN is 1, which is right only after an intended change of behaviour:
+/// Golden files: text that an earlier version of the program produced, and that every later version must
+/// reproduce byte for byte. The tests compare their output with the files. They rewrite the files if the
+/// environment variable WINGPROXY_WRITE_GOLDEN is 1, which is right only after an intended change of
+/// behaviour:
 ///
-///     WINGPROXY_WRITE_GOLDEN=1 build-tests/wingproxy_tests --gtest_filter='Golden*'
-///     WINGPROXY_WRITE_GOLDEN=1 build-tests/wingproxy_front_tests --test-case='golden*'
+///     WINGPROXY_WRITE_GOLDEN=1 build-tests/tests/wingproxy_tests --gtest_filter='Golden*'
+///     WINGPROXY_WRITE_GOLDEN=1 build-tests/tests/wingproxy_front_tests --test-case='golden*'
 ///
 /// The policy computes with doubles and calls exp, exp2 and log2. -O0 and -O2 give the same results on
 /// x86-64. A compiler that contracts a*b+c into one operation, or another C library, may give others.
@@ -23,8 +24,8 @@
 
 namespace wingproxy::test {
 
-/// Random numbers that are the same with every standard library: no std:: distribution takes part. One
-/// expression draws one number at the most, as the order within an expression is the compiler's choice.
+/// Random numbers that are the same with every standard library, as no std:: distribution is used. An
+/// expression must draw at most one number, as the evaluation order within an expression is unspecified.
 class SeededRandom {
 public:
     explicit SeededRandom(std::uint64_t seed) : engine_(seed) {}
@@ -60,7 +61,7 @@
     std::uint64_t value_ = kOffset;
 };
 
-/// Whether the files are to be written anew.
+/// Whether the golden files are to be rewritten.
 inline bool writesGoldenFiles() {
     const char* const value = std::getenv("WINGPROXY_WRITE_GOLDEN");
     return value != nullptr && std::string_view(value) == "1";
@@ -77,7 +78,7 @@
     return text;
 }
 
-/// The bytes that hexOf() wrote.
+/// The bytes that hexOf() encoded.
 /// \throws std::invalid_argument if there is anything but hexadecimal digits
 inline std::string bytesOfHex(const std::string& text) {
     std::string bytes;
@@ -86,10 +87,11 @@
     return bytes;
 }
 
-/// \param name below tests/golden
+/// The path of a golden file.
+/// \param name relative to tests/golden
 inline std::string goldenPath(const std::string& name) { return std::string(WINGPROXY_GOLDEN) + "/" + name; }
 
-/// The content of a golden file; empty if there is none.
+/// The content of a golden file; empty if it does not exist.
 inline std::string readGoldenFile(const std::string& name) {
     std::ifstream in(goldenPath(name), std::ios::binary);
     return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
@@ -100,8 +102,8 @@
     out.write(bytes.data(), static_cast<std::streamsize>(bytes.size()));
 }
 
-/// Compares the lines with the golden file, or writes it.
-/// \return an empty text if they are the same, else the first line that differs
+/// Compares the lines with the golden file, or rewrites the file if writesGoldenFiles().
+/// \return an empty text if they are equal, otherwise a description of the first difference
 inline std::string differenceFromGoldenFile(const std::string& name, const std::vector<std::string>& lines) {
     if (writesGoldenFiles()) {
         std::string text;
@@ -120,7 +122,7 @@
             return name + " differs first at line " + std::to_string(i + 1) + "\n  expected: " + expected[i] +
                    "\n  actual:   " + lines[i];
     if (lines.size() == expected.size()) return "";
-    return name + " has " + std::to_string(expected.size()) + " lines, and " + std::to_string(lines.size()) +
+    return name + " has " + std::to_string(expected.size()) + " lines, but " + std::to_string(lines.size()) +
            " were produced";
 }
 
--- a/tests/golden/golden_handover_test.cpp
+++ b/tests/golden/golden_handover_test.cpp
@@ -1,11 +1,11 @@
 /// \file
-/// The policy over hot restarts: three hosts with leases and gossip, whose processes are replaced by others.
-/// All events that the simulator's wire does not carry take part: bodies that are still coming, graceful
-/// shutdowns, calls for capacity and streams. The actions and the bytes of the snapshots must be those of the
-/// version that wrote golden_handover.txt.
+/// Golden test of the policy over hot restarts: three hosts with leases and gossip, whose processes are
+/// replaced by new ones. It covers the events that the simulator's protocol does not carry: incomplete
+/// bodies, graceful shutdowns, capacity demands and streams. The actions and the bytes of the snapshots must
+/// equal those of the version that wrote golden_handover.txt.
 ///
-/// How the file is written anew stands in golden_file.h. Actions are rendered by their index and their
-/// fields, so that the file holds no name of a type.
+/// golden_file.h says how to rewrite the file. Actions are written as their index and fields, so that the
+/// file contains no type names and renaming a type does not change it.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,8 +14,8 @@
 #include <memory>
 #include <set>
 
-#include "golden/agenda.h"
 #include "golden/golden_file.h"
+#include "golden/step_scheduler.h"
 #include "support/policy_support.h"
 
 using namespace wingproxy;
@@ -27,7 +27,7 @@
 constexpr Micros kDuration = 44 * kSecond;
 constexpr std::uint64_t kBatchesPerLine = 100;
 
-/// The fields of each action, in the order of their declaration.
+/// Formats the fields of an action in the order of their declaration.
 struct FieldsOfAction {
     static std::string join(std::initializer_list<std::string> fields) {
         std::string text;
@@ -77,7 +77,7 @@
 class HotRestartSimulation {
 public:
     HotRestartSimulation();
-    /// Runs to the end; to be called once.
+    /// Runs the simulation to its end; to be called once.
     /// \return the lines of the golden file
     std::vector<std::string> run();
 
@@ -92,11 +92,11 @@
         Request request;
         bool bodyComplete = true;
         int attemptCount = 0;
-        std::map<int, std::string> openAttempts;  // number and node
+        std::map<int, std::string> openAttempts;  // node by attempt number
     };
 
     void schedule(Micros time, std::function<void()> step) {
-        agenda_.add(std::max(time, now_ + kMs), std::move(step));
+        scheduler_.add(std::max(time, now_ + kMs), std::move(step));
     }
     void deliverEvent(std::size_t process, Event event) { inputs_[process].push_back(std::move(event)); }
     std::size_t servingProcess(int host) const { return servingProcess_.at(host); }
@@ -120,7 +120,7 @@
     std::string summary() const;
 
     SeededRandom random_{99};
-    Agenda agenda_;
+    StepScheduler scheduler_;
     std::vector<Process> processes_;
     std::map<int, std::size_t> servingProcess_;
     std::map<std::size_t, std::vector<Event>> inputs_;
@@ -158,7 +158,7 @@
     inputs_[processes_.size() - 1];
 }
 
-// The old process finishes what is open there, and ends two seconds later.
+// The old process finishes its open requests and exits after two seconds.
 void HotRestartSimulation::hotRestart(int host) {
     const std::size_t old = servingProcess(host);
     const std::string bytes = processes_[old].policy->takeSnapshot(now_);
@@ -169,7 +169,7 @@
     schedule(now_ + 2 * kSecond, [this, old] { processes_[old].ended = true; });
 }
 
-// A host that leaves in order, and starts again without what it knew.
+// The host shuts down gracefully and starts again without its former state.
 void HotRestartSimulation::shutDownHost(int host) {
     const std::size_t old = servingProcess(host);
     deliverEvent(old, ShutdownStarted{now_ + 1'500 * kMs});
@@ -198,7 +198,7 @@
     schedule(now_ + random_.between(1, overload ? 6 : 22) * kMs, [this] { submitNewRequest(); });
     const int busyHost = static_cast<int>((now_ - kStart) / (2 * kSecond) % kHosts);
     const int host = random_.chance(60) ? busyHost : static_cast<int>(random_.below(kHosts));
-    // A few requests still reach the process before.
+    // A few requests still reach the preceding process.
     std::size_t process = servingProcess(host);
     if (process > 0 && random_.chance(10)) --process;
     if (processes_[process].ended) return;
@@ -210,7 +210,7 @@
     if (fresh.classIndex == ClassIndex(3)) fresh.key = "ordered" + std::to_string(random_.below(5));
     const bool early = now_ < kStart + 3 * kSecond;
     if (early && random_.chance(10))
-        fresh.volume += std::to_string(fresh.id);  // asked for once, and forgotten later
+        fresh.volume += std::to_string(fresh.id);  // requested once, so that its entry expires later
     fresh.bodyIncomplete = random_.chance(30);
     fresh.deadlineUs = now_ + (fresh.bodyIncomplete ? 10 : 2) * kSecond;
     requests_[fresh.id] = {process, fresh, !fresh.bodyIncomplete, 0, {}};
@@ -232,11 +232,11 @@
 }
 
 std::vector<std::string> HotRestartSimulation::run() {
-    while (agenda_.nextTime() < kStart + kDuration || batches_ == 0) {
+    while (scheduler_.nextTime() < kStart + kDuration || batches_ == 0) {
         for (const auto& [process, events] : std::exchange(inputs_, {}))
             if (!processes_[process].ended) runBatch(process, events);
-        now_ = agenda_.nextTime();
-        agenda_.runNext();
+        now_ = scheduler_.nextTime();
+        scheduler_.runNext();
     }
     lines_.push_back(summary());
     for (const auto& [kind, count] : eventKinds_)
@@ -292,7 +292,7 @@
     });
 }
 
-// The network loses some messages and delays the others.
+// The network loses some messages and delays the rest.
 void HotRestartSimulation::passPeerMessage(std::size_t process, const SendPeerMessage& message) {
     const int from = processes_[process].host;
     for (int to = 0; to < kHosts; ++to) {
@@ -314,7 +314,7 @@
     if (open.bodyComplete)
         serve(forward.id, attempt);
     else if (random_.chance(15)) {
-        // The node ends it while its body is on its way.
+        // The node ends the attempt while the body is still being received.
         const Outcome outcome = random_.chance(50) ? Outcome::Rejected : Outcome::Reset;
         schedule(now_ + random_.between(2, 60) * kMs,
                  [this, id = forward.id, attempt, outcome] { endAttempt(id, attempt, outcome, 5 * kMs); });
@@ -332,7 +332,7 @@
     return Outcome::NotStarted;
 }
 
-// Each node serves one request after the other.
+// Each node serves one request at a time.
 void HotRestartSimulation::serve(RequestId id, int attempt) {
     const OpenRequest& open = requests_.at(id);
     const std::string node = open.openAttempts.at(attempt);
@@ -367,7 +367,7 @@
     deliverEvent(open.process, event);
 }
 
-TEST(GoldenHandOver, ActionsAreThoseOfTheVersionThatWroteTheFile) {
+TEST(GoldenHotRestart, ActionsMatchTheGoldenFile) {
     HotRestartSimulation simulation;
     EXPECT_EQ(differenceFromGoldenFile("golden_handover.txt", simulation.run()), "");
 }
--- a/tests/golden/golden_stored_data_test.cpp
+++ b/tests/golden/golden_stored_data_test.cpp
@@ -1,9 +1,9 @@
 /// \file
-/// What an earlier version left for a later one: files on disk, and datagrams of hosts that were not upgraded
-/// yet. Each golden file under data/ was written by an earlier version. It is read here and acted on, and the
-/// same values must give the same bytes again.
+/// Compatibility with earlier versions: files on disk, and datagrams of hosts that are not upgraded yet. Each
+/// golden file under data/ was written by an earlier version. The tests read it and check its effects, and
+/// encoding the same values must give the same bytes.
 ///
-/// How the files are written anew stands in golden_file.h.
+/// golden_file.h says how to rewrite the files.
 #include <doctest/doctest.h>
 
 #include "core/reducer.h"
@@ -22,7 +22,8 @@
 constexpr Micros kBegin = 100 * kSecond;
 constexpr Micros kSnapshotAt = kBegin + 12 * kSecond;
 
-/// Compares the bytes with a file of one line of hexadecimal digits, or writes it. Returns those of the file.
+/// Compares the bytes with a golden file of one line of hexadecimal digits, or rewrites the file.
+/// \return the bytes of the file
 std::string goldenBytes(const std::string& name, const std::string& bytes) {
     const std::string path = "data/" + name;
     CHECK_MESSAGE(differenceFromGoldenFile(path, {hexOf(bytes)}).empty(), path);
@@ -50,8 +51,8 @@
     core::FrontState state;
 };
 
-/// What twelve seconds of a host leave: leases, latencies, a drained node, a node in slow start, open
-/// requests.
+/// The snapshot of a host that ran for twelve seconds: leases, latencies, a drained node, a node in slow
+/// start and open requests.
 hot_restart::Snapshot constructedSnapshot() {
     RunningState host;
     host.reduce(kBegin, EndpointListReceived{nodes(listedNodes())});
@@ -95,9 +96,9 @@
 // ---- datagrams
 
 constexpr std::uint64_t kSenderIncarnation = 90'001;
-constexpr std::uint32_t kKey = 3'000;  // kept by host 0, as it is a multiple of the number of hosts
+constexpr std::uint32_t kKey = 3'000;  // aggregated by host 0, as it is a multiple of the number of hosts
 constexpr std::uint32_t kRequestStamp = 20'001;
-constexpr Micros kLendingStart = kBegin + 11 * kSecond;  // when a host lends though no peer replied
+constexpr Micros kLendingStart = kBegin + 11 * kSecond;  // when a host lends even though no peer replied
 
 std::uint64_t limitedVolume() { return peer::hashOf("vol-limited"); }
 std::uint32_t cellZero() { return std::uint32_t(peer::hashOf("0")); }
@@ -109,7 +110,7 @@
     return message;
 }
 
-/// A record of hosts before lease recovery had datagrams of its own.
+/// A record of versions before lease recovery had datagrams of its own.
 std::string oldRecord(peer::Tag tag) {
     std::string message = peer::header(kSenderIncarnation);
     peer::Writer writer(message);
@@ -145,7 +146,7 @@
     all["member"] = datagram({peer::MembershipNotice{std::uint32_t(limitedVolume()), HostIndex(2)}});
     all["old_hello"] = oldRecord(peer::Tag::OldHello);
     all["old_welcome"] = oldRecord(peer::Tag::OldWelcome);
-    // Host 0 leaves and starts again; host 1 keeps its notice, host 2 does not know of it.
+    // Host 0 shuts down and starts again; host 1 stores its shutdown notice, host 2 did not receive it.
     fleet::RestartRecovery earlier(recoveryOptions(0), kBegin - 20 * kSecond);
     fleet::RestartRecovery keeper(recoveryOptions(1), kBegin - 20 * kSecond);
     fleet::RestartRecovery stranger(recoveryOptions(2), kBegin - 20 * kSecond);
@@ -159,7 +160,7 @@
     return all;
 }
 
-/// The datagrams of the golden file, which are those of the version that wrote it.
+/// The datagrams of the golden file, after a check that this version encodes the same.
 Datagrams goldenDatagrams() {
     std::vector<std::string> lines;
     for (const auto& [name, bytes] : constructedDatagrams())
@@ -173,12 +174,12 @@
     return all;
 }
 
-/// The records of gossip and leases that these actions send to a host.
+/// The gossip and lease records that these actions send to a host.
 std::vector<peer::Record> recordsTo(int to, const std::vector<Action>& actions) {
     std::vector<peer::Record> records;
-    for (const auto& told : only<SendPeerMessage>(actions)) {
-        if (!(told.to == HostIndex(to) && !fleet::isRecoveryDatagram(told.bytes))) continue;
-        const auto message = peer::decode(told.bytes);
+    for (const auto& sent : only<SendPeerMessage>(actions)) {
+        if (!(sent.to == HostIndex(to) && !fleet::isRecoveryDatagram(sent.bytes))) continue;
+        const auto message = peer::decode(sent.bytes);
         CHECK(message.has_value());
         if (message) records.insert(records.end(), message->records.begin(), message->records.end());
     }
@@ -193,7 +194,7 @@
     return found;
 }
 
-/// A host with many nodes in cell 0, which has run for so long that it lends and borrows.
+/// A host with many nodes in cell 0 that has run long enough to lend and borrow.
 struct LongRunningHost : Host {
     LongRunningHost() : Host(settings(0, kHosts), kBegin) {
         constexpr int kNodes = 30;
@@ -211,7 +212,7 @@
 
 }  // namespace
 
-TEST_CASE("golden snapshot: an earlier version's file is read, restored and acted on") {
+TEST_CASE("golden snapshot: the file of an earlier version is decoded, restored and used") {
     const std::string bytes = goldenBytes("snapshot.hex", hot_restart::encode(constructedSnapshot()));
     const auto read = hot_restart::decode(bytes, "front-0", kSnapshotAt + kSecond);
     REQUIRE(std::holds_alternative<hot_restart::Snapshot>(read));
@@ -243,7 +244,7 @@
     CHECK(sentTo == "a");
 }
 
-TEST_CASE("golden snapshot: the restored module does what the version before did") {
+TEST_CASE("golden snapshot: a restored policy acts as the golden file says") {
     const std::string bytes = goldenBytes("snapshot.hex", hot_restart::encode(constructedSnapshot()));
     const auto snapshot = std::get<hot_restart::Snapshot>(hot_restart::decode(bytes, "front-0", kSnapshotAt));
     Host successor(settings(0, kHosts), kSnapshotAt);
@@ -262,17 +263,17 @@
         }
         for (const auto& refusal : only<RejectRequest>(actions))
             line += " refused " + std::to_string(refusal.id) + " " + std::to_string(refusal.retryAfterUs);
-        for (const auto& told : only<SendPeerMessage>(actions))
-            line += " told " + std::to_string(told.to.host().value()) + " " + hexOf(told.bytes);
+        for (const auto& sent : only<SendPeerMessage>(actions))
+            line += " told " + std::to_string(sent.to.host().value()) + " " + hexOf(sent.bytes);
         lines.push_back(line);
     }
     const std::string difference = differenceFromGoldenFile("data/after_restore.txt", lines);
     CHECK_MESSAGE(difference.empty(), difference);
 }
 
-// Such a file has a credit for each node in slow start, which is not used any more, and what was sent to
-// those nodes only.
-TEST_CASE("golden snapshot: a file of the version with a credit for slow start is restored") {
+// Such a file has a credit for each node in slow start, which is no longer used, and what was sent to nodes
+// in slow start only.
+TEST_CASE("golden snapshot: a file with slow-start credits is restored") {
     const std::string text = readGoldenFile("data/snapshot_slow_start_credit.hex");
     const std::string bytes = bytesOfHex(text.substr(0, text.find('\n')));
     const auto read = hot_restart::decode(bytes, "front-0", kSnapshotAt);
@@ -284,7 +285,7 @@
     CHECK(successor.state.recovery().incarnation() == 100'001);
 }
 
-TEST_CASE("golden overrides: an earlier version's file is read") {
+TEST_CASE("golden overrides: the file of an earlier version is decoded") {
     const auto constructed = constructedOverrides();
     const std::string bytes = goldenBytes("overrides.hex", hot_restart::encodeOverrides(constructed));
     const auto read = hot_restart::decodeOverrides(bytes);
@@ -292,7 +293,7 @@
     CHECK(std::get<core::AdminOverrides>(read) == constructed);
 }
 
-TEST_CASE("golden datagrams: use and join are answered with what the others ask, and with the members") {
+TEST_CASE("golden datagrams: usage reports are answered with the usage of the others and with the members") {
     const auto datagrams = goldenDatagrams();
     LongRunningHost host;
     const auto others = ofType<peer::UsageAggregate>(recordsTo(1, host.receiveFrom(1, datagrams.at("use"))));
@@ -309,7 +310,7 @@
     CHECK(host.policy.recovery().counters().malformed == 0);
 }
 
-TEST_CASE("golden datagrams: an ask is granted, and what is returned is lent again") {
+TEST_CASE("golden datagrams: a lease request is granted, and a returned lease is lent again") {
     const auto datagrams = goldenDatagrams();
     LongRunningHost host;
     host.batch({request(1, 0, 0, host.now, 1, 0, kHosts)});
@@ -326,7 +327,7 @@
     CHECK(int(again[0].chunks) > lentBefore);
 }
 
-TEST_CASE("golden datagrams: a member is asked, and its grant lets waiting requests go") {
+TEST_CASE("golden datagrams: a known member is asked for a lease, and its grant releases queued requests") {
     const auto datagrams = goldenDatagrams();
     const auto sendsAfter = [&](bool heardOfMember, bool heardGrant) {
         LongRunningHost host;
@@ -348,7 +349,8 @@
     CHECK(sendsAfter(true, true) == 4);
 }
 
-TEST_CASE("golden datagrams: a long wait that the others told keeps requests from a cell") {
+TEST_CASE(
+    "golden datagrams: a long wait that other hosts report makes the host reject requests for the cell") {
     const auto datagrams = goldenDatagrams();
     LongRunningHost host;
     CHECK(only<ForwardRequest>(host.batch({request(1, 0, 1, host.now, 2, 0, kHosts)})).size() == 1);
@@ -358,7 +360,7 @@
     CHECK(only<RejectRequest>(actions).size() == 1);
 }
 
-TEST_CASE("golden datagrams: records of hosts before the present protocol are accepted and change nothing") {
+TEST_CASE("golden datagrams: records of the old recovery protocol are accepted and ignored") {
     const auto datagrams = goldenDatagrams();
     for (const char* name : {"old_hello", "old_welcome"}) {
         LongRunningHost host;
@@ -368,7 +370,7 @@
     }
 }
 
-TEST_CASE("golden datagrams: a hello is welcomed, also with the shutdown notice from before it") {
+TEST_CASE("golden datagrams: a hello is answered, with the shutdown notice if one is stored") {
     const auto datagrams = goldenDatagrams();
     Host keeper(settings(1, kHosts), kBegin - 20 * kSecond);
     keeper.batch();
@@ -390,7 +392,7 @@
     CHECK(hexOf(welcome[0].bytes) == hexOf(datagrams.at("welcome")));
 }
 
-TEST_CASE("golden datagrams: welcomes make a host clear sooner than a lease") {
+TEST_CASE("golden datagrams: welcomes let a host recover before leases expire") {
     const auto datagrams = goldenDatagrams();
     Host byNotice(settings(0, kHosts), kBegin);
     const auto hellos = only<SendPeerMessage>(byNotice.batch());
--- a/tests/golden/golden_trace_test.cpp
+++ b/tests/golden/golden_trace_test.cpp
@@ -1,8 +1,8 @@
 /// \file
-/// The whole program behind the simulator's wire: a simulated cluster sends the same input from the same
-/// seed, and every byte of the replies must be what the version gave that wrote golden_trace.txt.
+/// Golden test of all hosts behind the simulator's protocol: a simulated cluster sends the input of a fixed
+/// seed, and the replies must equal, byte for byte, those of the version that wrote golden_trace.txt.
 ///
-/// How the file is written anew stands in golden_file.h.
+/// golden_file.h says how to rewrite the file.
 #include <gtest/gtest.h>
 
 #include "golden/wire_simulation.h"
@@ -17,7 +17,7 @@
 constexpr Micros kMs = 1'000;
 constexpr Micros kSecond = 1'000'000;
 
-/// Clusters that differ in what is scarce or absent. All other settings have their defaults.
+/// Clusters in which different resources are scarce or absent. Settings not given have their defaults.
 const std::vector<SimulationSettings> kScenarios{
     {.name = "four_hosts", .seed = 20261201, .duration = 64 * kSecond},
     {.name = "ten_hosts_list_on_request",
@@ -33,7 +33,7 @@
      .duration = 30 * kSecond,
      .mayCancel = false,
      .arrivalGap = 6 * kMs},
-    // Nodes so slow that a queue of any length is too long: the shares of the volumes are contended.
+    // Nodes so slow that a queue of any length is too long, so that volumes compete for their shares.
     {.name = "two_hosts_slow_nodes",
      .seed = 5,
      .hosts = 2,
@@ -41,7 +41,7 @@
      .arrivalGap = 8 * kMs,
      .serviceTime = 40 * kMs,
      .quietVolumes = 120},
-    // Nodes with room for many requests at once, and classes without a latency objective.
+    // Nodes that serve many requests at once, and classes without a latency objective.
     {.name = "one_host_without_aims",
      .seed = 3,
      .hosts = 1,
@@ -49,17 +49,17 @@
      .arrivalGap = 2 * kMs,
      .serviceTime = 50 * kMs,
      .serviceJitterPercent = 3,
-     .lanes = 60,
+     .workers = 60,
      .newObjectPercent = 100,
      .classesHaveObjectives = false},
-    // Only new objects and little load: a cell whose nodes failed is avoided until that is forgotten.
+    // Only new objects and low load: a cell whose nodes failed is avoided until the failures expire.
     {.name = "one_host_new_objects",
      .seed = 17,
      .hosts = 1,
      .duration = 12 * kSecond,
      .arrivalGap = 8 * kMs,
      .newObjectPercent = 100},
-    // So many volumes that gossip about them takes several datagrams.
+    // So many volumes that gossip about them needs several datagrams.
     {.name = "two_hosts_many_volumes",
      .seed = 23,
      .hosts = 2,
@@ -68,7 +68,7 @@
      .quietVolumes = 400},
 };
 
-/// One line for every hundred batches, then what occurred how often.
+/// One line per hundred batches, then the counts of all kinds of input lines and actions.
 std::vector<std::string> trace(const SimulationSettings& settings) {
     std::vector<std::string> lines;
     std::uint64_t batches = 0;
@@ -93,7 +93,7 @@
     return lines;
 }
 
-TEST(GoldenTrace, RepliesAreThoseOfTheVersionThatWroteTheFile) {
+TEST(GoldenTrace, RepliesMatchTheGoldenFile) {
     std::vector<std::string> lines;
     for (const auto& settings : kScenarios)
         for (const auto& line : trace(settings))
--- a/tests/golden/step_scheduler.h
+++ b/tests/golden/step_scheduler.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a simulation does later, in the order of simulated time.
+/// Runs the steps of a simulation in the order of simulated time.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,7 @@
 namespace wingproxy::test {
 
 /// Steps that are due at simulated times. Steps of the same time run in the order in which they were added.
-class Agenda {
+class StepScheduler {
 public:
     using Step = std::function<void()>;
 
--- a/tests/golden/wire_simulation.cpp
+++ b/tests/golden/wire_simulation.cpp
@@ -78,7 +78,8 @@
 }
 std::string field(const std::string& key, const std::string& value) { return " " + key + "=" + value; }
 
-/// \param target as the wire names it: a host's number, or "*" for all but the sender
+/// Whether a peer message from `sender` goes to `host`.
+/// \param target the recipient as in the message: a host's number, or "*" for all but the sender
 bool isReceiver(int host, int sender, const std::string& target) {
     if (host == sender) return false;
     return target == "*" || std::stoi(target) == host;
@@ -104,7 +105,7 @@
         node.id = "10.0.0." + std::to_string(i) + ":8001";
         node.zone = i % 2 == 0 ? "hall" : "annex";
         node.cell = cellOf[i];
-        node.laneFreeAt.assign(static_cast<std::size_t>(settings.lanes), 0);
+        node.workerFreeAt.assign(static_cast<std::size_t>(settings.workers), 0);
         nodes_.push_back(node);
     }
     for (int host = 0; host < settings.hosts; ++host)
@@ -116,10 +117,10 @@
 }
 
 void WireSimulation::run(const std::function<void(const std::string&)>& onBatch) {
-    while (!agenda_.empty() && agenda_.nextTime() < end_) {
-        now_ = agenda_.nextTime();
+    while (!scheduler_.empty() && scheduler_.nextTime() < end_) {
+        now_ = scheduler_.nextTime();
         batch_.clear();
-        agenda_.runNext();
+        scheduler_.runNext();
         if (batch_.empty()) continue;
         ++batches_;
         std::istringstream input("BEGIN_BATCH tsUs=" + std::to_string(now_) +
@@ -133,10 +134,10 @@
     }
 }
 
-// Times are whole milliseconds, so that several events share a batch.
+// Rounds times up to whole milliseconds, so that several events share a batch.
 void WireSimulation::at(Micros time, std::function<void()> step) {
     const Micros rounded = (time + kMillisecond - 1) / kMillisecond * kMillisecond;
-    agenda_.add(std::max(rounded, now_ + (batches_ > 0 ? kMillisecond : 0)), std::move(step));
+    scheduler_.add(std::max(rounded, now_ + (batches_ > 0 ? kMillisecond : 0)), std::move(step));
 }
 
 void WireSimulation::addLine(const std::string& line) {
@@ -153,7 +154,7 @@
 
 std::string WireSimulation::settingsOf(int host) const {
     std::string text = field("me", host) + field("replicasOfMe", settings_.hosts);
-    text += field("rngSeed", 100 + host + 10 * hosts_[static_cast<std::size_t>(host)].run);
+    text += field("rngSeed", 100 + host + 10 * hosts_[static_cast<std::size_t>(host)].startCount);
     text += field("zone", host % 2 == 0 ? "hall" : "annex");
     const auto& classes = requestClasses();
     text += field("classes.count", static_cast<std::int64_t>(classes.size()));
@@ -188,11 +189,11 @@
 void WireSimulation::startHost(int host) {
     Host& state = hosts_[static_cast<std::size_t>(host)];
     state.up = true;
-    ++state.run;
+    ++state.startCount;
     addLine("UP who=" + hostName(host) + settingsOf(host));
     if (!settings_.pollsEndpointList)
         sendWholeList(host, host % 2 == 0 ? "warm_copy" : "total");
-    else if (state.run > 1)
+    else if (state.startCount > 1)
         sendWholeList(host, "warm_copy");
 }
 
@@ -219,7 +220,7 @@
     at(time, [this, id] { restartNode(id); });
 }
 
-// Each kind of fault that the policy must notice, one after the other.
+// Schedules each kind of fault that the policy must detect.
 void WireSimulation::scheduleNodeScript(Micros from) {
     scheduleNodeFaults(from);
     scheduleNodeRestarts(from);
@@ -227,7 +228,7 @@
 }
 
 void WireSimulation::scheduleNodeFaults(Micros from) {
-    drainNodeAt(from + 5 * kSecond, 3);  // of a cell with two others
+    drainNodeAt(from + 5 * kSecond, 3);  // a node of a cell with two others
     restartNodeAt(from + 8 * kSecond, 3);
     changeNodeAt(from + 9 * kSecond, 1, [](Node& slow) { slow.slowdownPercent = 700; });
     changeNodeAt(from + 12 * kSecond, 1, [](Node& slow) { slow.slowdownPercent = 100; });
@@ -241,7 +242,7 @@
     changeNodeAt(from + 21 * kSecond, 6, [](Node& lossy) { lossy.lossPercent = 0; });
     changeNodeAt(from + 10 * kSecond, 5, [](Node& full) { full.fullPercent = 60; });
     changeNodeAt(from + 12 * kSecond, 5, [](Node& full) { full.fullPercent = 0; });
-    // A cell in which all nodes fail for a while.
+    // All nodes of a cell fail for a while.
     for (const int index : {6, 7}) {
         changeNodeAt(from + 2 * kSecond, index, [](Node& failing) { failing.errorPercent = 100; });
         changeNodeAt(from + 3 * kSecond, index, [](Node& failing) { failing.errorPercent = 0; });
@@ -249,7 +250,7 @@
 }
 
 void WireSimulation::scheduleNodeRestarts(Micros from) {
-    // A cell without a ready node: the last one drains, and its successor is listed later.
+    // A cell without a ready node: both nodes drain, and their successors are listed later.
     drainNodeAt(from + 22 * kSecond, 6);
     drainNodeAt(from + 22'200 * kMillisecond, 7);
     restartNodeAt(from + 25 * kSecond, 7);
@@ -262,7 +263,7 @@
 }
 
 void WireSimulation::scheduleHostRestarts(Micros from) {
-    // Hosts that stop, and one that starts again without a stop.
+    // A host that stops and starts again, and one that starts again without a stop.
     if (settings_.hosts > 2) {
         at(from + 20 * kSecond, [this] { stopHost(2); });
         at(from + 20'700 * kMillisecond, [this] { startHost(2); });
@@ -275,7 +276,7 @@
     });
 }
 
-// A network that loses all messages for ten seconds: leases expire, and what was gossiped is forgotten.
+// The network loses all messages for ten seconds, so that leases and gossiped state expire.
 void WireSimulation::schedulePartition(Micros from) {
     at(from + 34 * kSecond, [this] { partitioned_ = true; });
     at(from + 44 * kSecond, [this] { partitioned_ = false; });
@@ -297,7 +298,7 @@
 void WireSimulation::restartNode(const std::string& id) {
     Node& fresh = node(id);
     fresh.startedAt = now_;
-    fresh.laneFreeAt.assign(static_cast<std::size_t>(settings_.lanes), now_);
+    fresh.workerFreeAt.assign(static_cast<std::size_t>(settings_.workers), now_);
     changeNode(id, "Ready");
 }
 
@@ -320,7 +321,7 @@
         entries.push_back(&node(id));
     const int list = addEndpointList(entries);
     for (int host = 0; host < settings_.hosts; ++host) {
-        if (random_.chance(5)) continue;  // the change is missed until the next whole list
+        if (random_.chance(5)) continue;  // the host misses this change until the next full list
         addMessage(host, "REGISTRY",
                    field("how", "incr") + field("serial", listVersion_) + field("setId", list));
     }
@@ -335,11 +336,11 @@
 }
 
 void WireSimulation::answerPoll(int host) {
-    const int run = hosts_[static_cast<std::size_t>(host)].run;
+    const int startCount = hosts_[static_cast<std::size_t>(host)].startCount;
     const bool lost = random_.chance(25);
-    at(now_ + random_.between(3, 20) * kMillisecond, [this, host, run, lost] {
+    at(now_ + random_.between(3, 20) * kMillisecond, [this, host, startCount, lost] {
         const Host& state = hosts_[static_cast<std::size_t>(host)];
-        if (!state.up || state.run != run) return;
+        if (!state.up || state.startCount != startCount) return;
         if (lost)
             addMessage(host, "REGISTRY", field("how", "lost") + field("serial", listVersion_));
         else
@@ -349,7 +350,7 @@
 
 // ---- clients
 
-// Ordinary load, overload, and a calm time, in turn.
+// Cycles of 12 s through normal load, overload and low load.
 Micros WireSimulation::nextArrivalGap() {
     const Micros phase = (now_ - kStart) % (12 * kSecond);
     std::int64_t percent = 100;
@@ -374,7 +375,8 @@
     const auto& drawn =
         classes[static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(classes.size())))];
     const auto plan = static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(plans().size())));
-    // Half of the requests are for one busy volume of their plan, through a host that changes with time.
+    // Half of the requests are for one busy volume of their plan, most of them through one host that changes
+    // with time.
     const bool busy = random_.chance(50);
     const std::int64_t volume = busy ? 0 : random_.between(1, settings_.quietVolumes);
     const std::int64_t busyHost = (now_ - kStart) / (3 * kSecond) % settings_.hosts;
@@ -402,7 +404,7 @@
 void WireSimulation::submit(int host, std::uint64_t id, const std::string& line, Request request) {
     const Host& state = hosts_[static_cast<std::size_t>(host)];
     if (!state.up) return;
-    request.run = state.run;
+    request.hostStartCount = state.startCount;
     request.line = line;
     addMessage(host, "INCOMING",
                field("corr", static_cast<std::int64_t>(id)) + line + field("validUntilUs", request.deadline));
@@ -415,15 +417,15 @@
     at(now_ + random_.between(1, longestWait) * kMillisecond, [this, id] {
         Request& request = requests_.at(id);
         const Host& state = hosts_[static_cast<std::size_t>(request.host)];
-        if (request.over || !state.up || state.run != request.run) return;
-        request.over = true;
+        if (request.finished || !state.up || state.startCount != request.hostStartCount) return;
+        request.finished = true;
         addMessage(request.host, "ABORTED", field("corr", static_cast<std::int64_t>(id)));
     });
 }
 
 void WireSimulation::onRejected(const ReplyLine& action) {
     Request& request = requests_.at(static_cast<std::uint64_t>(action.integer("corr")));
-    request.over = true;
+    request.finished = true;
     const Micros wait = action.fields.count("coolDownUs") ? action.integer("coolDownUs") : 100 * kMillisecond;
     const Micros again = now_ + wait + random_.between(1, 50) * kMillisecond;
     if (!random_.chance(35) || again >= request.deadline) return;
@@ -442,14 +444,14 @@
 void WireSimulation::perform(const ReplyLine& action) {
     ++actionKinds_[action.name];
     if (action.name == "OK") return;
-    if (action.name == "EXCEPTION") throw std::runtime_error("the module threw: " + action.fields.at("text"));
+    if (action.name == "EXCEPTION") throw std::runtime_error("a host threw: " + action.fields.at("text"));
     const int host = std::stoi(action.fields.at("who").substr(5));
     if (action.name == "DISPATCH")
         forwardRequest(host, action);
     else if (action.name == "TURN_AWAY")
         onRejected(action);
     else if (action.name == "ERROR")
-        requests_.at(static_cast<std::uint64_t>(action.integer("corr"))).over = true;
+        requests_.at(static_cast<std::uint64_t>(action.integer("corr"))).finished = true;
     else if (action.name == "NOTIFY")
         passPeerMessage(host, action);
     else if (action.name == "PROBE")
@@ -461,9 +463,9 @@
                               static_cast<int>(action.integer("shot")), "", 0};
         at(now_ + kMillisecond, [this, attempt] { endAttempt(attempt, "undone"); });
     } else if (action.name == "TIMER") {
-        const int run = hosts_[static_cast<std::size_t>(host)].run;
-        at(now_ + action.integer("offsetUs"), [this, host, run, label = action.integer("label")] {
-            if (hosts_[static_cast<std::size_t>(host)].run == run)
+        const int startCount = hosts_[static_cast<std::size_t>(host)].startCount;
+        at(now_ + action.integer("offsetUs"), [this, host, startCount, label = action.integer("label")] {
+            if (hosts_[static_cast<std::size_t>(host)].startCount == startCount)
                 addMessage(host, "ELAPSED", field("label", label));
         });
     }
@@ -475,7 +477,8 @@
     attempt.node = action.fields.at("shelf");
     attempt.sentAt = now_;
     Request& request = requests_.at(attempt.request);
-    if (request.host != host) throw std::runtime_error("a request of another host was dispatched");
+    if (request.host != host)
+        throw std::runtime_error("a host dispatched a request that another host received");
     attempt.number = request.attempts++;
     request.openAttempts.insert(attempt.number);
     at(now_ + kNetworkDelay, [this, attempt] { arriveAtNode(attempt); });
@@ -485,12 +488,12 @@
 void WireSimulation::arriveAtNode(const Attempt& attempt) {
     const Request& request = requests_.at(attempt.request);
     Node& target = node(attempt.node);
-    if (request.over && random_.chance(50)) return endAttempt(attempt, "stale_send");
+    if (request.finished && random_.chance(50)) return endAttempt(attempt, "stale_send");
     if (target.unreachable || target.readiness == "Gone") return endAttempt(attempt, "no_route");
     if (target.readiness == "Terminating" && now_ > target.drainsUntil - kDrainGrace / 4)
         return endAttempt(attempt, "no_room");
     const int queueLimit = isInSlowStart(target) ? kSlowStartQueueLimit : kQueueLimit;
-    if (target.waiting >= settings_.lanes + queueLimit) return endAttempt(attempt, "no_room");
+    if (target.waiting >= settings_.workers + queueLimit) return endAttempt(attempt, "no_room");
     if (random_.chance(target.fullPercent)) return endAttempt(attempt, "no_room");
     if (random_.chance(target.errorPercent)) return endAttempt(attempt, "fault");
     if (random_.chance(1)) return endAttempt(attempt, "cut");
@@ -501,7 +504,7 @@
     return node.startedAt > 0 && now_ - node.startedAt < kSlowStartDuration;
 }
 
-// Each of the lanes serves one request at a time. A node in slow start needs longer for each.
+// Each worker serves one request at a time. A node in slow start is slower.
 void WireSimulation::serve(const Attempt& attempt, Node& target) {
     const Request& request = requests_.at(attempt.request);
     const std::int64_t jitter = settings_.serviceJitterPercent;
@@ -510,22 +513,22 @@
         percent += 300 * (kSlowStartDuration - (now_ - target.startedAt)) / kSlowStartDuration;
     const Micros service = settings_.serviceTime * request.units * percent / 100 *
                            random_.between(100 - jitter, 100 + jitter) / 100;
-    auto lane = std::min_element(target.laneFreeAt.begin(), target.laneFreeAt.end());
-    const Micros begin = std::max({*lane, now_, target.pausedUntil});
-    *lane = begin + service;
+    auto worker = std::min_element(target.workerFreeAt.begin(), target.workerFreeAt.end());
+    const Micros begin = std::max({*worker, now_, target.pausedUntil});
+    *worker = begin + service;
     ++target.waiting;
-    at(*lane, [this, id = attempt.node] { --node(id).waiting; });
+    at(*worker, [this, id = attempt.node] { --node(id).waiting; });
     if (random_.chance(1 + target.lossPercent)) return;  // its answer never arrives
     const std::string code = random_.chance(1) ? "fault" : "pass";
     if (request.qos == "bulk" || random_.chance(2))
         at(begin + service / 2, [this, attempt] { startResponse(attempt); });
-    at(*lane + kNetworkDelay, [this, attempt, code] { endAttempt(attempt, code); });
+    at(*worker + kNetworkDelay, [this, attempt, code] { endAttempt(attempt, code); });
 }
 
 void WireSimulation::startResponse(const Attempt& attempt) {
     const Request& request = requests_.at(attempt.request);
     const Host& state = hosts_[static_cast<std::size_t>(request.host)];
-    if (state.run != request.run || !request.openAttempts.contains(attempt.number)) return;
+    if (state.startCount != request.hostStartCount || !request.openAttempts.contains(attempt.number)) return;
     addMessage(request.host, "HEADERS",
                field("corr", static_cast<std::int64_t>(attempt.request)) + field("shot", attempt.number) +
                    field("shelf", attempt.node) + field("waitTimeUs", now_ - attempt.sentAt));
@@ -534,11 +537,11 @@
 void WireSimulation::endAttempt(const Attempt& attempt, const std::string& code) {
     Request& request = requests_.at(attempt.request);
     const Host& state = hosts_[static_cast<std::size_t>(request.host)];
-    if (!state.up || state.run != request.run) return;
+    if (!state.up || state.startCount != request.hostStartCount) return;
     if (request.openAttempts.erase(attempt.number) == 0) return;
     ++inputKinds_["ENDED code=" + code];
     const bool closes = code == "pass" || now_ >= request.deadline || (code == "fault" && random_.chance(10));
-    if (closes) request.over = true;
+    if (closes) request.finished = true;
     const std::int64_t loadPercent = random_.below(100);
     const std::int64_t cpu = random_.below(100);
     const std::int64_t disk = random_.below(100);
@@ -550,23 +553,24 @@
                    " elsewhere=0 metrics=" + std::to_string(cpu) + "," + std::to_string(disk));
 }
 
-// Messages between hosts are late, lost, doubled or damaged.
+// Messages between hosts are delayed, lost, duplicated or corrupted.
 void WireSimulation::passPeerMessage(int host, const ReplyLine& action) {
     const std::string target = action.fields.at("to");
     for (int to = 0; to < settings_.hosts; ++to) {
         if (!isReceiver(to, host, target)) continue;
         if (partitioned_ || random_.chance(4)) continue;
         std::string bytes;
-        if (!wire::decodeBase64(action.fields.at("raw"), bytes)) throw std::runtime_error("not base64");
-        if (random_.chance(2) && !bytes.empty()) damage(bytes);
+        if (!wire::decodeBase64(action.fields.at("raw"), bytes))
+            throw std::runtime_error("peer message is not valid base64");
+        if (random_.chance(2) && !bytes.empty()) corrupt(bytes);
         const int copies = random_.chance(2) ? 2 : 1;
         for (int copy = 0; copy < copies; ++copy)
             schedulePeerMessage(host, to, bytes);
     }
 }
 
-// Cuts the message short or changes one of its bytes.
-void WireSimulation::damage(std::string& bytes) {
+// Truncates the message or changes one of its bytes.
+void WireSimulation::corrupt(std::string& bytes) {
     const auto place = static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(bytes.size())));
     if (random_.chance(50))
         bytes.resize(place);
@@ -586,13 +590,13 @@
 
 void WireSimulation::checkHealth(int host, const ReplyLine& action) {
     const std::string id = action.fields.at("shelf");
-    const int run = hosts_[static_cast<std::size_t>(host)].run;
+    const int startCount = hosts_[static_cast<std::size_t>(host)].startCount;
     const Node& target = node(id);
-    const Micros free = *std::min_element(target.laneFreeAt.begin(), target.laneFreeAt.end());
+    const Micros free = *std::min_element(target.workerFreeAt.begin(), target.workerFreeAt.end());
     const Micros answered = std::max({free, now_, target.pausedUntil}) + 2 * kNetworkDelay;
     const bool reached = !target.unreachable && target.readiness != "Gone" && !random_.chance(10);
-    at(answered, [this, host, run, id, reached, sentAt = now_] {
-        if (hosts_[static_cast<std::size_t>(host)].run != run) return;
+    at(answered, [this, host, startCount, id, reached, sentAt = now_] {
+        if (hosts_[static_cast<std::size_t>(host)].startCount != startCount) return;
         addMessage(host, "STATUS_BACK",
                    field("shelf", id) + field("code", reached ? "pass" : "too_slow") +
                        field("waitTimeUs", now_ - sentAt) + " metrics=1,2");
--- a/tests/golden/wire_simulation.h
+++ b/tests/golden/wire_simulation.h
@@ -1,6 +1,7 @@
 /// \file
-/// A small deterministic cluster that speaks the simulator's text wire: clients, storage nodes, the endpoint
-/// list and the network between the hosts. What it sends depends on its seed and on the actions that it gets.
+/// A small deterministic cluster that speaks the simulator's text protocol: clients, storage nodes, the
+/// endpoint list and the network between the hosts. Its input to the hosts depends only on its seed and on
+/// their actions.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +12,13 @@
 #include <string_view>
 #include <vector>
 
-#include "golden/agenda.h"
 #include "golden/golden_file.h"
+#include "golden/step_scheduler.h"
 #include "simulated_hosts.h"
 
 namespace wingproxy::test {
 
-/// What differs between the scenarios.
+/// The parameters of a scenario.
 struct SimulationSettings {
     std::string name;
     std::uint64_t seed = 0;
@@ -26,24 +27,24 @@
     bool mayCheckHealth = true;
     bool mayCancel = true;
     bool hasRetryBudget = true;
-    /// Whether hosts poll the endpoint list; otherwise each change is pushed to them.
+    /// Whether hosts poll the endpoint list; otherwise changes are pushed to them.
     bool pollsEndpointList = false;
-    /// Mean time between two requests while the load is ordinary.
+    /// Mean time between two requests at normal load.
     Micros arrivalGap = 4'000;
-    /// Time that a node needs for one unit, and by how many per cent it varies.
+    /// Time that a node needs for one unit, and the percentage by which it varies in both directions.
     Micros serviceTime = 9'000;
     std::int64_t serviceJitterPercent = 40;
     /// Requests that a node serves at the same time.
-    int lanes = 4;
-    /// Part of the requests that are for new objects, which any cell may take.
+    int workers = 4;
+    /// Percentage of requests for new objects, which any cell may serve.
     std::int64_t newObjectPercent = 30;
-    /// Volumes of each plan beside the busy one.
+    /// Number of volumes of each plan besides the busy one.
     std::int64_t quietVolumes = 8;
     /// Whether the request classes have a latency objective.
     bool classesHaveObjectives = true;
 };
 
-/// One line of a reply: the action's name on the wire and its fields.
+/// One line of a reply: the name of an action and its fields.
 struct ReplyLine {
     explicit ReplyLine(std::string_view text);
     /// \throws std::out_of_range if the field is missing
@@ -53,14 +54,14 @@
     std::map<std::string, std::string> fields;
 };
 
-/// The cluster and its clock.
+/// The simulated cluster and its clock.
 class WireSimulation {
 public:
     explicit WireSimulation(const SimulationSettings& settings);
 
-    /// Runs to the end.
-    /// \param onBatch is called with the whole reply to each batch
-    /// \throws std::runtime_error if the program throws or answers what makes no sense
+    /// Runs the simulation to its end.
+    /// \param onBatch called with the complete reply to each batch
+    /// \throws std::runtime_error if the hosts report an exception or send an invalid action
     void run(const std::function<void(const std::string& reply)>& onBatch);
 
     std::uint64_t batches() const { return batches_; }
@@ -71,8 +72,8 @@
 private:
     struct Host {
         bool up = false;
-        /// Number of its starts so far. What was meant for an earlier run is dropped.
-        int run = 0;
+        /// Number of its starts so far. Events for an earlier start are dropped.
+        int startCount = 0;
     };
     struct Node {
         std::string id;
@@ -81,7 +82,7 @@
         std::string readiness = "Ready";
         Micros startedAt = 0;
         Micros drainsUntil = 0;
-        std::vector<Micros> laneFreeAt;
+        std::vector<Micros> workerFreeAt;
         int waiting = 0;
         std::int64_t slowdownPercent = 100;
         std::int64_t errorPercent = 0;
@@ -92,14 +93,15 @@
     };
     struct Request {
         int host = 0;
-        int run = 0;
+        /// The host's startCount when the request was submitted.
+        int hostStartCount = 0;
         std::string qos;
         Micros deadline = 0;
         std::int64_t units = 1;
         std::string line;
         int attempts = 0;
         std::set<int> openAttempts;
-        bool over = false;
+        bool finished = false;
     };
     struct Attempt {
         std::uint64_t request = 0;
@@ -148,7 +150,7 @@
     void endAttempt(const Attempt& attempt, const std::string& code);
     void onRejected(const ReplyLine& action);
     void passPeerMessage(int host, const ReplyLine& action);
-    void damage(std::string& bytes);
+    void corrupt(std::string& bytes);
     void schedulePeerMessage(int from, int to, const std::string& bytes);
     void deliverPeerMessage(int from, int to, const std::string& base64);
     void checkHealth(int host, const ReplyLine& action);
@@ -156,7 +158,7 @@
     SimulationSettings settings_;
     SeededRandom random_;
     wire::SimulatedHosts simulatedHosts_;
-    Agenda agenda_;
+    StepScheduler scheduler_;
     std::vector<Host> hosts_;
     std::vector<Node> nodes_;
     std::map<std::uint64_t, Request> requests_;
