--- a/tests/support/fleet_support.h
+++ b/tests/support/fleet_support.h
@@ -1,6 +1,7 @@
 /// \file
-/// Several fronts as whole processes on loopback, and the network between them: every datagram from one to
-/// another passes a relay that can lose, delay, double or cut it, each pair and direction by itself.
+/// Several fronts as real processes on loopback, and the network between them: every datagram between two
+/// fronts passes through a relay that can lose, delay or duplicate it, separately for each pair and
+/// direction.
 #pragma once
 
 #include <boost/asio/ip/udp.hpp>
@@ -14,26 +15,26 @@
 
 using asio::ip::udp;
 
-/// What happens to the datagrams of one direction of one link.
+/// The properties of one direction of the link between two fronts.
 struct Link {
     int lossPercent = 0;
     int duplicatePercent = 0;
     std::chrono::milliseconds delay{0};
-    std::chrono::milliseconds jitter{0};  ///< at most, added to the delay
-    bool cut = false;                     ///< loses everything
+    std::chrono::milliseconds jitter{0};  ///< upper limit of a random time that is added to the delay
+    bool cut = false;                     ///< all datagrams are lost
 };
 
-/// Passes datagrams between fronts. Random draws come from its seed.
+/// Relays datagrams between fronts. Its random numbers are drawn from its seed.
 class Relay {
 public:
-    /// Datagrams so far.
+    /// Counts of the datagrams so far.
     struct Counters {
-        std::uint64_t passed = 0;  ///< sent on, copies included
+        std::uint64_t passed = 0;  ///< relayed, including duplicates
         std::uint64_t lost = 0;
         std::uint64_t duplicated = 0;
-        std::uint64_t largest = 0;  ///< bytes of the longest one
+        std::uint64_t largest = 0;  ///< size in bytes of the largest datagram
     };
-    /// \param fronts the addresses at which the fronts receive
+    /// \param fronts the addresses at which the fronts receive datagrams
     Relay(asio::io_context& io, std::vector<udp::endpoint> fronts, std::uint64_t seed)
         : io_(io),
           fronts_(std::move(fronts)),
@@ -47,12 +48,13 @@
                 receive(*end, from, to);
             }
     }
-    /// Where the front `from` finds `to`: what it sends there leaves at the end that `to` knows it by.
+    /// The address to which front `from` sends its datagrams for `to`. They arrive from addressOf(to, from),
+    /// by which `to` knows the sender.
     udp::endpoint addressOf(std::size_t from, std::size_t to) const {
         return from == to ? fronts_[from] : ends_.at({from, to})->socket.local_endpoint();
     }
     Link& link(std::size_t from, std::size_t to) { return links_[from][to]; }
-    /// Gives every direction of every link these properties.
+    /// Sets the properties of both directions of every link.
     void setAllLinks(const Link& link) {
         for (auto& row : links_)
             std::fill(row.begin(), row.end(), link);
@@ -67,7 +69,7 @@
         }
         udp::socket socket;
         udp::endpoint sender;
-        std::array<char, 2048> bytes{};  // datagrams of fronts are shorter
+        std::array<char, 2048> bytes{};  // larger than any datagram of a front
     };
     bool draw(int percent) { return static_cast<int>(random_() % 100) < percent; }
     void receive(End& end, std::size_t from, std::size_t to) {
@@ -113,10 +115,10 @@
     Counters counters_;
 };
 
-/// Some fronts, one node for cell 0 that answers everything at once, and clients that all ask for one limited
-/// volume.
+/// Some fronts, one node for cell 0 that answers every request at once, and clients that all send requests
+/// for one volume with a rate limit.
 struct Fleet {
-    static constexpr double kUnits = 2;  ///< of each request
+    static constexpr double kUnits = 2;  ///< units of each request
     explicit Fleet(std::size_t frontCount, std::uint64_t seed) {
         const auto loopback = asio::ip::make_address("127.0.0.1");
         std::vector<udp::endpoint> addresses;
@@ -130,7 +132,7 @@
         }
         fronts.resize(frontCount);
     }
-    /// The configuration of one front: it finds the others through the relay.
+    /// The configuration of one front, which reaches the others through the relay.
     std::string config(std::size_t i, std::size_t frontCount) {
         const auto peerAddress = [&](std::size_t peer) {
             return fmt::format("127.0.0.1:{}", relay->addressOf(i, peer).port());
@@ -152,14 +154,15 @@
         fronts[i] = std::make_unique<Process>(folders[i], startCount++, listening[i].native_handle(),
                                               freePort(fixture.io));
         const auto started = [&] { return fronts[i]->hasLogged(fmt::format("n{} listens on", i)); };
-        fixture.waitUntil([&] { return started() || !fronts[i]->running(); }, "a front starts");
+        fixture.waitUntil([&] { return started() || !fronts[i]->running(); }, "a front accepts clients");
         REQUIRE_MESSAGE(started(), fronts[i]->readLog());
         return *fronts[i];
     }
-    /// Has a front log its counters again and again until the log has the text.
+    /// Makes a front log its counters repeatedly until its log contains the text.
     void waitUntilCountersShow(std::size_t i, const std::string& text) {
         fixture.waitUntil([&] { return countersShow(i, text); }, text.c_str());
     }
+    /// Makes a front log its counters once; whether its log contains the text by now.
     bool countersShow(std::size_t i, const std::string& text) {
         fronts[i]->signal(SIGUSR1);
         return fronts[i]->hasLogged(text);
@@ -175,7 +178,8 @@
         pendingConnections.back()->send(
             replaced(request.text(), "hosts=1", fmt::format("hosts={}", fronts.size())));
     }
-    /// Counts the answers that have come. Each must be final: 200, or 503 where the limit binds.
+    /// Counts the responses received so far: 200 as served, 503, by which the limit rejects, as rejected. A
+    /// connection that closed without either counts as unanswered.
     void collectResponses() {
         std::erase_if(pendingConnections, [&](const TestConnectionPtr& connection) {
             if (connection->hasReceived("HTTP/1.1 200 "))
@@ -189,9 +193,9 @@
             return true;
         });
     }
-    /// Units of work that all fronts together sent and had answered.
+    /// Units of the requests that all fronts together served.
     double servedUnits() const { return static_cast<double>(served) * kUnits; }
-    /// What the limit allows since the fleet was made, burst and slack included.
+    /// Units that the limit allows since the fleet was created, burst and slack included.
     double allowedUnits() const {
         const auto& plan = fixture.config.settings.plans[0];
         const std::chrono::duration<double> seconds = std::chrono::steady_clock::now() - startedAt;
@@ -200,13 +204,13 @@
 
     GatewayFixture fixture;
     std::unique_ptr<Relay> relay;
-    std::deque<TemporaryFolder> folders;  // by front, like the two below; outlives the processes
+    std::deque<TemporaryFolder> folders;  // by front, like the two members below; must outlive the processes
     std::vector<tcp::acceptor> listening;
     std::vector<std::unique_ptr<Process>> fronts;
     int startCount = 0;
     std::uint64_t lastId = 0;
     std::vector<TestConnectionPtr>
-        pendingConnections;  ///< connections with a request that collectResponses() has not counted yet
+        pendingConnections;  ///< each with a request that collectResponses() has not counted yet
     std::size_t served = 0;
     std::size_t rejected = 0;
     std::size_t unanswered = 0;
