--- a/tests/golden/golden_stored_data_test.cpp
+++ b/tests/golden/golden_stored_data_test.cpp
@@ -148,15 +148,16 @@
     all["old_welcome"] = oldRecord(peer::Tag::OldWelcome);
     // Host 0 shuts down and starts again; host 1 stores its shutdown notice, host 2 did not receive it.
     fleet::RestartRecovery earlier(recoveryOptions(0), kBegin - 20 * kSecond);
-    fleet::RestartRecovery keeper(recoveryOptions(1), kBegin - 20 * kSecond);
-    fleet::RestartRecovery stranger(recoveryOptions(2), kBegin - 20 * kSecond);
+    fleet::RestartRecovery informedPeer(recoveryOptions(1), kBegin - 20 * kSecond);
+    fleet::RestartRecovery uninformedPeer(recoveryOptions(2), kBegin - 20 * kSecond);
     earlier.startShutdown(kBegin - 50 * kMs, kBegin - 1'500 * kMs);
     all["shutdown_notice"] = messageTo(1, earlier.dueDatagrams(kBegin - 1'500 * kMs));
-    keeper.handleDatagram(HostIndex(0), all["shutdown_notice"], kBegin - 1'499 * kMs);
+    informedPeer.handleDatagram(HostIndex(0), all["shutdown_notice"], kBegin - 1'499 * kMs);
     fleet::RestartRecovery later(recoveryOptions(0), kBegin);
     all["hello"] = messageTo(1, later.dueDatagrams(kBegin));
-    all["welcome_after"] = messageTo(0, keeper.handleDatagram(HostIndex(0), all["hello"], kBegin).replies);
-    all["welcome"] = messageTo(0, stranger.handleDatagram(HostIndex(0), all["hello"], kBegin).replies);
+    all["welcome_after"] =
+        messageTo(0, informedPeer.handleDatagram(HostIndex(0), all["hello"], kBegin).replies);
+    all["welcome"] = messageTo(0, uninformedPeer.handleDatagram(HostIndex(0), all["hello"], kBegin).replies);
     return all;
 }
 
@@ -372,22 +373,22 @@
 
 TEST_CASE("golden datagrams: a hello is answered, with the shutdown notice if one is stored") {
     const auto datagrams = goldenDatagrams();
-    Host keeper(settings(1, kHosts), kBegin - 20 * kSecond);
-    keeper.batch();
-    keeper.runTo(kBegin - 1'499 * kMs);
-    keeper.batch({PeerMessageReceived{HostIndex(0), datagrams.at("shutdown_notice")}});
-    CHECK(keeper.policy.recovery().counters().storedNotices == 1);
-    keeper.runTo(kBegin);
+    Host informedPeer(settings(1, kHosts), kBegin - 20 * kSecond);
+    informedPeer.batch();
+    informedPeer.runTo(kBegin - 1'499 * kMs);
+    informedPeer.batch({PeerMessageReceived{HostIndex(0), datagrams.at("shutdown_notice")}});
+    CHECK(informedPeer.policy.recovery().counters().storedNotices == 1);
+    informedPeer.runTo(kBegin);
     const auto welcomeAfter =
-        only<SendPeerMessage>(keeper.batch({PeerMessageReceived{HostIndex(0), datagrams.at("hello")}}));
+        only<SendPeerMessage>(informedPeer.batch({PeerMessageReceived{HostIndex(0), datagrams.at("hello")}}));
     REQUIRE(!welcomeAfter.empty());
     CHECK(hexOf(welcomeAfter[0].bytes) == hexOf(datagrams.at("welcome_after")));
 
-    Host stranger(settings(2, kHosts), kBegin - 20 * kSecond);
-    stranger.batch();
-    stranger.runTo(kBegin);
-    const auto welcome =
-        only<SendPeerMessage>(stranger.batch({PeerMessageReceived{HostIndex(0), datagrams.at("hello")}}));
+    Host uninformedPeer(settings(2, kHosts), kBegin - 20 * kSecond);
+    uninformedPeer.batch();
+    uninformedPeer.runTo(kBegin);
+    const auto welcome = only<SendPeerMessage>(
+        uninformedPeer.batch({PeerMessageReceived{HostIndex(0), datagrams.at("hello")}}));
     REQUIRE(!welcome.empty());
     CHECK(hexOf(welcome[0].bytes) == hexOf(datagrams.at("welcome")));
 }
