--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-UsageLifetimes Gossip::usageMemory() {
+UsageLifetimes Gossip::usageLifetimes() {
     return {kUsageTimeConstant, kPeerUsageLifetime, kSlowStartLifetime, kUntilComplete};
 }
 Micros Gossip::reportInterval() { return kReportInterval; }
--- a/src/policy/gossip.h
+++ b/src/policy/gossip.h
@@ -26,7 +26,7 @@
         : context_(context), usage_(usage), cluster_(cluster), outbox_(outbox) {}
 
     /// For how long the reported use of a key counts.
-    static UsageLifetimes usageMemory();
+    static UsageLifetimes usageLifetimes();
 
     /// What this host reports of a key besides its rate.
     struct Observation {
@@ -52,7 +52,7 @@
         KeyUsage* const usage = usage_.find(aggregate.key);
         if (!usage) return;
         usage->onOthersReported({aggregate.rate.value(), context_.now, aggregate.slowStartRate.rate()},
-                                usageMemory().slowStart);
+                                usageLifetimes().slowStart);
         if (usage->cell().isSet() && aggregate.wait.code > 0)
             cluster_.onWaitReported(usage->cell(), aggregate.wait.us());
     }
@@ -102,7 +102,7 @@
     void sendAggregate(std::uint32_t key, const KeyAggregate& aggregate, const UsageTotals& totals,
                        HostIndex to);
     [[nodiscard]] UsageTotals totalsOf(const KeyAggregate& aggregate) const {
-        return aggregate.totals(context_.now, usageMemory().ownRate, kRateTimeConstant);
+        return aggregate.totals(context_.now, usageLifetimes().ownRate, kRateTimeConstant);
     }
     [[nodiscard]] bool isDue(const KeyUsage& usage, const Observation& observation) const;
     [[nodiscard]] bool isDue(const KeyAggregate& aggregate, const UsageTotals& totals) const;
--- a/src/policy/policy_impl.h
+++ b/src/policy/policy_impl.h
@@ -104,7 +104,7 @@
     fleet::RestartRecovery recovery_;
     PeerOutbox outbox_;
     PeerInbox inbox_{context_, recovery_};
-    UsageTable usage_{context_, Gossip::usageMemory()};
+    UsageTable usage_{context_, Gossip::usageLifetimes()};
     ClusterView cluster_{context_, usage_};
     Gossip gossip_{context_, usage_, cluster_, outbox_};
     VolumeTable volumes_{context_, usage_};
