--- a/tests/fleet/slow_start_process_test.cpp
+++ b/tests/fleet/slow_start_process_test.cpp
@@ -1,19 +1,9 @@
-// Guards against an overload of a node in slow start by the sum of six processes, none of which sends an
-// unusual number of requests or logs anything. It was seen while nodes were replaced after an outage of
-// discovery: all processes learn of a new node within a few milliseconds, and a surge of requests for data
-// that only this node holds reaches all of them at once. The node goes down, and these requests fail from
-// then on.
-//
-// The fault: each process had two allowances, its part of the node's budget and a credit that grew with
-// demand, and what was sent under one was not charged to the other. The credit was 1.75 times the budget,
-// whatever the node completed. It was divided according to the demand that the processes had heard of from
-// each other, so that each had all of it if it had heard of little. Debts beyond one request were forgiven,
-// and a restarted process got its part again.
-//
-// With this fault, real processes exceeded what the node bears within one window by 4 to 30 requests if the
-// node was silent and the processes did not hear of each other, or if they were restarted, and by 320 to 470
-// if the node failed each request at once. The counter of a single process showed 165 units in a window with
-// a budget of 51 for all six.
+// Guards against an overload of a node in slow start by the sum of six processes that learn of it at once. A
+// faulty version had two allowances that were not charged to each other: a part of the budget, and a credit
+// of 1.75 budgets, divided by the demand learned by gossip, so that a process that had heard of little had
+// all of it. Debts beyond one request were forgiven, and a restarted process got its part again. It sent the
+// node 4 to 30 requests more per window than it tolerates if gossip failed and the node was silent, or if
+// processes restarted; 320 to 470 if it failed requests at once (one process: 165 units; budget of all: 51).
 #include "support/fleet_support.h"
 #include "support/slow_start_budget_check.h"
 
@@ -30,7 +20,7 @@
 const std::string kConfiguredSlowStart = R"("fallUs":3000000,"startCapacity":0.28,"warmAfterUs":15000000)";
 const std::string kTestSlowStart = R"("fallUs":1000000,"startCapacity":0.28,"warmAfterUs":6000000)";
 
-/// A fleet whose only node has just started, under a load of more requests than the node can bear.
+/// A fleet whose only node has just started, under a load of more requests than the node tolerates.
 class StartingNodeLoad {
 public:
     using Clock = std::chrono::steady_clock;
@@ -77,7 +67,7 @@
             fleet_.start(i);
         }
     }
-    /// By how many requests of mean work the fullest window exceeded what the node bears; below 0 if none
+    /// By how many requests of mean work the fullest window exceeded what the node tolerates; below 0 if none
     /// did.
     double largestExcess() const { return record_.largestExcess(settings_, 0); }
     std::size_t arrivals() const { return record_.size(); }
