--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 /// A connection to a node carries no other request for this long after a response, so that a duplicate of the
-/// response is not taken for the next one. The latest of 54 duplicates in test runs on seven days came after
-/// 4 ms. This is twice that, and far below any latency objective.
+/// response is not taken for the next one. Duplicates arrive up to 4 ms after the response; this is twice
+/// that, and far below any latency objective.
 constexpr std::chrono::milliseconds kConnectionCoolDown{8};
 /// The folder that the processes of a gateway share; null if the platform sets none.
 const char* sharedFolder() { return std::getenv("TMPDIR"); }
--- a/src/core/endpoint_table.cpp
+++ b/src/core/endpoint_table.cpp
@@ -6,8 +6,9 @@
 namespace wingproxy::core {
 namespace {
 
-/// How long the override that ended an administrative drain is kept after its node's slow start. An older
-/// override from another process of this front, which would drain the node again, is expected before that.
+/// How long the override that ended an administrative drain is kept after its node's slow start. Older
+/// overrides from other processes of this front arrive within this time; if the newer one were gone, they
+/// would drain the node again.
 constexpr Micros kEndedDrainRetention = 60'000'000;
 
 }  // namespace
--- a/src/net/watch_timing.h
+++ b/src/net/watch_timing.h
@@ -9,9 +9,10 @@
 namespace wingproxy::net {
 
 /// The timeouts of a watch. Discovery holds a request until the list changes, or until the wait that the
-/// request names is over. The defaults follow the protocol, which has no setting for them: an unanswered
-/// watch binds a front 6 s after it fell silent, or 2 s after its wait. With the defaults, a watch that
-/// continues counts as lost 1.5 s after its request.
+/// request names is over. The defaults follow the protocol, which has no setting for them: after a watch
+/// request falls silent, changes count as announced to the front, whether or not they arrived, at the latest
+/// 6 s after that, or 2 s after its wait ends. With the defaults, a request that continues a watch counts as
+/// lost 1.5 s after it was sent.
 struct WatchTiming {
     /// The wait that a request names.
     std::chrono::milliseconds wait{1'000};
--- a/tests/fleet/fleet_process_test.cpp
+++ b/tests/fleet/fleet_process_test.cpp
@@ -44,8 +44,9 @@
 
 }  // namespace
 
-// Guards the shutdown notice on real sockets: without it, front 0 would wait until its leases have expired,
-// because front 3 was killed and never replies.
+// Guards the shutdown notice on real sockets: without it, front 0 would wait until the longest lease duration
+// has passed, because not all peers can confirm that they hold no lease of its earlier incarnation: front 3
+// was killed and is started again only after front 0 has recovered.
 TEST_CASE(
     "fleet processes: a front recovers by its shutdown notice while a peer is dead and links lose 30%") {
     Fleet fleet(4, 5);
--- a/tests/soak/fake_servers.h
+++ b/tests/soak/fake_servers.h
@@ -185,7 +185,7 @@
     void setBehaviour(Behaviour behaviour) { behaviour_ = behaviour; }
     [[nodiscard]] ObservedNode& observed() { return observed_; }
     [[nodiscard]] tcp::endpoint endpoint() const { return server_.acceptor.local_endpoint(); }
-    /// The time that a request of so many units takes at the present speed.
+    /// The time that a request of this size takes at the present speed.
     [[nodiscard]] Clock::duration timeFor(double units) const {
         const std::chrono::duration<double> seconds(units / unitsPerSecond());
         return std::chrono::duration_cast<Clock::duration>(seconds);
--- a/tests/soak/soak_checker_test.cpp
+++ b/tests/soak/soak_checker_test.cpp
@@ -28,7 +28,7 @@
         observed.clientDisconnectedAt = soak::Clock::now() - ago;
         observations.requestSent("r", observed);
     }
-    /// The node has just started, and the request has so many units.
+    /// The node has just started, and the request has this number of units.
     void startNode(double units) {
         observations.listSent(0, 1);
         node.isStarting = true;
