--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -6,8 +6,9 @@
 namespace wingproxy {
 namespace {
 
-constexpr double kMinRelativeChange = 0.3;   // of the value last sent; smaller changes are not sent
-constexpr double kMinChangeRequests = 0.75;  // likewise, in mean requests per kUsageTimeConstant
+constexpr double kMinRelativeChange = 0.3;  // of the value last sent; smaller changes are not sent
+// In mean requests per kUsageTimeConstant; smaller changes of a reported rate are not sent.
+constexpr double kMinChangeRequests = 0.75;
 constexpr Micros kReportInterval = 200'000;
 constexpr Micros kOutstandingReportInterval = kReportInterval / 4;  // if the outstanding attempts changed
 constexpr Micros kUsageTimeConstant = 2'000'000;  // in which a sample of a usage rate decays to 1/e
--- a/src/policy/gossip.h
+++ b/src/policy/gossip.h
@@ -25,7 +25,7 @@
     Gossip(const Context& context, UsageTable& usage, ClusterView& cluster, PeerOutbox& outbox)
         : context_(context), usage_(usage), cluster_(cluster), outbox_(outbox) {}
 
-    /// For how long the reported use of a key counts.
+    /// How long figures about the usage of a key are used.
     static UsageLifetimes usageLifetimes();
 
     /// What this host reports of a key besides its rate.
@@ -64,8 +64,8 @@
         if (usage && isPeer) usage->addPeer(notice.host);
     }
 
-    /// A node of this cell has a new process. The count of units completed in slow start begins anew, as
-    /// those of the earlier process say nothing about the new one.
+    /// A node of this cell has a new process. Restarts the count of units completed in slow start, as those
+    /// of the earlier process say nothing about the new one.
     void onNodeStarted(const Cell& cell, Micros startedUs) {
         aggregates_[cell.key].restartSlowStart(startedUs + context_.settings.slowStartDurationUs);
         cell.usage->restartSlowStart();
--- a/src/policy/key_aggregate.h
+++ b/src/policy/key_aggregate.h
@@ -96,7 +96,7 @@
     }
     /// Sums over all hosts at `now`.
     /// \param timeConstant of the hosts' rates, see `DecayingRate`
-    /// \param slowStartTimeConstant of the rate of units completed in slow start, likewise
+    /// \param slowStartTimeConstant of the rate of units completed in slow start, see `DecayingRate`
     [[nodiscard]] UsageTotals totals(Micros now, Micros timeConstant, Micros slowStartTimeConstant) const {
         UsageTotals all;
         for (const auto& [host, usage] : state_.hosts) {
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -30,7 +30,8 @@
 Micros OutlierDetector::trialInterval(const Settings& settings) {
     const double rate = promisedUnitsPerSecond(settings);
     if (rate <= 0) return kMinTrialInterval;
-    // One trial request of each host, and how long any warm node needs at the most for them.
+    // One trial request from each host, and the longest time in which any node after slow start completes
+    // them.
     const double unitsPerRound = std::max(settings.hostCount, 1) * settings.meanUnits;
     const auto roundDuration = Micros(unitsPerRound / rate * 1e6);
     return std::clamp(roundDuration, kMinTrialInterval, kMaxTrialInterval);
--- a/src/policy/peer_message.h
+++ b/src/policy/peer_message.h
@@ -124,7 +124,7 @@
     LeaseGrant,
     LeaseReturn,
     OldHello,    ///< of versions without `fleet::RestartRecovery`, which may run in an upgrade: skipped
-    OldWelcome,  ///< likewise
+    OldWelcome,  ///< as `OldHello`: skipped
     Join,
     UsageAggregate,
     Membership,
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -86,8 +86,8 @@
 }
 
 // If only a part of the last request fits into the allowance, that part is the probability with which it is
-// admitted, drawn anew in each window. On average a host so sends its allowance, even one smaller than a
-// request.
+// admitted; the random number is different in each window. On average, a host thus sends its allowance, even
+// one smaller than a request.
 bool SlowStartLimiter::admits(const SlowStartAllowance& allowance, double units, Micros now) const {
     if (now < allowance.usableSince || allowance.units <= 0) return false;
     const auto windowNumber = std::uint64_t(double(now) / double(allowance.windowUs) + state_.phase);
--- a/src/policy/snapshot_archive.h
+++ b/src/policy/snapshot_archive.h
@@ -40,7 +40,7 @@
     AggregateByKey aggregates;
     double requestBudget = 0;
     std::deque<Micros> requestTimes;  ///< of the retry budget
-    std::deque<Micros> retryTimes;    ///< likewise
+    std::deque<Micros> retryTimes;    ///< of the retry budget
 };
 
 /// The snapshot of a state, with a fingerprint of the settings: an index must mean the same in both
