--- a/include/wingproxy/policy.h
+++ b/include/wingproxy/policy.h
@@ -360,7 +360,7 @@
     ~Policy();
     /// A moved-from policy may only be destroyed or assigned to.
     Policy(Policy&&) noexcept;
-    /// As above.
+    /// As for the move constructor.
     Policy& operator=(Policy&&) noexcept;
 
     /// Handles one event. Events must be passed in the order in which they happened.
--- a/include/wingproxy/slow_start_budget.h
+++ b/include/wingproxy/slow_start_budget.h
@@ -22,7 +22,7 @@
 }
 
 /// Units of work that any node of this age tolerates within one window (`Settings::slowStartWindowUs`), from
-/// all hosts together. Random variation comes on top, see `slowStartTolerance`.
+/// all hosts together; `slowStartTolerance` is added to it for random variation.
 /// \param age since the node's process started, in microseconds; negative values count as 0
 [[nodiscard]] inline double slowStartBudget(const Settings& settings, Micros age) {
     return settings.slowStartUnits * slowStartGrowth(settings, age);
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -96,7 +96,7 @@
     requests_.markAnswered(*request);
     context_.notifyPolicy(RequestCancelled{input.id});
     // Stops the attempts that stream to or from the client, and those whose request was not sent completely:
-    // nobody waits for that work. Any other attempt runs on, because its outcome still tells something about
+    // no one needs that work. Any other attempt continues, because its outcome still informs the policy about
     // its node.
     const bool endsWithClient = request->unbounded || request->bodyIncomplete;
     std::vector<AttemptIndex> cancelled;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -6,7 +6,7 @@
 
 namespace wingproxy {
 
-const Micros kRateTimeConstant = 1'000'000;  // as the buckets of guaranteed rates hold one second
+const Micros kRateTimeConstant = 1'000'000;  // matches the buckets of guaranteed rates, which hold 1 s
 const Micros kTickInterval = 10'000;         // far below any latency objective, far above a batch's duration
 
 namespace {
@@ -19,8 +19,8 @@
 constexpr Micros kForgetAfter = 30'000'000;
 constexpr Micros kForgetInterval = 1'000'000;
 constexpr Micros kMinRetryAfter = 50'000;  // a sooner retry would meet the same backlog
-// After a node rejected a request that cannot be sent again, usually because another cell holds the object:
-// the retry names that shard and meets no backlog.
+// Used instead after a node rejected a request that cannot be sent again. Usually another cell holds the
+// object; the client's retry names that cell and meets no backlog.
 constexpr Micros kMinRetryAfterWrongCell = 1'000;
 
 }  // namespace
@@ -100,8 +100,8 @@
 void Policy::Impl::retryOrFail(PendingRequest& request) {
     if (!retries_.mayRetry(request))
         return rejectOrFail(request, {0, kMinRetryAfter}, AnswerReason::NotRepeatable);
-    const bool mayMove = request.info().cell.isNone() &&
-                         !request.mayHaveRun();  // a new object, of which no attempt may have run
+    // Any cell may take a new object, unless an attempt may already have stored it.
+    const bool mayMove = request.info().cell.isNone() && !request.mayHaveRun();
     if (mayMove) request.setCell(CellIndex());
     dispatcher_.enqueue(request);
 }
@@ -124,7 +124,8 @@
 
 void Policy::Impl::shedLoad(CellIndex cell) {
     const RequestQueue& queue = dispatcher_.queues().of(cell);
-    // Also in the batch in which they arrived: a client's last retry may have only a few milliseconds left.
+    // Requests about to expire are answered even in the batch in which they arrived: a client's last retry
+    // may have only a few milliseconds left.
     for (PendingRequest* const request : queue.withDeadlineBefore(context_.now + 2 * kTickInterval))
         rejectOrFail(*request, {0, kMinRetryAfter}, dispatcher_.holdReason(*request));
     if (queue.empty()) return;
